--- a/crates/firshore-clock/tests/clock.rs
+++ b/crates/firshore-clock/tests/clock.rs
@@ -1,28 +1,28 @@
-//! Time that goes on while the machine is suspended.
+//! The clock includes suspensions and never goes back.
 
 use firshore_clock::{as_timer, elapsed, now, simulate_suspension};
 use std::time::Duration;
 use tokio::time::Instant;
 
 #[test]
-fn without_a_suspension_it_is_the_steady_clock() {
+fn without_a_suspension_it_equals_the_timers_clock() {
     let (before, at, after) = (Instant::now(), now(), Instant::now());
     assert!(before <= at && at <= after);
     assert!(as_timer(at) == at);
 }
 
 #[test]
-fn it_goes_on_while_the_machine_is_suspended() {
-    let began = now();
+fn it_includes_suspensions() {
+    let start = now();
     simulate_suspension(Duration::from_secs(5));
-    assert!(elapsed(began) >= Duration::from_secs(5));
+    assert!(elapsed(start) >= Duration::from_secs(5));
     let later = now() + Duration::from_secs(1);
     let timer = as_timer(later).saturating_duration_since(Instant::now());
     assert!(timer <= Duration::from_secs(1), "{timer:?}");
 }
 
 #[test]
-fn it_never_goes_back() {
+fn it_is_monotonic() {
     let mut last = now();
     for _ in 0..100_000 {
         let next = now();
--- a/crates/firshore-crashes/src/lib.rs
+++ b/crates/firshore-crashes/src/lib.rs
@@ -1,15 +1,14 @@
-//! Requests under which back ends end: which they are, as all nodes together have seen it. No I/O; the
-//! time is passed in.
+//! Detects requests that crash back ends, from the exits that all nodes observed. No I/O; the time is passed in.
 //!
-//! A request that crashes back ends comes again with another identifier, at any node, so each node alone
-//! sees a part of what it does. Nodes know it by what it asks ([`mod@print`]). Each keeps which back ends have
-//! ended and which requests were lost there ([`table`]), and passes that on ([`sync`]); it is a union of
-//! sets, so that it may be told in any order, twice, and by anybody. Each node judges by itself from what it
-//! knows, and all that know the same judge the same.
+//! A request that crashes back ends may be repeated with another identifier and at another node, so each node
+//! observes only some of its runs. Nodes identify it by a fingerprint of its content ([`mod@print`]). Each node
+//! records which back ends exited and which requests were lost there ([`table`]), and synchronizes these records
+//! with its peers ([`sync`]). The records form a union of sets: they may be merged in any order, repeatedly, and
+//! from any node. Each node decides from its own table; nodes with equal tables decide alike.
 #![deny(missing_docs, unsafe_code)]
 
+mod detection;
 pub mod print;
 pub mod report;
 pub mod sync;
 pub mod table;
-mod verdict;
--- a/crates/firshore-crashes/src/print.rs
+++ b/crates/firshore-crashes/src/print.rs
@@ -1,8 +1,7 @@
-//! What a request asks and who asks it, as a keyed digest.
+//! Fingerprints of requests: keyed digests of the caller and the content.
 //!
-//! Each repeat of a request carries an identifier of its own; the digest is the same for all of them, at all
-//! nodes that share the key. Nobody without the key can tell what was asked, or find two requests with the
-//! same digest.
+//! Repeats of a request carry different identifiers but have the same fingerprint, at all nodes that share the
+//! key. Without the key, a fingerprint neither reveals the content nor allows collisions to be constructed.
 
 use firshore_types::ids::TenantName;
 use hmac::{Hmac, KeyInit, Mac};
@@ -10,40 +9,40 @@
 use sha2::Sha256;
 use std::fmt;
 
-/// Keeps these digests apart from others that are made with the same secret.
+/// Separates these digests from others that are derived from the same secret.
 const LABEL: &[u8] = b"firshore request print";
 
-/// What is told apart.
+/// Input of a fingerprint.
 #[derive(Clone, Copy, Debug)]
 pub struct AskedRequest<'a> {
-    /// Tenant that asks, where it is known.
+    /// Tenant of the caller, if known.
     pub tenant: Option<&'a TenantName>,
-    /// Host that the request names.
+    /// Value of the `Host` header.
     pub host: &'a str,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Body.
+    /// Whole body.
     pub body: &'a [u8],
 }
 
-/// Stands for a request, whoever sends it on and however often it comes.
+/// Identifies a request across repeats and nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestPrint {
-    /// Digest of the caller: of the tenant, or of the host where there is none.
+    /// Digest of the caller: of the tenant, or of the host if there is none.
     #[serde(rename = "c")]
     caller: u64,
-    /// First half of the digest of the whole request.
+    /// First 8 bytes of the digest of the whole request.
     #[serde(rename = "h")]
     high: u64,
-    /// Second half.
+    /// Next 8 bytes.
     #[serde(rename = "l")]
     low: u64,
 }
 
 impl RequestPrint {
-    /// Returns what is the same for all requests of a caller.
+    /// Returns the digest of the caller, which all its requests share.
     pub fn caller(&self) -> u64 {
         self.caller
     }
@@ -55,7 +54,7 @@
     }
 }
 
-/// The key, which all nodes of a cluster share.
+/// The key for fingerprints, shared by all nodes of a cluster.
 #[derive(Clone)]
 pub struct PrintKey(Hmac<Sha256>);
 
@@ -66,7 +65,7 @@
 }
 
 impl PrintKey {
-    /// A key made of the cluster's secret.
+    /// Derives the key from the cluster's secret.
     ///
     /// # Panics
     ///
@@ -77,39 +76,36 @@
         Self(mac)
     }
 
-    /// Returns what stands for a request.
+    /// Returns the fingerprint of a request.
     pub fn print(&self, asked: &AskedRequest<'_>) -> RequestPrint {
-        let caller = match asked.tenant {
+        let caller_parts = match asked.tenant {
             Some(tenant) => [b"tenant", tenant.as_str().as_bytes()],
             None => [b"nobody", asked.host.as_bytes()],
         };
-        let (caller_half, _) = self.halves(caller);
-        let (high, low) = self.halves([
-            &caller_half.to_be_bytes(),
+        let (caller, _) = self.digest(caller_parts);
+        let (high, low) = self.digest([
+            &caller.to_be_bytes(),
             asked.host.as_bytes(),
             asked.method.as_bytes(),
             asked.target.as_bytes(),
             asked.body,
         ]);
-        RequestPrint {
-            caller: caller_half,
-            high,
-            low,
-        }
+        RequestPrint { caller, high, low }
     }
 
-    /// Digests parts, each with its length, so that no part can run on into the next one.
-    fn halves<const COUNT: usize>(&self, parts: [&[u8]; COUNT]) -> (u64, u64) {
+    /// Returns the first two 8-byte words of the digest of `parts`. Each part is prefixed with its length, so that
+    /// bytes moved from one part to the next change the digest.
+    fn digest<const COUNT: usize>(&self, parts: [&[u8]; COUNT]) -> (u64, u64) {
         let mut mac = self.0.clone();
         for part in parts {
             mac.update(&(part.len() as u64).to_be_bytes());
             mac.update(part);
         }
         let digest = mac.finalize().into_bytes();
-        let half = |from: usize| {
+        let word = |from: usize| {
             let bytes = digest[from..from + 8].try_into();
-            u64::from_be_bytes(bytes.expect("half a digest has eight bytes"))
+            u64::from_be_bytes(bytes.expect("the slice has eight bytes"))
         };
-        (half(0), half(8))
+        (word(0), word(8))
     }
 }
--- a/crates/firshore-crashes/src/report.rs
+++ b/crates/firshore-crashes/src/report.rs
@@ -1,69 +1,69 @@
-//! What nodes tell each other, as it travels.
+//! Serialized form of the crash table's entries.
 
 use crate::print::RequestPrint;
 use firshore_adapter::incarnation::StartTime;
 use serde::{Deserialize, Serialize};
 
-/// How far a table is, as its holder counts its changes.
+/// Position in the sequence of changes of a node's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableCursor {
-    /// Drawn at the holder's start: one that has started again counts anew.
+    /// Chosen at random when the node starts; a restarted node counts from 0 in a new epoch.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// Changes so far.
+    /// Number of changes so far.
     #[serde(rename = "p")]
     pub position: u64,
 }
 
-/// A request that was lost at a back end that ended.
+/// A run of a request that was lost when its back end exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LostRun {
-    /// Request.
+    /// Fingerprint of the request.
     #[serde(rename = "r")]
     pub print: RequestPrint,
-    /// Bytes of its answer that had arrived.
+    /// Bytes of the response received before the exit.
     #[serde(rename = "n")]
     pub reached: u64,
 }
 
-/// A back end that ended.
+/// An exit of a back end's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedEnd {
-    /// Back end.
+    /// Name of the back end.
     #[serde(rename = "b")]
     pub backend: String,
-    /// Start of the process that ended, where it is known.
+    /// Start time of the exited process, if known.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub started: Option<StartTime>,
-    /// Milliseconds since it ended.
+    /// Milliseconds since the exit.
     #[serde(rename = "a")]
     pub age: u64,
-    /// Requests that were lost there.
+    /// Runs that were lost there.
     #[serde(rename = "l")]
     pub lost: Vec<LostRun>,
 }
 
-/// A request that has run to a good end.
+/// A request that completed successfully.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedCompletion {
-    /// Request.
+    /// Fingerprint of the request.
     #[serde(rename = "r")]
     pub print: RequestPrint,
-    /// Milliseconds since then.
+    /// Milliseconds since the completion.
     #[serde(rename = "a")]
     pub age: u64,
 }
 
-/// A part of a table.
+/// A range of a table's changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Back ends that ended.
+    /// Exits of back ends.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub ends: Vec<ReportedEnd>,
-    /// Requests that have run to a good end although back ends had ended under them.
+    /// Requests that completed although they had been lost at exits before.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub completions: Vec<ReportedCompletion>,
-    /// Position of the teller's table up to which this tells everything.
+    /// Position of the sender's table up to which the report is complete.
     #[serde(rename = "p")]
     pub position: u64,
 }
--- a/crates/firshore-crashes/src/sync.rs
+++ b/crates/firshore-crashes/src/sync.rs
@@ -1,4 +1,4 @@
-//! Brings two tables to the same state: each tells the other what it has not told it yet.
+//! Synchronizes the tables of two nodes: each sends the changes that the other has not received yet.
 
 use crate::report::{CrashReport, TableCursor};
 use crate::table::{CrashTable, TableChange};
@@ -7,42 +7,43 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// What a node tells a peer, and from where on it asks for the peer's news.
+/// Reports changes to a peer and requests the peer's changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashQuestion {
-    /// How far the asker knows the peer's table.
+    /// Cursor of the peer's table up to which the sender has received changes.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub known: Option<TableCursor>,
-    /// What the asker has not told yet.
+    /// Changes that the sender has not reported to this peer yet.
     #[serde(rename = "r")]
     pub report: CrashReport,
 }
 
-/// What the peer answers.
+/// Response of the peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashAnswer {
-    /// How far the asker knows the peer's table with this.
+    /// Cursor of the peer's table up to which `report` is complete.
     #[serde(rename = "k")]
     pub cursor: TableCursor,
-    /// What the asker did not know.
+    /// Changes after the cursor in the request.
     #[serde(rename = "r")]
     pub report: CrashReport,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerProgress {
-    /// Position of the own table up to which the peer was told.
-    told: u64,
+    /// Position of the local table up to which changes were reported to the peer.
+    reported: u64,
+    /// Cursor of the peer's table up to which its changes were received.
     known: Option<TableCursor>,
 }
 
-/// How far the peers of a node are.
+/// Synchronization progress with each peer of a node.
 #[derive(Debug, Default)]
 pub struct CrashSync {
     peers: HashMap<NodeName, PeerProgress>,
 }
 
-/// Answers a peer.
+/// Merges a peer's report and returns the response, with the changes to the local table.
 pub fn answer(
     table: &mut CrashTable,
     now: Instant,
@@ -67,13 +68,13 @@
         self.peers.get(peer).copied().unwrap_or_default()
     }
 
-    /// Returns whether a peer was not told yet what this node knows.
+    /// Returns whether the local table has changes that were not reported to a peer.
     pub fn has_to_tell(&self, peer: &NodeName, table: &CrashTable) -> bool {
-        self.progress(peer).told < table.cursor().position
+        self.progress(peer).reported < table.cursor().position
     }
 
-    /// Returns whether a peer whose table is said to be at `cursor` knows or lacks something. A table in which
-    /// nothing stands has no cursor.
+    /// Returns whether a peer's table may differ from what this node received and reported. `cursor` is the
+    /// peer's current position; an empty table has none.
     pub fn differs(
         &self,
         peer: &NodeName,
@@ -86,39 +87,39 @@
         }
     }
 
-    /// Returns what to ask a peer.
+    /// Returns the next request to a peer.
     pub fn question(&self, now: Instant, peer: &NodeName, table: &CrashTable) -> CrashQuestion {
         let progress = self.progress(peer);
         CrashQuestion {
             known: progress.known,
-            report: table.changes_after(now, progress.told),
+            report: table.changes_after(now, progress.reported),
         }
     }
 
-    /// Takes in a peer's answer to a question that told the own table up to `told`.
+    /// Merges a peer's response to a request that reported the local table up to position `reported`.
     pub fn answered(
         &mut self,
         now: Instant,
         peer: &NodeName,
-        told: u64,
+        reported: u64,
         answer: &CrashAnswer,
         table: &mut CrashTable,
     ) -> Vec<TableChange> {
-        let before = self.progress(peer);
-        let is_same = before
+        let previous = self.progress(peer);
+        let is_same_epoch = previous
             .known
             .is_none_or(|known| known.epoch == answer.cursor.epoch);
-        let knew_all = told == table.cursor().position;
+        let was_complete = reported == table.cursor().position;
         let changes = table.merge(now, &answer.report);
-        let told = match (is_same, knew_all) {
-            // It has started again and knows only what was just told.
+        let reported = match (is_same_epoch, was_complete) {
+            // The peer restarted: it has only the changes of the last report.
             (false, _) => 0,
-            // What it has just told itself need not be told back.
+            // The changes just merged came from the peer itself and are not reported back.
             (true, true) => table.cursor().position,
-            (true, false) => told,
+            (true, false) => reported,
         };
         let progress = PeerProgress {
-            told,
+            reported,
             known: Some(answer.cursor),
         };
         self.peers.insert(peer.clone(), progress);
--- a/crates/firshore-crashes/src/table.rs
+++ b/crates/firshore-crashes/src/table.rs
@@ -1,34 +1,34 @@
-//! What is known of back ends that ended, and of the requests that were lost there.
+//! Records exits of back ends and the requests that were lost there.
 //!
-//! A back end's end is kept with the requests that were lost there: an engine runs several, and most of
-//! them are innocent. A request that has run to a good end anywhere since it was suspected is not judged by
-//! ends any more.
+//! A back end runs several requests at a time, most of which didn't cause its exit. A suspected request that
+//! completes at any node is cleared: later exits no longer count against it.
 
+use crate::detection;
 use crate::print::RequestPrint;
 use crate::report::{CrashReport, LostRun, ReportedCompletion, ReportedEnd, TableCursor};
-use crate::verdict;
 use firshore_adapter::incarnation::Incarnation;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Back ends that ended that are kept: with [`MOST_LOST`] requests each, some 800 kB.
-const MOST_ENDS: usize = 256;
+/// Recorded exits; with [`MAX_LOST_RUNS`] requests each, they take about 800 kB.
+const MAX_EXITS: usize = 256;
 
-/// Requests kept of those lost at one back end: more than back ends run and queue at once.
-const MOST_LOST: usize = 64;
+/// Recorded requests per exit; more than a back end runs and queues at a time.
+const MAX_LOST_RUNS: usize = 64;
 
-/// Requests that ran to a good end that are kept.
-const MOST_COMPLETIONS: usize = 2_048;
+/// Recorded completions.
+const MAX_COMPLETIONS: usize = 2_048;
 
-/// Back ends in one report: it travels in one frame, beside other messages.
-const MOST_REPORTED: usize = 32;
+/// Exits in one report, so that it fits into one frame.
+const MAX_REPORTED_EXITS: usize = 32;
 
-/// A back end that ended.
+/// An exit of a back end.
 #[derive(Clone, Debug)]
-pub(crate) struct EndedBackend {
+pub(crate) struct BackendExit {
     pub(crate) at: Instant,
-    /// Requests that were lost there, and how many bytes of their answers had arrived.
+    /// Requests that were lost there, each with the bytes of its response that had been received.
     pub(crate) lost: BTreeMap<RequestPrint, u64>,
+    /// Position of the table's latest change to this exit.
     position: u64,
 }
 
@@ -38,69 +38,70 @@
     position: u64,
 }
 
-/// Back ends that ended under a request that is held back.
+/// Why a request is quarantined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Back ends, in the order in which they ended.
+    /// Back ends that exited while running the request, in the order of their exits.
     pub backends: Vec<Incarnation>,
-    /// When the last of them ended.
+    /// Time of the last of these exits.
     pub last_end: Instant,
 }
 
-/// What is known against a request that was lost at back ends that ended.
+/// Evidence against a request that was lost at exits of back ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Back ends, less those beyond which another run of it got.
+    /// Exits at which the request was lost, without those that another run of it got past.
     pub ends: usize,
-    /// Occasions on which they ended: several at the same moment are one.
+    /// Number of distinct times of these exits; simultaneous exits count once.
     pub occasions: usize,
 }
 
-/// What a table has learned.
+/// A change of a table that its owner may have to act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableChange {
-    /// The request is held back from now on.
+    /// The request is quarantined from now on.
     Condemned(RequestPrint, Verdict),
-    /// It is not held back any more.
+    /// The request is no longer quarantined.
     Lifted(RequestPrint),
-    /// Another node saw that a back end has ended.
+    /// Another node reported the exit of a back end.
     BackendEnded(Incarnation),
 }
 
-/// Back ends that ended and requests that were lost there, as this node knows from all.
+/// Exits of back ends and requests lost there, as observed by this node and reported by others.
 #[derive(Debug)]
 pub struct CrashTable {
     epoch: u64,
-    /// Time for which an end is kept.
-    remember: Duration,
+    /// Time for which exits and completions are kept.
+    retention: Duration,
     position: u64,
-    ends: HashMap<Incarnation, EndedBackend>,
+    exits: HashMap<Incarnation, BackendExit>,
     completions: HashMap<RequestPrint, Completion>,
-    /// Requests that were lost at any of these back ends, without a good end since.
+    /// Requests that were lost at any of these exits and have not completed since.
     suspects: BTreeMap<RequestPrint, Suspicion>,
     verdicts: BTreeMap<RequestPrint, Verdict>,
 }
 
 impl CrashTable {
-    /// Nothing is known. Ends are kept for `remember`; `epoch` is drawn anew at each start of the node.
-    pub fn new(epoch: u64, remember: Duration) -> Self {
+    /// Creates an empty table. Exits and completions are kept for `retention`. `epoch` must differ at each start
+    /// of the node.
+    pub fn new(epoch: u64, retention: Duration) -> Self {
         Self {
             epoch,
-            remember,
+            retention,
             position: 0,
-            ends: HashMap::new(),
+            exits: HashMap::new(),
             completions: HashMap::new(),
             suspects: BTreeMap::new(),
             verdicts: BTreeMap::new(),
         }
     }
 
-    /// Sets for how long an end is kept.
-    pub fn remember_for(&mut self, remember: Duration) {
-        self.remember = remember;
+    /// Sets the time for which exits and completions are kept.
+    pub fn remember_for(&mut self, retention: Duration) {
+        self.retention = retention;
     }
 
-    /// Returns how far the table is.
+    /// Returns the current position of the table.
     pub fn cursor(&self) -> TableCursor {
         TableCursor {
             epoch: self.epoch,
@@ -108,167 +109,176 @@
         }
     }
 
-    /// Returns whether nothing is known: so it is on a calm day.
+    /// Returns whether no exit is recorded.
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty()
+        self.exits.is_empty()
     }
 
-    /// Returns whether any request is held back.
+    /// Returns whether any request is quarantined.
     pub fn has_verdicts(&self) -> bool {
         !self.verdicts.is_empty()
     }
 
-    /// Returns the verdict on a request, if there is one.
+    /// Returns why a request is quarantined, or `None` if it isn't.
     pub fn verdict(&self, print: &RequestPrint) -> Option<&Verdict> {
         self.verdicts.get(print)
     }
 
-    /// Returns what is known against a request, if nothing has cleared it.
+    /// Returns the evidence against a request; zero if there is none or the request was cleared.
     pub fn suspicion(&self, print: &RequestPrint) -> Suspicion {
         self.suspects.get(print).copied().unwrap_or_default()
     }
 
-    /// Returns the number of requests that were lost at a back end that ended, and not cleared since.
+    /// Returns the number of requests that were lost at an exit and not cleared since.
     pub fn suspects(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Returns the number of requests that are held back.
+    /// Returns the number of quarantined requests.
     pub fn verdicts(&self) -> usize {
         self.verdicts.len()
     }
 
-    /// Returns for how long a verdict still holds.
+    /// Returns the time until a quarantine expires.
     pub fn time_left(&self, now: Instant, verdict: &Verdict) -> Duration {
         let age = now.saturating_duration_since(verdict.last_end);
-        self.remember.saturating_sub(age)
+        self.retention.saturating_sub(age)
     }
 
-    /// Takes in that a back end has ended, and which requests of this node were lost there.
+    /// Records the exit of a back end and the requests of this node that were lost there.
     pub fn ended(
         &mut self,
         now: Instant,
         backend: &Incarnation,
         lost: &[LostRun],
     ) -> Vec<TableChange> {
-        self.add_end(now, backend, lost);
-        self.judge()
+        self.add_exit(now, backend, lost);
+        self.evaluate()
     }
 
-    /// Takes in that a request has run to a good end. Says something of requests only that are suspected.
+    /// Records a successful completion of a request. Has no effect on a request that is not suspected.
     pub fn completed(&mut self, now: Instant, print: RequestPrint) -> Vec<TableChange> {
         if !self.suspects.contains_key(&print) {
             return Vec::new();
         }
         self.add_completion(now, print);
-        self.judge()
+        self.evaluate()
     }
 
-    /// Takes in what another node knows.
+    /// Merges another node's report. Entries older than the retention time are ignored.
     pub fn merge(&mut self, now: Instant, report: &CrashReport) -> Vec<TableChange> {
-        let before = self.position;
+        let position_before = self.position;
         let mut changes = Vec::new();
-        for end in &report.ends {
-            let backend = self.told_of(end);
-            if end.age >= self.remember.as_millis() as u64 {
+        for exit in &report.ends {
+            let backend = self.reported_incarnation(exit);
+            if exit.age >= self.retention.as_millis() as u64 {
                 continue;
             }
-            if !self.ends.contains_key(&backend) {
+            if !self.exits.contains_key(&backend) {
                 changes.push(TableChange::BackendEnded(backend.clone()));
             }
-            self.add_end(past(now, end.age), &backend, &end.lost);
+            self.add_exit(time_of(now, exit.age), &backend, &exit.lost);
         }
-        for one in &report.completions {
-            if one.age < self.remember.as_millis() as u64 {
-                self.add_completion(past(now, one.age), one.print);
+        for completion in &report.completions {
+            if completion.age < self.retention.as_millis() as u64 {
+                self.add_completion(time_of(now, completion.age), completion.print);
             }
         }
-        if self.position > before {
-            changes.extend(self.judge());
+        if self.position > position_before {
+            changes.extend(self.evaluate());
         }
         changes
     }
 
-    /// Forgets what is older than it is to be kept. Ends of verdicts go too: then the request is tried again.
+    /// Removes exits and completions older than the retention time. A quarantined request whose exits are removed
+    /// is released.
     pub fn forget_old(&mut self, now: Instant) -> Vec<TableChange> {
-        let known = self.ends.len();
-        let remember = self.remember;
-        let is_kept = |at: Instant| now.saturating_duration_since(at) < remember;
-        self.ends.retain(|_, end| is_kept(end.at));
-        self.completions.retain(|_, one| is_kept(one.at));
-        match self.ends.len() < known {
-            true => self.judge(),
+        let count_before = self.exits.len();
+        let retention = self.retention;
+        let is_kept = |at: Instant| now.saturating_duration_since(at) < retention;
+        self.exits.retain(|_, exit| is_kept(exit.at));
+        self.completions
+            .retain(|_, completion| is_kept(completion.at));
+        match self.exits.len() < count_before {
+            true => self.evaluate(),
             false => Vec::new(),
         }
     }
 
-    /// Returns what has changed after a position, oldest first: as much of it as one report holds.
+    /// Returns the changes after `position`, oldest first, up to the size of one report.
     pub fn changes_after(&self, now: Instant, position: u64) -> CrashReport {
-        let newer = self.ends.iter().filter(|(_, end)| end.position > position);
-        let mut ends: Vec<(&Incarnation, &EndedBackend)> = newer.collect();
-        ends.sort_by_key(|(_, end)| end.position);
-        let is_whole = ends.len() <= MOST_REPORTED;
-        ends.truncate(MOST_REPORTED);
-        let upto = match ends.last() {
-            Some((_, last)) if !is_whole => last.position,
+        let newer = self
+            .exits
+            .iter()
+            .filter(|(_, exit)| exit.position > position);
+        let mut exits: Vec<(&Incarnation, &BackendExit)> = newer.collect();
+        exits.sort_by_key(|(_, exit)| exit.position);
+        let is_complete = exits.len() <= MAX_REPORTED_EXITS;
+        exits.truncate(MAX_REPORTED_EXITS);
+        let upto = match exits.last() {
+            Some((_, last)) if !is_complete => last.position,
             _ => self.position,
         };
         let completions = self.completions.iter();
-        let completions =
-            completions.filter(|(_, one)| one.position > position && one.position <= upto);
+        let completions = completions.filter(|(_, completion)| {
+            completion.position > position && completion.position <= upto
+        });
         CrashReport {
-            ends: ends
+            ends: exits
                 .iter()
-                .map(|(backend, end)| reported(now, backend, end))
+                .map(|(backend, exit)| report_exit(now, backend, exit))
                 .collect(),
             completions: completions
-                .map(|(print, one)| ReportedCompletion {
+                .map(|(print, completion)| ReportedCompletion {
                     print: *print,
-                    age: age(now, one.at),
+                    age: age(now, completion.at),
                 })
                 .collect(),
             position: upto,
         }
     }
 
-    /// The back end that a report tells of. One that tells no start of it, from a node that knows none, means
-    /// an end that is known with its start: it would count twice otherwise.
-    fn told_of(&self, end: &ReportedEnd) -> Incarnation {
-        let told = Incarnation {
-            name: end.backend.as_str().into(),
-            started: end.started,
+    /// Returns the incarnation that a reported exit refers to. A report without a start time refers to the latest
+    /// recorded exit of that name, if there is one; otherwise the same exit would count twice.
+    fn reported_incarnation(&self, exit: &ReportedEnd) -> Incarnation {
+        let reported = Incarnation {
+            name: exit.backend.as_str().into(),
+            started: exit.started,
         };
-        if told.started.is_some() {
-            return told;
+        if reported.started.is_some() {
+            return reported;
         }
-        let known = self.ends.keys().filter(|one| one.name == told.name);
-        known.max().cloned().unwrap_or(told)
+        let recorded = self
+            .exits
+            .keys()
+            .filter(|incarnation| incarnation.name == reported.name);
+        recorded.max().cloned().unwrap_or(reported)
     }
 
-    fn add_end(&mut self, at: Instant, backend: &Incarnation, lost: &[LostRun]) {
-        if !self.ends.contains_key(backend) {
-            self.make_room();
+    fn add_exit(&mut self, at: Instant, backend: &Incarnation, lost: &[LostRun]) {
+        if !self.exits.contains_key(backend) {
+            self.evict_excess();
         }
         let next = self.position + 1;
-        let end = self.ends.entry(backend.clone()).or_insert(EndedBackend {
+        let exit = self.exits.entry(backend.clone()).or_insert(BackendExit {
             at,
             lost: BTreeMap::new(),
             position: 0,
         });
-        let mut changed = end.position == 0;
-        // The first to see it tells best when it was.
-        end.at = end.at.min(at);
+        let mut changed = exit.position == 0;
+        // The earliest observation is the closest to the exit.
+        exit.at = exit.at.min(at);
         for run in lost {
-            let is_known = end.lost.contains_key(&run.print);
-            if !is_known && end.lost.len() >= MOST_LOST {
+            let is_recorded = exit.lost.contains_key(&run.print);
+            if !is_recorded && exit.lost.len() >= MAX_LOST_RUNS {
                 continue;
             }
-            let reached = end.lost.entry(run.print).or_insert(run.reached);
-            changed |= !is_known || *reached < run.reached;
+            let reached = exit.lost.entry(run.print).or_insert(run.reached);
+            changed |= !is_recorded || *reached < run.reached;
             *reached = (*reached).max(run.reached);
         }
         if changed {
-            end.position = next;
+            exit.position = next;
             self.position = next;
         }
     }
@@ -277,8 +287,11 @@
         if self.completions.contains_key(&print) {
             return;
         }
-        if self.completions.len() >= MOST_COMPLETIONS {
-            let oldest = self.completions.iter().min_by_key(|(_, one)| one.at);
+        if self.completions.len() >= MAX_COMPLETIONS {
+            let oldest = self
+                .completions
+                .iter()
+                .min_by_key(|(_, completion)| completion.at);
             let oldest = oldest.map(|(print, _)| *print);
             oldest.map(|print| self.completions.remove(&print));
         }
@@ -287,42 +300,46 @@
         self.completions.insert(print, Completion { at, position });
     }
 
-    /// Makes room for one more back end. First go ends that no verdict rests on, the oldest first; then those
-    /// of the caller whose verdicts rest on the most, so that no caller pushes out another's.
-    fn make_room(&mut self) {
-        if self.ends.len() < MOST_ENDS {
+    /// Removes the oldest exit if the table is full: of the exits without a quarantined request if there are any,
+    /// otherwise of the caller whose quarantined requests account for the most exits. So no caller can evict the
+    /// exits of another caller's quarantined request.
+    fn evict_excess(&mut self) {
+        if self.exits.len() < MAX_EXITS {
             return;
         }
-        let owner = |end: &EndedBackend| {
-            let mut condemned = end
+        let owner = |exit: &BackendExit| {
+            let mut quarantined = exit
                 .lost
                 .keys()
-                .filter(|one| self.verdicts.contains_key(one));
-            condemned.next().map(RequestPrint::caller)
+                .filter(|print| self.verdicts.contains_key(print));
+            quarantined.next().map(RequestPrint::caller)
         };
-        let mut owned: HashMap<Option<u64>, usize> = HashMap::new();
-        for end in self.ends.values() {
-            *owned.entry(owner(end)).or_default() += 1;
+        let mut counts: HashMap<Option<u64>, usize> = HashMap::new();
+        for exit in self.exits.values() {
+            *counts.entry(owner(exit)).or_default() += 1;
         }
-        let victim = match owned.contains_key(&None) {
+        let evicted_owner = match counts.contains_key(&None) {
             true => None,
-            false => owned
+            false => counts
                 .iter()
                 .max_by_key(|(_, count)| **count)
-                .and_then(|(one, _)| *one),
+                .and_then(|(caller, _)| *caller),
         };
-        let candidates = self.ends.iter().filter(|(_, end)| owner(end) == victim);
-        let oldest = candidates.min_by_key(|(_, end)| end.at);
+        let candidates = self
+            .exits
+            .iter()
+            .filter(|(_, exit)| owner(exit) == evicted_owner);
+        let oldest = candidates.min_by_key(|(_, exit)| exit.at);
         let oldest = oldest.map(|(backend, _)| backend.clone());
-        oldest.map(|backend| self.ends.remove(&backend));
+        oldest.map(|backend| self.exits.remove(&backend));
     }
 
-    /// Judges anew from all that is known.
-    fn judge(&mut self) -> Vec<TableChange> {
+    /// Evaluates all exits again and returns the requests that were quarantined or released.
+    fn evaluate(&mut self) -> Vec<TableChange> {
         let completions = &self.completions;
-        let judgement = verdict::judge(&self.ends, |print| completions.contains_key(print));
-        self.suspects = judgement.suspects;
-        let before = std::mem::replace(&mut self.verdicts, judgement.verdicts);
+        let findings = detection::evaluate(&self.exits, |print| completions.contains_key(print));
+        self.suspects = findings.suspects;
+        let before = std::mem::replace(&mut self.verdicts, findings.verdicts);
         let lifted = before
             .keys()
             .filter(|print| !self.verdicts.contains_key(print));
@@ -337,7 +354,7 @@
     }
 }
 
-fn past(now: Instant, age: u64) -> Instant {
+fn time_of(now: Instant, age: u64) -> Instant {
     now.checked_sub(Duration::from_millis(age)).unwrap_or(now)
 }
 
@@ -345,12 +362,12 @@
     now.saturating_duration_since(at).as_millis() as u64
 }
 
-fn reported(now: Instant, backend: &Incarnation, end: &EndedBackend) -> ReportedEnd {
-    let lost = end.lost.iter();
+fn report_exit(now: Instant, backend: &Incarnation, exit: &BackendExit) -> ReportedEnd {
+    let lost = exit.lost.iter();
     ReportedEnd {
         backend: backend.name.to_string(),
         started: backend.started,
-        age: age(now, end.at),
+        age: age(now, exit.at),
         lost: lost
             .map(|(print, reached)| LostRun {
                 print: *print,
--- a/crates/firshore-crashes/tests/print.rs
+++ b/crates/firshore-crashes/tests/print.rs
@@ -1,10 +1,10 @@
-//! Digests of requests.
+//! Fingerprints of requests.
 
 use firshore_crashes::print::{AskedRequest, PrintKey};
 use firshore_types::ids::TenantName;
 use std::collections::BTreeSet;
 
-const ASKED: AskedRequest<'static> = AskedRequest {
+const REQUEST: AskedRequest<'static> = AskedRequest {
     tenant: None,
     host: "a.example",
     method: "POST",
@@ -13,66 +13,79 @@
 };
 
 #[test]
-fn what_asks_the_same_has_the_same_print_at_all_nodes_with_the_key() {
-    let (one, other) = (PrintKey::new(b"secret"), PrintKey::new(b"secret"));
-    assert_eq!(one.print(&ASKED), other.print(&ASKED));
-    assert_ne!(one.print(&ASKED), PrintKey::new(b"another").print(&ASKED));
+fn equal_requests_have_equal_fingerprints_under_the_same_key() {
+    let (first, second) = (PrintKey::new(b"secret"), PrintKey::new(b"secret"));
+    assert_eq!(first.print(&REQUEST), second.print(&REQUEST));
+    assert_ne!(
+        first.print(&REQUEST),
+        PrintKey::new(b"another").print(&REQUEST)
+    );
 }
 
 #[test]
-fn caller_host_method_target_and_body_are_told_apart() {
+fn caller_host_method_target_and_body_change_the_fingerprint() {
     let key = PrintKey::new(b"secret");
     let tenant: TenantName = "t".into();
-    let same_word: TenantName = "a.example".into();
-    let asked = [
-        ASKED,
+    let named_like_host: TenantName = "a.example".into();
+    let requests = [
+        REQUEST,
         AskedRequest {
             tenant: Some(&tenant),
-            ..ASKED
+            ..REQUEST
         },
         AskedRequest {
-            tenant: Some(&same_word),
-            ..ASKED
+            tenant: Some(&named_like_host),
+            ..REQUEST
         },
         AskedRequest {
             host: "b.example",
-            ..ASKED
+            ..REQUEST
         },
         AskedRequest {
             method: "PUT",
-            ..ASKED
+            ..REQUEST
         },
         AskedRequest {
             target: "/notes/1?full=2",
-            ..ASKED
+            ..REQUEST
         },
         AskedRequest {
             target: "/notes/1?full=1body",
             body: b"",
-            ..ASKED
+            ..REQUEST
         },
         AskedRequest {
             body: b"bodi",
-            ..ASKED
+            ..REQUEST
         },
     ];
-    let prints: BTreeSet<String> = asked.iter().map(|one| key.print(one).to_string()).collect();
-    assert_eq!(prints.len(), asked.len());
-    assert!(prints.iter().all(|print| print.len() == 32));
+    let fingerprints: BTreeSet<String> = requests
+        .iter()
+        .map(|request| key.print(request).to_string())
+        .collect();
+    assert_eq!(fingerprints.len(), requests.len());
+    assert!(
+        fingerprints
+            .iter()
+            .all(|fingerprint| fingerprint.len() == 32)
+    );
 }
 
 #[test]
-fn requests_of_one_caller_share_the_callers_digest() {
+fn requests_of_one_caller_share_its_digest() {
     let key = PrintKey::new(b"secret");
     let tenant: TenantName = "t".into();
     let other_body = AskedRequest {
         body: b"other",
-        ..ASKED
+        ..REQUEST
     };
     let of_tenant = AskedRequest {
         tenant: Some(&tenant),
-        ..ASKED
+        ..REQUEST
     };
-    assert_eq!(key.print(&ASKED).caller(), key.print(&other_body).caller());
-    assert_ne!(key.print(&ASKED).caller(), key.print(&of_tenant).caller());
+    assert_eq!(
+        key.print(&REQUEST).caller(),
+        key.print(&other_body).caller()
+    );
+    assert_ne!(key.print(&REQUEST).caller(), key.print(&of_tenant).caller());
 }
--- a/crates/firshore-crashes/tests/table.rs
+++ b/crates/firshore-crashes/tests/table.rs
@@ -1,9 +1,9 @@
-//! What is known of back ends that ended, and which requests are held back for it.
+//! Exits of back ends, and the requests that are quarantined because of them.
 
 use firshore_adapter::incarnation::{Incarnation, StartTime};
 use firshore_crashes::print::{AskedRequest, PrintKey, RequestPrint};
 use firshore_crashes::report::{CrashReport, LostRun};
-use firshore_crashes::sync::{self, CrashSync};
+use firshore_crashes::sync::{CrashSync, answer};
 use firshore_crashes::table::{CrashTable, TableChange};
 use firshore_types::ids::{NodeName, TenantName};
 use rand::seq::SliceRandom;
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::{Duration, Instant};
 
-const REMEMBER: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 
 fn print_of(tenant: &str, target: &str) -> RequestPrint {
     let tenant: TenantName = tenant.into();
@@ -33,11 +33,11 @@
 }
 
 fn table() -> CrashTable {
-    CrashTable::new(1, REMEMBER)
+    CrashTable::new(1, RETENTION)
 }
 
-/// Ends back ends `names` under a request, one second apart from `at` on.
-fn end_under(
+/// Records exits of back ends `names` at which a request was lost, one second apart, the first at `at`.
+fn record_exits(
     table: &mut CrashTable,
     at: Instant,
     print: RequestPrint,
@@ -53,37 +53,39 @@
 }
 
 #[test]
-fn the_third_back_end_that_ends_under_a_request_condemns_it() {
+fn the_third_exit_under_a_request_quarantines_it() {
     let (mut table, now) = (table(), Instant::now());
-    assert!(end_under(&mut table, now, print("/a"), &["b1", "b2"]).is_empty());
+    assert!(record_exits(&mut table, now, print("/a"), &["b1", "b2"]).is_empty());
     assert_eq!(table.suspicion(&print("/a")).ends, 2);
-    let changes = end_under(
+    let changes = record_exits(
         &mut table,
         now + Duration::from_secs(2),
         print("/a"),
         &["b3"],
     );
-    assert!(matches!(&changes[..], [TableChange::Condemned(one, _)] if *one == print("/a")));
+    assert!(
+        matches!(&changes[..], [TableChange::Condemned(request, _)] if *request == print("/a"))
+    );
     let verdict = table.verdict(&print("/a")).unwrap();
     let names: Vec<&str> = verdict
         .backends
         .iter()
-        .map(|one| one.name.as_str())
+        .map(|backend| backend.name.as_str())
         .collect();
     assert_eq!(names, ["b1", "b2", "b3"]);
     assert!(table.verdict(&print("/b")).is_none());
 }
 
 #[test]
-fn one_back_end_counts_once_however_often_it_is_told() {
+fn repeated_records_of_one_exit_count_once() {
     let (mut table, now) = (table(), Instant::now());
-    end_under(&mut table, now, print("/a"), &["b1", "b1", "b1", "b2"]);
+    record_exits(&mut table, now, print("/a"), &["b1", "b1", "b1", "b2"]);
     assert_eq!(table.suspicion(&print("/a")).ends, 2);
     assert!(!table.has_verdicts());
 }
 
 #[test]
-fn back_ends_that_end_at_the_same_moment_are_one_occasion() {
+fn simultaneous_exits_are_one_occasion() {
     let (mut table, now) = (table(), Instant::now());
     for name in ["b1", "b2", "b3", "b4", "b5", "b6"] {
         table.ended(
@@ -97,11 +99,11 @@
 }
 
 #[test]
-fn a_run_to_a_good_end_clears_a_request_for_good() {
+fn a_completed_request_stays_cleared() {
     let (mut table, now) = (table(), Instant::now());
-    end_under(&mut table, now, print("/a"), &["b1", "b2"]);
+    record_exits(&mut table, now, print("/a"), &["b1", "b2"]);
     table.completed(now, print("/a"));
-    end_under(
+    record_exits(
         &mut table,
         now + Duration::from_secs(5),
         print("/a"),
@@ -112,16 +114,16 @@
 }
 
 #[test]
-fn a_verdict_is_lifted_by_a_run_that_was_under_way() {
+fn a_run_in_flight_that_completes_releases_the_request() {
     let (mut table, now) = (table(), Instant::now());
-    end_under(&mut table, now, print("/a"), &["b1", "b2", "b3"]);
+    record_exits(&mut table, now, print("/a"), &["b1", "b2", "b3"]);
     assert!(table.has_verdicts());
     let changes = table.completed(now, print("/a"));
     assert_eq!(changes, [TableChange::Lifted(print("/a"))]);
 }
 
 #[test]
-fn runs_that_get_further_each_time_condemn_nobody() {
+fn a_request_whose_runs_get_further_each_time_is_not_quarantined() {
     let (mut table, now) = (table(), Instant::now());
     for (idx, name) in ["b1", "b2", "b3", "b4", "b5", "b6"].iter().enumerate() {
         let at = now + Duration::from_secs(idx as u64);
@@ -133,12 +135,12 @@
 }
 
 #[test]
-fn requests_beside_one_that_is_condemned_are_not() {
+fn a_request_that_runs_beside_a_quarantined_one_is_not_quarantined() {
     let (mut table, now) = (table(), Instant::now());
     for (idx, name) in ["b1", "b2", "b3", "b4"].iter().enumerate() {
         let at = now + Duration::from_secs(idx as u64);
         let mut runs = vec![lost(print("/fatal"), 0)];
-        // Beside it three times of four, and without a good end.
+        // Lost beside it at three of the four exits, and never completed.
         if idx > 0 {
             runs.push(lost(print("/beside"), 0));
         }
@@ -149,15 +151,15 @@
 }
 
 #[test]
-fn where_more_back_ends_end_without_a_request_five_must_have_ended_under_it() {
+fn five_exits_are_needed_if_more_happen_without_the_request() {
     let (mut table, now) = (table(), Instant::now());
     for idx in 0..5 {
-        let own = lost(print(&format!("/{idx}")), 0);
-        table.ended(now, &Incarnation::named(format!("own{idx}")), &[own]);
+        let run = lost(print(&format!("/{idx}")), 0);
+        table.ended(now, &Incarnation::named(format!("local{idx}")), &[local]);
     }
-    end_under(&mut table, now, print("/a"), &["b1", "b2", "b3", "b4"]);
+    record_exits(&mut table, now, print("/a"), &["b1", "b2", "b3", "b4"]);
     assert!(table.verdict(&print("/a")).is_none());
-    end_under(
+    record_exits(
         &mut table,
         now + Duration::from_secs(4),
         print("/a"),
@@ -167,14 +169,14 @@
 }
 
 #[test]
-fn back_ends_that_end_after_a_verdict_do_not_lift_it() {
+fn later_exits_without_the_request_do_not_release_it() {
     let (mut table, now) = (table(), Instant::now());
-    end_under(&mut table, now, print("/a"), &["b1", "b2", "b3"]);
+    record_exits(&mut table, now, print("/a"), &["b1", "b2", "b3"]);
     for idx in 3..12 {
         let at = now + Duration::from_secs(idx);
         table.ended(
             at,
-            &Incarnation::named(format!("own{idx}")),
+            &Incarnation::named(format!("local{idx}")),
             &[lost(print("/b"), 0)],
         );
         assert!(table.verdict(&print("/a")).is_some(), "after {idx} s");
@@ -182,31 +184,31 @@
 }
 
 #[test]
-fn a_verdict_ends_with_the_time_for_which_ends_are_kept() {
+fn a_quarantine_expires_after_the_retention_time() {
     let (mut table, now) = (table(), Instant::now());
-    end_under(&mut table, now, print("/a"), &["b1", "b2", "b3"]);
+    record_exits(&mut table, now, print("/a"), &["b1", "b2", "b3"]);
     let verdict = table.verdict(&print("/a")).unwrap();
     assert_eq!(
         table.time_left(now + Duration::from_secs(2), verdict),
-        REMEMBER
+        RETENTION
     );
     assert!(
         table
-            .forget_old(now + REMEMBER - Duration::from_secs(1))
+            .forget_old(now + RETENTION - Duration::from_secs(1))
             .is_empty()
     );
-    let changes = table.forget_old(now + REMEMBER + Duration::from_secs(3));
+    let changes = table.forget_old(now + RETENTION + Duration::from_secs(3));
     assert_eq!(changes, [TableChange::Lifted(print("/a"))]);
     assert!(table.is_empty());
 }
 
 #[test]
-fn many_ends_push_out_no_verdict_of_another_caller() {
+fn many_exits_of_one_caller_evict_no_quarantine_of_another() {
     let (mut table, now) = (table(), Instant::now());
-    end_under(&mut table, now, print_of("ann", "/a"), &["a1", "a2", "a3"]);
+    record_exits(&mut table, now, print_of("ann", "/a"), &["a1", "a2", "a3"]);
     for idx in 0..2_000_u64 {
         let at = now + Duration::from_secs(10 + idx);
-        // Three back ends for each request of a caller who sends many of them.
+        // Three exits under each of many requests of one caller.
         let fatal = print_of("eve", &format!("/{}", idx / 3));
         table.ended(
             at,
@@ -215,130 +217,132 @@
         );
     }
     assert!(table.verdict(&print_of("ann", "/a")).is_some());
-    let report = whole_report(&table, now + Duration::from_secs(5_000));
-    assert!(report <= 256, "{report} ends are kept");
+    let kept = count_reported_exits(&table, now + Duration::from_secs(5_000));
+    assert!(kept <= 256, "{kept} exits are kept");
 }
 
-fn whole_report(table: &CrashTable, now: Instant) -> usize {
-    let (mut ends, mut position) = (0, 0);
+fn count_reported_exits(table: &CrashTable, now: Instant) -> usize {
+    let (mut count, mut position) = (0, 0);
     loop {
         let report: CrashReport = table.changes_after(now, position);
         if report.ends.is_empty() {
-            return ends;
+            return count;
         }
-        ends += report.ends.len();
+        count += report.ends.len();
         position = report.position;
     }
 }
 
 #[test]
-fn tables_that_learn_the_same_in_any_order_judge_the_same() {
+fn the_order_of_records_does_not_change_the_result() {
     for seed in 0..20 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let now = Instant::now();
-        let mut seen: Vec<(u64, String, RequestPrint)> = Vec::new();
-        for end in 0..12_u64 {
+        let mut records: Vec<(u64, String, RequestPrint)> = Vec::new();
+        for exit in 0..12_u64 {
             for request in 0..4 {
                 if random.random_bool(0.5) {
-                    seen.push((end, format!("b{end}"), print(&format!("/{request}"))));
+                    records.push((exit, format!("b{exit}"), print(&format!("/{request}"))));
                 }
             }
         }
-        let judged = |seen: &[(u64, String, RequestPrint)]| {
+        let quarantined = |records: &[(u64, String, RequestPrint)]| {
             let mut table = table();
-            for (end, backend, print) in seen {
-                let at = now + Duration::from_secs(*end);
+            for (exit, backend, print) in records {
+                let at = now + Duration::from_secs(*exit);
                 table.ended(at, &Incarnation::named(backend.clone()), &[lost(*print, 0)]);
             }
             let prints = (0..4).map(|request| print(&format!("/{request}")));
-            let verdicts: Vec<bool> = prints.map(|one| table.verdict(&one).is_some()).collect();
+            let verdicts: Vec<bool> = prints
+                .map(|print| table.verdict(&print).is_some())
+                .collect();
             verdicts
         };
-        let first = judged(&seen);
+        let first = quarantined(&records);
         for _ in 0..5 {
-            seen.shuffle(&mut random);
-            assert_eq!(judged(&seen), first, "seed {seed}");
+            records.shuffle(&mut random);
+            assert_eq!(quarantined(&records), first, "seed {seed}");
         }
     }
 }
 
-/// Has `asker` ask `peer` until neither has more to tell.
+/// Synchronizes `local` with `peer` until neither has unreported changes; returns the number of requests.
 fn exchange(
     now: Instant,
-    progress: &mut CrashSync,
+    sync: &mut CrashSync,
     name: &NodeName,
-    asker: &mut CrashTable,
+    local: &mut CrashTable,
     peer: &mut CrashTable,
 ) -> usize {
     for count in 1..100 {
-        let question = progress.question(now, name, asker);
-        let told = question.report.position;
-        let (answer, _) = sync::answer(peer, now, &question);
-        progress.answered(now, name, told, &answer, asker);
-        if !progress.has_to_tell(name, asker) && answer.report.ends.is_empty() {
+        let request = sync.question(now, name, local);
+        let reported = request.report.position;
+        let (response, _) = answer(peer, now, &request);
+        sync.answered(now, name, reported, &response, local);
+        if !sync.has_to_tell(name, local) && response.report.ends.is_empty() {
             return count;
         }
     }
-    panic!("they never come to an end");
+    panic!("not synchronized after 100 requests");
 }
 
 #[test]
-fn a_peer_that_has_started_again_is_told_anew() {
-    let began = Instant::now();
-    let now = began + Duration::from_secs(10);
-    let (name, mut progress): (NodeName, CrashSync) = ("n".into(), CrashSync::default());
-    let (mut own, mut peer) = (table(), CrashTable::new(2, REMEMBER));
-    end_under(&mut own, began, print("/a"), &["b1", "b2", "b3"]);
-    exchange(now, &mut progress, &name, &mut own, &mut peer);
+fn a_restarted_peer_receives_the_whole_table() {
+    let start = Instant::now();
+    let now = start + Duration::from_secs(10);
+    let (name, mut sync): (NodeName, CrashSync) = ("n".into(), CrashSync::default());
+    let (mut local, mut peer) = (table(), CrashTable::new(2, RETENTION));
+    record_exits(&mut local, start, print("/a"), &["b1", "b2", "b3"]);
+    exchange(now, &mut sync, &name, &mut local, &mut peer);
     assert!(peer.has_verdicts());
-    assert!(!progress.differs(&name, Some(peer.cursor()), &own));
-    let mut peer = CrashTable::new(3, REMEMBER);
-    assert!(progress.differs(&name, None, &own));
-    exchange(now, &mut progress, &name, &mut own, &mut peer);
+    assert!(!sync.differs(&name, Some(peer.cursor()), &local));
+    let mut peer = CrashTable::new(3, RETENTION);
+    assert!(sync.differs(&name, None, &local));
+    exchange(now, &mut sync, &name, &mut local, &mut peer);
     assert!(peer.has_verdicts());
 }
 
 #[test]
-fn a_large_table_is_told_in_parts() {
+fn a_large_table_is_synchronized_in_several_reports() {
     let now = Instant::now();
-    let (name, mut progress): (NodeName, CrashSync) = ("n".into(), CrashSync::default());
-    let (mut own, mut peer) = (table(), CrashTable::new(2, REMEMBER));
+    let (name, mut sync): (NodeName, CrashSync) = ("n".into(), CrashSync::default());
+    let (mut local, mut peer) = (table(), CrashTable::new(2, RETENTION));
     for idx in 0..200 {
         let backend = Incarnation::named(format!("b{idx}"));
         peer.ended(now, &backend, &[lost(print("/a"), 0)]);
     }
-    exchange(now, &mut progress, &name, &mut own, &mut peer);
-    assert_eq!(own.suspicion(&print("/a")).ends, 200);
-    assert_eq!(whole_report(&own, now), 200);
+    exchange(now, &mut sync, &name, &mut local, &mut peer);
+    assert_eq!(local.suspicion(&print("/a")).ends, 200);
+    assert_eq!(count_reported_exits(&local, now), 200);
 }
 
-fn start(name: &str, started: u64) -> Incarnation {
+fn incarnation(name: &str, started: u64) -> Incarnation {
     Incarnation::started(name, StartTime(started))
 }
 
 #[test]
-fn each_start_of_a_back_end_that_ends_under_a_request_counts() {
+fn each_restart_that_exits_under_a_request_counts() {
     let (mut table, now) = (table(), Instant::now());
     for second in 0..3 {
         let at = now + Duration::from_secs(second);
-        table.ended(at, &start("b", second), &[lost(print("/a"), 0)]);
+        table.ended(at, &incarnation("b", second), &[lost(print("/a"), 0)]);
     }
-    let verdict = table.verdict(&print("/a")).expect("it is held back");
+    let verdict = table.verdict(&print("/a")).expect("quarantined");
     assert_eq!(
         verdict.backends,
-        [0, 1, 2].map(|started| start("b", started))
+        [0, 1, 2].map(|started| incarnation("b", started))
     );
 }
 
 #[test]
-fn starts_travel_and_an_end_told_without_one_is_no_other_end() {
+fn reports_carry_start_times_and_an_exit_without_one_is_not_counted_twice() {
     let (mut table, now) = (table(), Instant::now());
-    table.ended(now, &start("b", 7), &[lost(print("/a"), 0)]);
+    table.ended(now, &incarnation("b", 7), &[lost(print("/a"), 0)]);
     let mut report = table.changes_after(now, 0);
-    let mut other = CrashTable::new(2, REMEMBER);
+    let mut other = CrashTable::new(2, RETENTION);
     other.merge(now, &report);
     assert_eq!(other.changes_after(now, 0).ends, report.ends);
-    // A node that knows no starts passes the same end on.
+    // A node that doesn't know start times forwards the same exit.
     report.ends[0].started = None;
     other.merge(now, &report);
     assert_eq!(other.suspicion(&print("/a")).ends, 1);
