--- a/crates/firshore-gateway/tests/decisions.rs
+++ b/crates/firshore-gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions on the path of a request: sends, shares, events, back ends.
+//! Decisions for a request: attempts, traffic split, routes, choice of a back end, events of streams.
 
 use firshore_adapter::backend::{Backend, Pace, ReportedLoad};
 use firshore_adapter::caller::PromptPart;
@@ -78,19 +78,19 @@
 }
 
 #[test]
-fn sends_follow_from_what_may_have_run() {
+fn the_next_step_depends_on_what_may_have_run() {
     use Next::{FailMaybeRun, PassOn, RefuseNotRun, SendAgain};
     use Repetition::{AtMostOnce, Idempotent, Resumable};
     use SendEnd::{BrokenOff, Failed, Lost, NotRun, NotSent};
-    // Each send goes to another back end.
+    // The sends of a case go to different back ends.
     let cases: [(&str, Repetition, u32, &[SendEnd], Next); 15] = [
         ("not sent", AtMostOnce, 1, &[NotSent], SendAgain),
         ("not run", AtMostOnce, 1, &[NotRun], SendAgain),
         ("refused by all", AtMostOnce, 1, &[NotRun; 5], RefuseNotRun),
-        ("lost, once at most", AtMostOnce, 3, &[Lost], FailMaybeRun),
-        ("failed, once at most", AtMostOnce, 3, &[Failed], PassOn),
+        ("lost, at most once", AtMostOnce, 3, &[Lost], FailMaybeRun),
+        ("failed, at most once", AtMostOnce, 3, &[Failed], PassOn),
         (
-            "broken off, once at most",
+            "broken off, at most once",
             AtMostOnce,
             3,
             &[BrokenOff],
@@ -145,20 +145,20 @@
 }
 
 #[test]
-fn attempts_bound_back_ends_not_sends() {
+fn attempts_limit_back_ends_not_sends() {
     let mut attempts = Attempts::new(Repetition::Resumable, 1);
-    let (one, other) = (incarnation("one"), incarnation("other"));
-    attempts.sending(&one);
-    assert_eq!(attempts.ended(&one, SendEnd::BrokenOff), Next::SendAgain);
-    assert!(attempts.allows(&one) && !attempts.allows(&other));
-    attempts.sending(&one);
-    assert_eq!(attempts.ended(&one, SendEnd::NotRun), Next::SendAgain);
-    assert!(attempts.may_have_run(), "its first part ran");
-    assert!(!attempts.allows(&other));
+    let (first, second) = (incarnation("first"), incarnation("second"));
+    attempts.sending(&first);
+    assert_eq!(attempts.ended(&first, SendEnd::BrokenOff), Next::SendAgain);
+    assert!(attempts.allows(&first) && !attempts.allows(&second));
+    attempts.sending(&first);
+    assert_eq!(attempts.ended(&first, SendEnd::NotRun), Next::SendAgain);
+    assert!(attempts.may_have_run(), "the first send ran");
+    assert!(!attempts.allows(&second));
 }
 
 #[test]
-fn shares_are_exact_over_every_round() {
+fn traffic_splits_are_exact_over_every_round() {
     let mut split = Split::default();
     let route = route(&[("a", 90), ("b", 10)]);
     for round in 0..5 {
@@ -198,36 +198,43 @@
 }
 
 #[test]
-fn requests_with_the_same_beginning_meet_while_there_is_room() {
+fn requests_with_a_common_prefix_share_a_back_end_while_it_has_capacity() {
     let part = |hash| PromptPart { hash, tokens: 600 };
     let key = affinity_key(&[part(1), part(2), part(30)]);
     assert_eq!(key, affinity_key(&[part(1), part(2), part(31)]));
     assert_ne!(key, affinity_key(&[part(1), part(3), part(30)]));
     assert_eq!(affinity_key(&[]), None);
     let short = [part(1), part(30)];
-    assert_eq!(affinity_key(&short), None, "not worth a busier back end");
+    assert_eq!(
+        affinity_key(&short),
+        None,
+        "a short common prefix gives no affinity"
+    );
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let names = ["a", "b", "c", "d"];
-    let mut here = fleet(&names);
-    let elsewhere = fleet(&names);
-    let home = chosen(&here, now, &attempts, key).unwrap();
-    assert_eq!(chosen(&elsewhere, now, &attempts, key), Some(home.clone()));
+    let mut local = fleet(&names);
+    let other_node = fleet(&names);
+    let preferred = chosen(&local, now, &attempts, key).unwrap();
+    assert_eq!(
+        chosen(&other_node, now, &attempts, key),
+        Some(preferred.clone())
+    );
     for _ in 0..8 {
-        here.started(now, &incarnation(&home));
+        local.started(now, &incarnation(&preferred));
     }
-    let second = chosen(&here, now, &attempts, key).unwrap();
-    assert_ne!(second, home, "a busy back end is passed over");
-    here.remove(&home.as_str().into());
+    let second = chosen(&local, now, &attempts, key).unwrap();
+    assert_ne!(second, preferred, "a busy back end is skipped");
+    local.remove(&preferred.as_str().into());
     assert_eq!(
-        chosen(&here, now, &attempts, key),
+        chosen(&local, now, &attempts, key),
         Some(second),
-        "the rest stays"
+        "the order of the others is unchanged"
     );
 }
 
 #[test]
-fn gateways_with_the_same_picture_do_not_all_choose_the_same_back_end() {
+fn gateways_with_the_same_view_choose_different_back_ends() {
     const GATEWAYS: u64 = 200;
     let now = Instant::now();
     let names: Vec<String> = (0..30).map(|number| format!("b{number}")).collect();
@@ -245,15 +252,15 @@
         answer_within: None,
         begin_within: None,
     };
-    let to_the_idle_one = (0..GATEWAYS)
+    let to_idle_backend = (0..GATEWAYS)
         .filter(|gateway| {
             let mut random = ChaCha8Rng::seed_from_u64(*gateway);
             let found = fleet.choose(now, &wanted, &mut random).unwrap();
             found.incarnation == incarnation("b0")
         })
         .count();
-    assert!(to_the_idle_one > 0, "it is found");
-    assert!(to_the_idle_one < 60, "{to_the_idle_one} of {GATEWAYS}");
+    assert!(to_idle_backend > 0, "the idle back end is found");
+    assert!(to_idle_backend < 60, "{to_idle_backend} of {GATEWAYS}");
 }
 
 #[test]
@@ -272,12 +279,12 @@
     assert_ne!(
         chosen(&fleet, later, &attempts, None).as_deref(),
         Some("c"),
-        "what others had under way is out of date, what this node has is not"
+        "reports of others are stale, local counts are not"
     );
 }
 
 #[test]
-fn an_answer_tells_only_what_others_have_under_way() {
+fn local_requests_are_not_counted_twice_in_a_reported_load() {
     let now = Instant::now();
     let mut fleet = fleet(&["a"]);
     fleet.started(now, &incarnation("a"));
@@ -294,7 +301,7 @@
 }
 
 #[test]
-fn back_ends_that_leave_or_are_gone_get_nothing() {
+fn leaving_and_removed_back_ends_get_no_request() {
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b"]);
@@ -308,7 +315,7 @@
 }
 
 #[test]
-fn ejected_back_ends_come_back() {
+fn ejections_expire() {
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b"]);
@@ -317,7 +324,7 @@
     assert!(fleet.observed(now, &incarnation("b"), Impression::Unreachable));
     assert!(
         chosen(&fleet, now, &attempts, None).is_some(),
-        "any is better than none"
+        "an ejected back end is chosen if there is no other"
     );
     fleet.observed(now, &incarnation("b"), Impression::Answered);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
@@ -327,12 +334,12 @@
 }
 
 #[test]
-fn a_back_end_that_has_fallen_silent_gets_nothing_new() {
+fn an_unresponsive_back_end_gets_no_new_request() {
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b"]);
-    let (silent, other) = (incarnation("a"), incarnation("b"));
-    fleet.started(now, &silent);
+    let (unresponsive, other) = (incarnation("a"), incarnation("b"));
+    fleet.started(now, &unresponsive);
     for _ in 0..3 {
         fleet.started(now, &other);
     }
@@ -340,37 +347,37 @@
     fleet.heard(later, &other);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("a"));
     assert_eq!(chosen(&fleet, later, &attempts, None).as_deref(), Some("b"));
-    fleet.heard(later, &silent);
+    fleet.heard(later, &unresponsive);
     assert_eq!(chosen(&fleet, later, &attempts, None).as_deref(), Some("a"));
     let much_later = later + Duration::from_secs(1);
     fleet.heard(much_later, &other);
-    fleet.ended(now, &silent);
+    fleet.ended(now, &unresponsive);
     let idle = chosen(&fleet, much_later, &attempts, None);
-    assert_eq!(idle.as_deref(), Some("a"), "nothing is under way there");
+    assert_eq!(idle.as_deref(), Some("a"), "it has no request in flight");
 }
 
 #[test]
-fn events_pass_whole_and_in_order() {
+fn events_are_forwarded_complete_and_in_order() {
     let mut stream = EventStream::after(None);
     assert!(stream.feed(b"id: 1\ndata: a").unwrap().is_empty());
     assert!(stream.holds_part());
-    let whole = stream.feed(b"\n\nid: 2\ndata: b\n\nid: 3").unwrap();
-    assert_eq!(&whole[..], b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    assert_eq!(data_of(&whole), ["a", "b"]);
+    let events = stream.feed(b"\n\nid: 2\ndata: b\n\nid: 3").unwrap();
+    assert_eq!(&events[..], b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+    assert_eq!(data_of(&events), ["a", "b"]);
     assert_eq!(stream.last(), Some(2));
     stream.broken_off();
     let rest = stream.feed(b"id: 3\ndata: c\ndata: d\n\n").unwrap();
     assert_eq!(data_of(&rest), ["c\nd"]);
-    for wrong in ["id: 3\ndata: c\n\n", "id: 5\ndata: e\n\n"] {
+    for event in ["id: 3\ndata: c\n\n", "id: 5\ndata: e\n\n"] {
         let mut stream = EventStream::after(Some(3));
-        let found = if wrong.starts_with("id: 3") { 3 } else { 5 };
+        let found = if event.starts_with("id: 3") { 3 } else { 5 };
         let fault = EventFault::OutOfOrder(4, found);
-        assert_eq!(stream.feed(wrong.as_bytes()), Err(fault));
+        assert_eq!(stream.feed(event.as_bytes()), Err(fault));
     }
 }
 
 #[test]
-fn online_requests_spread_as_the_room_does() {
+fn online_requests_are_spread_by_free_capacity() {
     const DRAWS: usize = 20_000;
     let candidate = |identity, load, at_home| Candidate {
         identity,
@@ -379,7 +386,7 @@
         turnover: 0.0,
         at_home,
     };
-    // Room at home 0.5 and 0.25, elsewhere 0.5, which weighs 0.4 of that; none in the others.
+    // Free capacity: 0.5 and 0.25 in the local zone; 0.5 in another zone, weighted by 0.4; none at the others.
     let candidates = [
         candidate(1, 0.5, true),
         candidate(2, 0.75, true),
@@ -393,15 +400,15 @@
         let found = choose(&candidates, None, Placement::ByRoom, &mut random);
         counts[found.unwrap()] += 1;
     }
-    let shares = counts.map(|count| f64::from(count) / DRAWS as f64);
+    let fractions = counts.map(|count| f64::from(count) / DRAWS as f64);
     let expected = [0.526, 0.263, 0.211, 0.0, 0.0];
-    for (share, expected) in shares.iter().zip(expected) {
-        assert!((share - expected).abs() < 0.02, "{shares:?}");
+    for (fraction, expected) in fractions.iter().zip(expected) {
+        assert!((fraction - expected).abs() < 0.02, "{fractions:?}");
     }
 }
 
 #[test]
-fn old_pictures_spread_requests_and_current_ones_do_not() {
+fn stale_views_spread_requests_and_current_ones_do_not() {
     const DRAWS: usize = 400;
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
@@ -418,17 +425,17 @@
     let others = HashMap::from([("a".into(), 4), ("b".into(), 2)]);
     fleet.learned_others(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    for (interval, least, most) in [(100, DRAWS, DRAWS), (400, 100, 240)] {
+    for (interval, min, max) in [(100, DRAWS, DRAWS), (400, 100, 240)] {
         fleet.set_picture_interval(Duration::from_millis(interval));
         let chosen = (0..DRAWS).map(|_| fleet.choose(now, &wanted, &mut random).unwrap());
         let idle = incarnation("c");
-        let count = chosen.filter(|one| one.incarnation == idle).count();
-        assert!((least..=most).contains(&count), "{count} at {interval} ms");
+        let count = chosen.filter(|backend| backend.incarnation == idle).count();
+        assert!((min..=max).contains(&count), "{count} at {interval} ms");
     }
 }
 
 #[test]
-fn without_room_the_least_loaded_takes_an_online_request() {
+fn without_capacity_the_least_loaded_back_end_is_chosen() {
     let candidate = |identity, load| Candidate {
         identity,
         load,
@@ -446,7 +453,7 @@
 }
 
 #[test]
-fn what_may_start_under_a_limit_is_not_beyond_it_then() {
+fn requests_admitted_under_a_load_limit_do_not_exceed_it() {
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
@@ -479,7 +486,7 @@
     }
 }
 
-fn reported(fleet: &mut Fleet, now: Instant, name: &str, pace: u32) {
+fn report_pace(fleet: &mut Fleet, now: Instant, name: &str, pace: u32) {
     let load = ReportedLoad {
         running: 0,
         waiting: 0,
@@ -489,8 +496,8 @@
     fleet.reported(now, &incarnation(name), load);
 }
 
-/// How often each of two back ends, `a` and `b`, is chosen in 2,000 draws.
-fn draws(fleet: &Fleet, now: Instant, answer_within: Option<Duration>) -> [usize; 2] {
+/// Returns how often each of two back ends, `a` and `b`, is chosen in 2,000 draws.
+fn count_choices(fleet: &Fleet, now: Instant, answer_within: Option<Duration>) -> [usize; 2] {
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
     let wanted = Wanted {
@@ -511,27 +518,27 @@
 }
 
 #[test]
-fn slots_of_a_slow_back_end_count_for_less() {
+fn slots_of_a_slow_back_end_have_less_weight() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
     fleet.set_picture_interval(Duration::from_millis(400));
-    reported(&mut fleet, now, "a", 60);
-    reported(&mut fleet, now, "b", 180);
-    let [fast, slow] = draws(&fleet, now, None);
+    report_pace(&mut fleet, now, "a", 60);
+    report_pace(&mut fleet, now, "b", 180);
+    let [fast, slow] = count_choices(&fleet, now, None);
     assert!(
         (1_420..1_580).contains(&fast),
-        "three times as many: {fast}, {slow}"
+        "expected three times as many: {fast}, {slow}"
     );
-    // Where pictures are current, the slow one is passed over until the others are clearly fuller.
+    // With a current view, the slow one is skipped until the other is clearly fuller.
     fleet.set_picture_interval(Duration::from_millis(100));
-    assert_eq!(draws(&fleet, now, None), [2_000, 0]);
+    assert_eq!(count_choices(&fleet, now, None), [2_000, 0]);
     let crowded = HashMap::from([("a".into(), 8)]);
     fleet.learned_others(now, &crowded, &mut ChaCha8Rng::seed_from_u64(1));
-    assert_eq!(draws(&fleet, now, None), [0, 2_000]);
+    assert_eq!(count_choices(&fleet, now, None), [0, 2_000]);
 }
 
 #[test]
-fn a_back_end_too_slow_for_the_objective_gets_nothing_while_others_have_room() {
+fn a_back_end_too_slow_for_the_objective_is_skipped_while_others_have_capacity() {
     let now = Instant::now();
     let objective = Some(Duration::from_millis(300));
     let mut fleet = fleet(&["a", "b"]);
@@ -541,56 +548,59 @@
         Duration::from_millis(80),
         Duration::from_millis(500),
     );
-    reported(&mut fleet, now, "a", 100);
-    reported(&mut fleet, now, "b", 500);
-    assert_eq!(draws(&fleet, now, objective), [2_000, 0]);
-    let [_, slow] = draws(&fleet, now, None);
-    assert!(slow > 100, "without an objective it takes its part: {slow}");
+    report_pace(&mut fleet, now, "a", 100);
+    report_pace(&mut fleet, now, "b", 500);
+    assert_eq!(count_choices(&fleet, now, objective), [2_000, 0]);
+    let [_, slow] = count_choices(&fleet, now, None);
+    assert!(
+        slow > 100,
+        "without an objective it is chosen in proportion: {slow}"
+    );
     let full = HashMap::from([("a".into(), 20)]);
     fleet.learned_others(now, &full, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(
-        draws(&fleet, now, objective),
+        count_choices(&fleet, now, objective),
         [0, 2_000],
-        "late is better than never"
+        "the slow one is chosen if the other is full"
     );
 }
 
 #[test]
-fn paces_that_other_nodes_heard_count_and_are_not_told_back() {
+fn paces_reported_by_other_nodes_count_and_are_not_reported_back() {
     let now = Instant::now();
-    let (mut one, mut other) = (fleet(&["a", "b"]), fleet(&["a", "b"]));
-    one.set_picture_interval(Duration::from_millis(400));
-    assert_eq!(other.take_untold_paces(), []);
-    reported(&mut other, now, "b", 300);
-    let paces = other.take_untold_paces();
+    let (mut local, mut remote) = (fleet(&["a", "b"]), fleet(&["a", "b"]));
+    local.set_picture_interval(Duration::from_millis(400));
+    assert_eq!(remote.take_untold_paces(), []);
+    report_pace(&mut remote, now, "b", 300);
+    let paces = remote.take_untold_paces();
     assert_eq!(paces.len(), 1);
-    assert_eq!(other.take_untold_paces(), [], "each is told once");
-    one.learned_paces(now, paces);
-    assert_eq!(one.take_untold_paces(), []);
-    let [_, slow] = draws(&one, now, None);
+    assert_eq!(remote.take_untold_paces(), [], "each pace is reported once");
+    local.learned_paces(now, paces);
+    assert_eq!(local.take_untold_paces(), []);
+    let [_, slow] = count_choices(&local, now, None);
     assert!(
         (400..600).contains(&slow),
-        "a third of what the other gets: {slow}"
+        "expected a third of the choices of the other: {slow}"
     );
 }
 
 #[test]
-fn a_back_end_that_fails_fast_is_chosen_less() {
+fn a_back_end_that_fails_fast_is_chosen_less_often() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
     fleet.set_picture_interval(Duration::from_millis(400));
-    reported(&mut fleet, now, "a", 100);
-    reported(&mut fleet, now, "b", 60);
+    report_pace(&mut fleet, now, "a", 100);
+    report_pace(&mut fleet, now, "b", 60);
     for _ in 0..20 {
         fleet.observed(now, &incarnation("b"), Impression::Failed);
     }
-    let [_, failing] = draws(&fleet, now, None);
-    assert!(failing < 700, "it would get 1,250 by its pace: {failing}");
-    assert!(failing > 100, "it is tried on: {failing}");
+    let [_, failing] = count_choices(&fleet, now, None);
+    assert!(failing < 700, "by pace alone it would get 1,250: {failing}");
+    assert!(failing > 100, "it still gets some requests: {failing}");
 }
 
 #[test]
-fn a_service_without_told_paces_is_served_as_before() {
+fn without_reported_paces_capacity_alone_decides() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
     fleet.set_picture_interval(Duration::from_millis(400));
@@ -604,9 +614,9 @@
     }
     let others = HashMap::from([("a".into(), 5)]);
     fleet.learned_others(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
-    let [half_full, idle] = draws(&fleet, now, Some(Duration::from_millis(300)));
+    let [half_full, idle] = count_choices(&fleet, now, Some(Duration::from_millis(300)));
     assert!(
         (600..733).contains(&half_full),
-        "by room: {half_full}, {idle}"
+        "expected by free capacity: {half_full}, {idle}"
     );
 }
--- a/crates/firshore-gateway/tests/forwarding.rs
+++ b/crates/firshore-gateway/tests/forwarding.rs
@@ -95,7 +95,7 @@
     let failure = |number: u32| Received::Whole(500, format!("answer of b{number}"));
     let all_events = Received::Events(events(EVENTS));
     // The first back end plays the script, the second one responds as `afterwards`.
-    let cases: Vec<(&str, Play, Got, usize)> = vec![
+    let cases: Vec<(&str, Play, Received, usize)> = vec![
         ("/idempotent/", Play::Whole, success(0), 1),
         ("/idempotent/", Play::ByClose, success(0), 1),
         ("/idempotent/", Play::Surplus, success(0), 1),
@@ -195,7 +195,7 @@
         let fixture = fixture(&[&[Play::Breaks(3)], &[Play::Breaks(3)]], Play::Events).await;
         let received = request(fixture.address, "/resumable/", "").await;
         assert_eq!(received, Received::Events(events(EVENTS)));
-        let resumed: Vec<_> = place
+        let resumed: Vec<_> = fixture
             .seen()
             .iter()
             .map(|seen| seen.headers.get("x-resume-after").cloned())
@@ -249,7 +249,7 @@
     actix_rt::System::new().block_on(async {
         let gateway = Rc::new(gateway(None));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let callers = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         actix_rt::spawn(serve::accept(gateway, listener));
         let mut stream = send(address, "/once/", "").await;
         let mut response = String::new();
