--- a/crates/firshore-gateway/tests/overload/engine.rs
+++ b/crates/firshore-gateway/tests/overload/engine.rs
@@ -1,44 +1,44 @@
-//! A back end that works on a few requests at once, keeps a short line and turns the rest away.
+//! A simulated back end with a fixed number of slots and a bounded queue.
 
 use firshore_adapter::backend::ReportedLoad;
 use std::collections::VecDeque;
 
-/// Requests that it works on at once.
+/// Requests that an engine runs concurrently.
 pub const SLOTS: usize = 8;
 
-/// Requests that it lets wait.
-const LONGEST_LINE: usize = 24;
+/// Maximum number of queued requests.
+const MAX_QUEUED: usize = 24;
 
-/// What a back end does with a request that reaches it.
-pub enum Taken {
-    Begun,
-    Waits,
-    TurnedAway,
+/// How an engine handles an incoming request.
+pub enum Submission {
+    Started,
+    Queued,
+    Refused,
 }
 
 #[derive(Default)]
 pub struct Engine {
     running: usize,
-    line: VecDeque<Option<usize>>,
+    queue: VecDeque<Option<usize>>,
 }
 
 impl Engine {
-    /// Takes in a request; `None` stands for one that no gateway waits for.
-    pub fn take(&mut self, request: Option<usize>) -> Taken {
+    /// Submits a request; `None` stands for a request of a former gateway.
+    pub fn submit(&mut self, request: Option<usize>) -> Submission {
         if self.running < SLOTS {
             self.running += 1;
-            return Taken::Begun;
+            return Submission::Started;
         }
-        if self.line.len() >= LONGEST_LINE {
-            return Taken::TurnedAway;
+        if self.queue.len() >= MAX_QUEUED {
+            return Submission::Refused;
         }
-        self.line.push_back(request);
-        Taken::Waits
+        self.queue.push_back(request);
+        Submission::Queued
     }
 
-    /// A request has ended. Returns the one that has its slot now.
-    pub fn ended(&mut self) -> Option<Option<usize>> {
-        let next = self.line.pop_front();
+    /// Ends a running request. Returns the queued request that gets its slot, if any.
+    pub fn end(&mut self) -> Option<Option<usize>> {
+        let next = self.queue.pop_front();
         if next.is_none() {
             self.running -= 1;
         }
@@ -48,7 +48,7 @@
     pub fn load(&self) -> ReportedLoad {
         ReportedLoad {
             running: self.running as u32,
-            waiting: self.line.len() as u32,
+            waiting: self.queue.len() as u32,
             slots: SLOTS as u32,
             pace: None,
         }
--- a/crates/firshore-gateway/tests/overload/main.rs
+++ b/crates/firshore-gateway/tests/overload/main.rs
@@ -1,115 +1,130 @@
-//! Decisions under load, played without a network: 70 gateways, each with its own picture of the others,
-//! before 90 back ends that let wait what they cannot begin.
+//! Admission under overload, simulated without a network: 70 gateways, each with its own view of the others, and 90
+//! back ends with bounded queues.
 
 mod engine;
 mod world;
 
 use std::ops::Range;
 use std::time::Duration;
-use world::{Fate, OBJECTIVE, ROOM, Request, Scene, play};
+use world::{CAPACITY, OBJECTIVE, Outcome, Request, Scenario, simulate};
 
-/// Part of what is let in that must be in time.
-const IN_TIME: f64 = 0.95;
+/// Fraction of the admitted requests that must begin in time.
+const MIN_IN_TIME: f64 = 0.95;
 
-/// Part of the room that must be let in while more is asked; of what is asked, while there is room.
-const LEAST_SERVED: f64 = 0.8;
+/// Fraction of the capacity that must be admitted under overload, or of the demand if it is below the capacity.
+const MIN_SERVED: f64 = 0.8;
 
-/// Part of what is asked in a wave of a little more than the room that must be in time: the room itself is 0.95
-/// of it.
-const LEAST_OF_WAVE: f64 = 0.85;
+/// Fraction of the demand that must begin in time in a wave slightly above the capacity, which is 0.95 of it.
+const MIN_OF_WAVE: f64 = 0.85;
 
-/// Part of the room that must be served in time in two seconds after a jump.
-const LEAST_IN_JUMP: f64 = 0.6;
+/// Fraction of the capacity that must be served in time within 2 s after a sudden increase of the demand.
+const MIN_AFTER_JUMP: f64 = 0.6;
 
-/// Part of the objective within which, and a picture, the refused must be told so.
-const PROMPT: f64 = 0.2;
+/// Fraction of the objective within which, plus one view interval, a request must be refused.
+const MAX_REFUSAL_DELAY: f64 = 0.2;
 
-/// Time between two pictures, in seconds, of nodes of a large fleet or behind slow relays.
-const OLD_PICTURES: Range<f64> = 0.015..0.25;
+/// View intervals, in seconds, in a large fleet or with slow relays.
+const LONG_INTERVALS: Range<f64> = 0.015..0.25;
 
-/// The same of nodes whose relays answer as fast as they can.
-const CURRENT_PICTURES: Range<f64> = 0.015..0.035;
+/// View intervals, in seconds, with fast relays.
+const SHORT_INTERVALS: Range<f64> = 0.015..0.035;
 
 const SEEDS: Range<u64> = 1..3;
 
-fn scene(seed: u64, demand: fn(f64) -> f64) -> Scene {
-    Scene {
+fn scenario(seed: u64, demand: fn(f64) -> f64) -> Scenario {
+    Scenario {
         seed,
         length: Duration::from_secs(5),
         demand,
-        cut_off: 0.0,
-        left_over: 0,
-        back_at_once: 0,
-        first_pictures: Duration::ZERO,
-        picture_interval: OLD_PICTURES,
+        isolated: 0.0,
+        leftover: 0,
+        initial_arrivals: 0,
+        first_view: Duration::ZERO,
+        view_interval: LONG_INTERVALS,
     }
 }
 
-/// What became of the tries that arrived in a span of seconds.
+/// Numbers of requests that arrived in a time span.
 #[derive(Debug)]
 struct Sums {
-    /// Callers that came; one that was refused and comes back is the same caller.
-    asked: f64,
-    let_in: f64,
+    /// New callers; the retry of a refused caller is not counted again.
+    callers: f64,
+    admitted: f64,
     in_time: f64,
 }
 
 impl Sums {
     fn of(requests: &[Request], span: Range<f64>) -> Self {
-        let in_span = |one: &&Request| span.contains(&one.arrived.as_secs_f64());
+        let in_span = |request: &&Request| span.contains(&request.arrived.as_secs_f64());
         let requests: Vec<&Request> = requests.iter().filter(in_span).collect();
-        let count = |test: fn(Fate) -> bool| {
-            let fitting = requests.iter().filter(|one| test(one.fate));
-            fitting.count() as f64
+        let count = |test: fn(Outcome) -> bool| {
+            let matching = requests.iter().filter(|request| test(request.outcome));
+            matching.count() as f64
         };
         Self {
-            asked: requests.iter().filter(|one| one.is_new()).count() as f64,
-            let_in: count(|fate| matches!(fate, Fate::Began(_))),
-            in_time: count(|fate| matches!(fate, Fate::Began(age) if age <= OBJECTIVE)),
+            callers: requests.iter().filter(|request| request.is_new()).count() as f64,
+            admitted: count(|outcome| matches!(outcome, Outcome::Began(_))),
+            in_time: count(|outcome| matches!(outcome, Outcome::Began(age) if age <= OBJECTIVE)),
         }
     }
 }
 
-/// Returns what is missed in any scene: everybody hears in the end, and a refusal comes while its caller can
-/// still make use of it.
-fn misses(requests: &[Request]) -> Vec<String> {
-    let of = |one: &Request| match one.fate {
-        Fate::Open => Some("a request has no end".to_owned()),
-        Fate::Refused(age) if age > OBJECTIVE.mul_f64(PROMPT) + one.picture_interval => {
+/// Returns up to three requests that got no response or were refused too late.
+fn violations(requests: &[Request]) -> Vec<String> {
+    let violation = |request: &Request| match request.outcome {
+        Outcome::Pending => Some("a request got no response".to_owned()),
+        Outcome::Refused(age)
+            if age > OBJECTIVE.mul_f64(MAX_REFUSAL_DELAY) + request.view_interval =>
+        {
             Some(format!("refused after {age:?}"))
         }
         _ => None,
     };
-    requests.iter().filter_map(of).take(3).collect()
+    requests.iter().filter_map(violation).take(3).collect()
 }
 
-/// Adds a miss unless a sum is at least as large as it must be.
-fn at_least(misses: &mut Vec<String>, what: &str, sum: f64, least: f64) {
-    if sum < least {
-        misses.push(format!("{what}: {sum} of at least {least:.0}"));
+/// Adds a violation if `sum` is below `min`.
+fn require_at_least(violations: &mut Vec<String>, what: &str, sum: f64, min: f64) {
+    if sum < min {
+        violations.push(format!("{what}: {sum} of at least {min:.0}"));
     }
 }
 
-/// Shows what came of a scene.
+/// Prints the sums of a scenario.
 ///
 /// # Panics
 ///
-/// If anything was missed.
-fn conclude(name: &str, sums: &[Sums], misses: &[String]) {
+/// Panics if there are violations.
+fn conclude(name: &str, sums: &[Sums], violations: &[String]) {
     println!("{name}: {sums:?}");
-    assert!(misses.is_empty(), "{name}: {misses:#?}");
+    assert!(violations.is_empty(), "{name}: {violations:#?}");
 }
 
 fn steady_overload(demand: fn(f64) -> f64) {
     for seed in SEEDS {
-        let requests = play(scene(seed, demand));
+        let requests = simulate(scenario(seed, demand));
         let sums = Sums::of(&requests, 2.0..5.0);
-        let mut misses = misses(&requests);
-        let room = ROOM * 3.0;
-        at_least(&mut misses, "in time", sums.in_time, sums.let_in * IN_TIME);
-        at_least(&mut misses, "let in", sums.let_in, room * LEAST_SERVED);
-        at_least(&mut misses, "room", room, sums.let_in * IN_TIME);
-        conclude(&format!("seed {seed}"), &[sums], &misses);
+        let mut violations = violations(&requests);
+        let capacity = CAPACITY * 3.0;
+        require_at_least(
+            &mut violations,
+            "in time",
+            sums.in_time,
+            sums.admitted * MIN_IN_TIME,
+        );
+        require_at_least(
+            &mut violations,
+            "admitted",
+            sums.admitted,
+            capacity * MIN_SERVED,
+        );
+        require_at_least(
+            &mut violations,
+            "capacity",
+            capacity,
+            sums.admitted * MIN_IN_TIME,
+        );
+        conclude(&format!("seed {seed}"), &[sums], &violations);
     }
 }
 
@@ -128,96 +143,106 @@
     steady_overload(|at| if at < 1.0 { 0.5 } else { 10.0 });
 }
 
-/// What little more is asked than there is room for waits for a moment at back ends and is in time.
+/// A small excess of the demand waits at back ends for a short time and still begins in time.
 #[test]
-fn waves_a_little_beyond_the_room_are_served_by_current_pictures() {
+fn waves_slightly_above_the_capacity_are_served_with_current_views() {
     for seed in SEEDS {
-        let mut scene = scene(seed, |at| if at % 6.0 < 2.4 { 1.05 } else { 0.2 });
-        scene.length = Duration::from_secs(9);
-        scene.picture_interval = CURRENT_PICTURES;
-        let requests = play(scene);
-        let mut misses = misses(&requests);
+        let mut scenario = scenario(seed, |at| if at % 6.0 < 2.4 { 1.05 } else { 0.2 });
+        scenario.length = Duration::from_secs(9);
+        scenario.view_interval = SHORT_INTERVALS;
+        let requests = simulate(scenario);
+        let mut violations = violations(&requests);
         let sums = [0.4, 6.4].map(|from| Sums::of(&requests, from..from + 2.0));
         for sums in &sums {
-            at_least(
-                &mut misses,
-                "of all",
+            require_at_least(
+                &mut violations,
+                "of all callers",
                 sums.in_time,
-                sums.asked * LEAST_OF_WAVE,
+                sums.callers * MIN_OF_WAVE,
             );
         }
-        conclude(&format!("seed {seed}"), &sums, &misses);
+        conclude(&format!("seed {seed}"), &sums, &violations);
     }
 }
 
 #[test]
-fn overload_of_three_times_the_room_is_let_in_by_current_pictures() {
+fn overload_of_three_times_the_capacity_is_admitted_in_time_with_current_views() {
     for seed in SEEDS {
-        let mut scene = scene(seed, |at| if at < 1.0 { 0.5 } else { 3.0 });
-        scene.picture_interval = CURRENT_PICTURES;
-        let requests = play(scene);
-        let mut misses = misses(&requests);
+        let mut scenario = scenario(seed, |at| if at < 1.0 { 0.5 } else { 3.0 });
+        scenario.view_interval = SHORT_INTERVALS;
+        let requests = simulate(scenario);
+        let mut violations = violations(&requests);
         let sums = Sums::of(&requests, 2.0..5.0);
-        at_least(
-            &mut misses,
+        require_at_least(
+            &mut violations,
             "in time",
             sums.in_time,
-            ROOM * 3.0 * LEAST_SERVED,
+            CAPACITY * 3.0 * MIN_SERVED,
         );
-        conclude(&format!("seed {seed}"), &[sums], &misses);
+        conclude(&format!("seed {seed}"), &[sums], &violations);
     }
 }
 
 #[test]
-fn a_hot_tenant_in_a_wave_leaves_most_of_the_room_in_time() {
+fn most_of_the_capacity_is_used_in_time_in_a_wave_with_isolated_gateways() {
     for seed in SEEDS {
-        let mut scene = scene(seed, |at| if (1.0..3.4).contains(&at) { 2.7 } else { 0.4 });
-        scene.cut_off = 0.35;
-        let requests = play(scene);
-        let mut misses = misses(&requests);
+        let mut scenario = scenario(seed, |at| if (1.0..3.4).contains(&at) { 2.7 } else { 0.4 });
+        scenario.isolated = 0.35;
+        let requests = simulate(scenario);
+        let mut violations = violations(&requests);
         let sums = [1.0, 1.4].map(|from| Sums::of(&requests, from..from + 2.0));
         for sums in &sums {
-            let least = ROOM * 2.0 * LEAST_IN_JUMP;
-            at_least(&mut misses, "in time", sums.in_time, least);
+            let min = CAPACITY * 2.0 * MIN_AFTER_JUMP;
+            require_at_least(&mut violations, "in time", sums.in_time, min);
         }
-        conclude(&format!("seed {seed}"), &sums, &misses);
+        conclude(&format!("seed {seed}"), &sums, &violations);
     }
 }
 
 #[test]
-fn everyone_returns_after_all_gateways_were_lost() {
+fn callers_are_served_after_all_gateways_restarted() {
     for seed in SEEDS {
-        let mut scene = scene(seed, |_| 1.0);
-        scene.length = Duration::from_secs(3);
-        scene.left_over = 10;
-        scene.back_at_once = 600;
-        scene.first_pictures = Duration::from_millis(500);
-        let room = ROOM * 2.0 - scene.left_over_requests();
-        let requests = play(scene);
-        let mut misses = misses(&requests);
+        let mut scenario = scenario(seed, |_| 1.0);
+        scenario.length = Duration::from_secs(3);
+        scenario.leftover = 10;
+        scenario.initial_arrivals = 600;
+        scenario.first_view = Duration::from_millis(500);
+        let capacity = CAPACITY * 2.0 - scenario.leftover_work();
+        let requests = simulate(scenario);
+        let mut violations = violations(&requests);
         let sums = Sums::of(&requests, 0.0..2.0);
-        at_least(&mut misses, "in time", sums.in_time, room * LEAST_IN_JUMP);
-        conclude(&format!("seed {seed}"), &[sums], &misses);
+        require_at_least(
+            &mut violations,
+            "in time",
+            sums.in_time,
+            capacity * MIN_AFTER_JUMP,
+        );
+        conclude(&format!("seed {seed}"), &[sums], &violations);
     }
 }
 
 #[test]
-fn waves_that_fill_the_room_are_served() {
+fn waves_up_to_the_capacity_are_served() {
     for seed in SEEDS {
-        let mut scene = scene(seed, |at| if at % 6.0 < 2.4 { 1.0 } else { 0.2 });
-        scene.length = Duration::from_secs(9);
-        let requests = play(scene);
-        let mut misses = misses(&requests);
+        let mut scenario = scenario(seed, |at| if at % 6.0 < 2.4 { 1.0 } else { 0.2 });
+        scenario.length = Duration::from_secs(9);
+        let requests = simulate(scenario);
+        let mut violations = violations(&requests);
         let sums = [0.4, 2.4, 6.4].map(|from| Sums::of(&requests, from..from + 2.0));
         for sums in &sums {
-            at_least(&mut misses, "in time", sums.in_time, sums.let_in * IN_TIME);
-            at_least(
-                &mut misses,
-                "of all",
+            require_at_least(
+                &mut violations,
+                "in time",
+                sums.in_time,
+                sums.admitted * MIN_IN_TIME,
+            );
+            require_at_least(
+                &mut violations,
+                "of all callers",
                 sums.in_time,
-                sums.asked * LEAST_SERVED,
+                sums.callers * MIN_SERVED,
             );
         }
-        conclude(&format!("seed {seed}"), &sums, &misses);
+        conclude(&format!("seed {seed}"), &sums, &violations);
     }
 }
--- a/crates/firshore-gateway/tests/overload/world.rs
+++ b/crates/firshore-gateway/tests/overload/world.rs
@@ -1,6 +1,6 @@
-//! Gateways before back ends in simulated time: each has its own picture of all, and decides alone.
+//! Gateways and back ends in simulated time. Each gateway decides from its own view.
 
-use crate::engine::{Engine, SLOTS, Taken};
+use crate::engine::{Engine, SLOTS, Submission};
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_adapter::route::Repetition;
@@ -17,67 +17,69 @@
 const GATEWAYS: usize = 70;
 const ENGINES: usize = 90;
 
-/// Time from a slot to the first event of an answer.
+/// Time from getting a slot to the first event of the response.
 const FIRST_EVENT: Duration = Duration::from_millis(40);
 
-/// Shortest and longest time in a slot, in seconds, and the mean of both.
+/// Range of the time in a slot, in seconds, and its mean.
 const SLOT_TIME: std::ops::Range<f64> = 0.4..1.08;
 const MEAN_SLOT_TIME: f64 = 0.74;
 
-/// Time after which a refused caller comes back, once.
-const RETURN: Duration = Duration::from_millis(250);
+/// Time after which a refused caller retries, once.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 pub const OBJECTIVE: Duration = Duration::from_millis(300);
 pub const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Requests a second that all back ends can work on.
-pub const ROOM: f64 = (ENGINES * SLOTS) as f64 / MEAN_SLOT_TIME;
+/// Requests per second that all back ends can run.
+pub const CAPACITY: f64 = (ENGINES * SLOTS) as f64 / MEAN_SLOT_TIME;
 
-/// What is played.
-pub struct Scene {
+/// Parameters of a simulation.
+pub struct Scenario {
     pub seed: u64,
     pub length: Duration,
-    /// Requests a second as part of the room, by the time since the beginning.
+    /// Demand as a fraction of the capacity, by the time in seconds since the start.
     pub demand: fn(f64) -> f64,
-    /// Part of the gateways that hear no pictures and are in nobody's.
-    pub cut_off: f64,
-    /// Requests of former gateways at each back end, and callers that are back at the beginning.
-    pub left_over: usize,
-    pub back_at_once: usize,
-    pub first_pictures: Duration,
-    /// Shortest and longest time between two pictures of a gateway, in seconds: what they show is as old again.
-    pub picture_interval: std::ops::Range<f64>,
+    /// Fraction of the gateways that neither send nor receive reports.
+    pub isolated: f64,
+    /// Requests of former gateways at each back end at the start.
+    pub leftover: usize,
+    /// Callers that arrive at the start.
+    pub initial_arrivals: usize,
+    /// Time before the first exchange of reports.
+    pub first_view: Duration,
+    /// Range of the gateways' view intervals, in seconds. The reports in a view are up to one more interval old.
+    pub view_interval: std::ops::Range<f64>,
 }
 
-impl Scene {
-    /// Requests that could be served in the time that former ones still take.
-    pub fn left_over_requests(&self) -> f64 {
-        let begun = self.left_over.min(SLOTS) as f64;
-        let waiting = self.left_over as f64 - begun;
-        (begun / 2.0 + waiting) * ENGINES as f64
+impl Scenario {
+    /// Returns the work that the leftover requests still need, in requests of mean slot time.
+    pub fn leftover_work(&self) -> f64 {
+        let running = self.leftover.min(SLOTS) as f64;
+        let queued = self.leftover as f64 - running;
+        (running / 2.0 + queued) * ENGINES as f64
     }
 }
 
-/// What became of a try.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
-    Open,
-    /// Told so after this time.
+pub enum Outcome {
+    Pending,
+    /// Refused after this time.
     Refused(Duration),
-    /// Its answer began after this time.
+    /// The response began after this time.
     Began(Duration),
 }
 
 pub struct Request {
-    /// Time from the beginning of the scene.
+    /// Time since the start of the simulation.
     pub arrived: Duration,
-    pub fate: Fate,
+    pub outcome: Outcome,
     pub attempts: Attempts,
-    /// Time between two pictures at its gateway.
-    pub picture_interval: Duration,
+    /// View interval of its gateway.
+    pub view_interval: Duration,
     gateway: usize,
     time_left: Duration,
-    /// Last send.
+    /// Engine and time of the last send.
     sent_to: usize,
     sent_at: Instant,
     expected_wait: Duration,
@@ -85,22 +87,22 @@
 }
 
 impl Request {
-    /// Whether its caller was not refused before.
+    /// Returns whether this is the caller's first attempt.
     pub fn is_new(&self) -> bool {
         self.time_left == TIMEOUT
     }
 }
 
-/// Place of a request in the line at its gateway: who was refused before goes before who comes new.
-type LinePlace = (bool, usize);
+/// Order of the requests queued at a gateway: retries of refused callers first, then by arrival.
+type QueueKey = (bool, usize);
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
-    Return(usize),
-    Picture(usize),
+    Retry(usize),
+    Exchange(usize),
     WaitOver(usize),
-    AnswerBegins(usize),
+    ResponseBegins(usize),
     End {
         engine: usize,
         request: Option<usize>,
@@ -109,15 +111,15 @@
 
 struct Gateway {
     fleet: Fleet,
-    waiting: BTreeSet<LinePlace>,
-    cut_off: bool,
-    picture_interval: Duration,
-    /// Requests under way at each back end as others know them.
-    told: Vec<u32>,
+    queue: BTreeSet<QueueKey>,
+    isolated: bool,
+    view_interval: Duration,
+    /// Reported number of in-flight requests at each engine.
+    reported: Vec<u32>,
 }
 
 struct World {
-    scene: Scene,
+    scenario: Scenario,
     service: ServiceName,
     start: Instant,
     now: Instant,
@@ -126,6 +128,7 @@
     engines: Vec<Engine>,
     requests: Vec<Request>,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
+    /// Number of scheduled events, to order simultaneous ones.
     scheduled: u64,
 }
 
@@ -144,35 +147,35 @@
     Incarnation::named(engine.to_string())
 }
 
-fn number(name: &BackendName) -> usize {
+fn engine_number(name: &BackendName) -> usize {
     name.as_str().parse().unwrap()
 }
 
 impl Gateway {
-    fn new(number: usize, scene: &Scene, random: &mut impl Rng) -> Self {
-        let picture_interval =
-            Duration::from_secs_f64(random.random_range(scene.picture_interval.clone()));
+    fn new(number: usize, scenario: &Scenario, random: &mut impl Rng) -> Self {
+        let view_interval =
+            Duration::from_secs_f64(random.random_range(scenario.view_interval.clone()));
         let mut fleet = Fleet::new(format!("z{}", number % 3).as_str().into());
         fleet.replace((0..ENGINES).map(listed).collect());
-        fleet.set_picture_interval(picture_interval * 2);
+        fleet.set_picture_interval(view_interval * 2);
         Self {
             fleet,
-            waiting: BTreeSet::new(),
-            cut_off: (number as f64) < GATEWAYS as f64 * scene.cut_off,
-            picture_interval,
-            told: vec![0; ENGINES],
+            queue: BTreeSet::new(),
+            isolated: (number as f64) < GATEWAYS as f64 * scenario.isolated,
+            view_interval,
+            reported: vec![0; ENGINES],
         }
     }
 }
 
-/// Plays a scene. Returns all tries.
-pub fn play(scene: Scene) -> Vec<Request> {
-    let mut random = ChaCha8Rng::seed_from_u64(scene.seed);
+/// Runs a simulation. Returns all requests.
+pub fn simulate(scenario: Scenario) -> Vec<Request> {
+    let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
     let start = Instant::now();
-    let new_gateway = |number| Gateway::new(number, &scene, &mut random);
+    let new_gateway = |number| Gateway::new(number, &scenario, &mut random);
     let gateways = (0..GATEWAYS).map(new_gateway).collect();
     let mut world = World {
-        scene,
+        scenario,
         service: "llm".into(),
         start,
         now: start,
@@ -183,7 +186,7 @@
         events: BinaryHeap::new(),
         scheduled: 0,
     };
-    world.begin();
+    world.start();
     while let Some(Reverse((at, _, event))) = world.events.pop() {
         world.now = at;
         world.step(event);
@@ -192,19 +195,19 @@
 }
 
 impl World {
-    fn begin(&mut self) {
+    fn start(&mut self) {
         for gateway in 0..GATEWAYS {
             let offset = self
                 .random
-                .random_range(0.0..self.scene.picture_interval.end);
-            let after = self.scene.first_pictures + Duration::from_secs_f64(offset);
-            self.schedule(after, Event::Picture(gateway));
+                .random_range(0.0..self.scenario.view_interval.end);
+            let after = self.scenario.first_view + Duration::from_secs_f64(offset);
+            self.schedule(after, Event::Exchange(gateway));
         }
         for engine in 0..ENGINES {
-            for _ in 0..self.scene.left_over {
-                self.engines[engine].take(None);
+            for _ in 0..self.scenario.leftover {
+                self.engines[engine].submit(None);
             }
-            for _ in 0..self.scene.left_over.min(SLOTS) {
+            for _ in 0..self.scenario.leftover.min(SLOTS) {
                 let rest = self.random.random_range(0.0..MEAN_SLOT_TIME);
                 let end = Event::End {
                     engine,
@@ -213,7 +216,7 @@
                 self.schedule(Duration::from_secs_f64(rest), end);
             }
         }
-        for _ in 0..self.scene.back_at_once {
+        for _ in 0..self.scenario.initial_arrivals {
             self.arrive(TIMEOUT);
         }
         self.schedule(Duration::ZERO, Event::Arrival);
@@ -228,25 +231,25 @@
     fn step(&mut self, event: Event) {
         match event {
             Event::Arrival => self.next_arrival(),
-            Event::Return(request) => {
+            Event::Retry(request) => {
                 let spent = self.now - self.start - self.requests[request].arrived;
                 self.arrive(TIMEOUT - spent);
             }
-            Event::Picture(gateway) => self.exchange(gateway),
+            Event::Exchange(gateway) => self.exchange(gateway),
             Event::WaitOver(request) => {
-                self.ask_again(request);
+                self.decide_again(request);
             }
-            Event::AnswerBegins(request) => self.answer_begins(request),
+            Event::ResponseBegins(request) => self.response_begins(request),
             Event::End { engine, request } => self.end(engine, request),
         }
     }
 
     fn next_arrival(&mut self) {
         let elapsed = self.now - self.start;
-        if elapsed > self.scene.length {
+        if elapsed > self.scenario.length {
             return;
         }
-        let rate = (self.scene.demand)(elapsed.as_secs_f64()) * ROOM;
+        let rate = (self.scenario.demand)(elapsed.as_secs_f64()) * CAPACITY;
         let gap = -self.random.random_range(f64::MIN_POSITIVE..1.0).ln() / rate;
         self.schedule(Duration::from_secs_f64(gap), Event::Arrival);
         self.arrive(TIMEOUT);
@@ -256,9 +259,9 @@
         let gateway = self.random.random_range(0..GATEWAYS);
         let request = Request {
             arrived: self.now - self.start,
-            fate: Fate::Open,
+            outcome: Outcome::Pending,
             attempts: Attempts::new(Repetition::Resumable, 2),
-            picture_interval: self.gateways[gateway].picture_interval,
+            view_interval: self.gateways[gateway].view_interval,
             gateway,
             time_left,
             sent_to: 0,
@@ -267,74 +270,81 @@
             began_after: Duration::ZERO,
         };
         self.requests.push(request);
-        self.ask(self.requests.len() - 1);
+        self.decide(self.requests.len() - 1);
     }
 
     fn age(&self, request: usize) -> Duration {
         self.now - self.start - self.requests[request].arrived
     }
 
-    fn line_place(&self, request: usize) -> LinePlace {
+    fn queue_key(&self, request: usize) -> QueueKey {
         (self.requests[request].is_new(), request)
     }
 
-    /// Decides about a request, in the order of the forwarding.
-    fn ask(&mut self, request: usize) {
-        let place = self.line_place(request);
-        let asking = &self.requests[request];
-        let gateway = &mut self.gateways[asking.gateway];
-        gateway.waiting.remove(&place);
-        let ask = AdmissionAsk {
+    /// Decides about a request, with the same steps as the gateway's forwarding.
+    fn decide(&mut self, request: usize) {
+        let key = self.queue_key(request);
+        let arrived = &self.requests[request];
+        let gateway = &mut self.gateways[arrived.gateway];
+        gateway.queue.remove(&key);
+        let admission = AdmissionAsk {
             objective: OBJECTIVE,
             timeout: TIMEOUT,
-            time_left: asking.time_left,
-            age: self.now - self.start - asking.arrived,
+            time_left: arrived.time_left,
+            age: self.now - self.start - arrived.arrived,
             standing: ShareStanding::Within,
-            behind_others: gateway.waiting.first().is_some_and(|first| *first < place),
+            behind_others: gateway.queue.first().is_some_and(|first| *first < key),
             node_leaves: false,
         };
-        let mut wanted = Wanted {
+        let mut requirements = Wanted {
             service: &self.service,
-            attempts: &asking.attempts,
+            attempts: &arrived.attempts,
             affinity: None,
             load_limit: f32::INFINITY,
             answer_within: None,
             begin_within: None,
         };
-        let Some(outlook) = gateway.fleet.outlook(self.now, &wanted, ask.begin_within()) else {
+        let Some(outlook) =
+            gateway
+                .fleet
+                .outlook(self.now, &requirements, admission.begin_within())
+        else {
             return self.refuse(request);
         };
-        match decide(&ask, &outlook) {
+        match decide(&admission, &outlook) {
             Admission::Send => {
-                wanted.begin_within = Some(ask.begin_within());
-                match gateway.fleet.choose(self.now, &wanted, &mut self.random) {
+                requirements.begin_within = Some(admission.begin_within());
+                match gateway
+                    .fleet
+                    .choose(self.now, &requirements, &mut self.random)
+                {
                     Some(backend) => self.send(request, &backend.incarnation),
                     None => self.refuse(request),
                 }
             }
             Admission::Wait(wait) => {
-                gateway.waiting.insert(place);
+                gateway.queue.insert(key);
                 self.schedule(wait, Event::WaitOver(request));
             }
             Admission::Refuse => self.refuse(request),
         }
     }
 
-    /// Asks once more for a request, if it still waits. Returns whether it waits on.
-    fn ask_again(&mut self, request: usize) -> bool {
-        let place = self.line_place(request);
+    /// Decides again about a request if it is still queued. Returns whether it stays queued.
+    fn decide_again(&mut self, request: usize) -> bool {
+        let key = self.queue_key(request);
         let gateway = self.requests[request].gateway;
-        if !self.gateways[gateway].waiting.contains(&place) {
+        if !self.gateways[gateway].queue.contains(&key) {
             return false;
         }
-        self.ask(request);
-        self.gateways[gateway].waiting.contains(&place)
+        self.decide(request);
+        self.gateways[gateway].queue.contains(&key)
     }
 
-    /// What a gateway believes of its room has changed.
-    fn ask_waiting(&mut self, gateway: usize) {
-        while let Some((_, request)) = self.gateways[gateway].waiting.first().copied() {
-            if self.ask_again(request) {
+    /// Decides again about queued requests after the gateway's view of the capacity has changed.
+    fn decide_queued(&mut self, gateway: usize) {
+        while let Some((_, request)) = self.gateways[gateway].queue.first().copied() {
+            if self.decide_again(request) {
                 return;
             }
         }
@@ -343,14 +353,14 @@
     fn refuse(&mut self, request: usize) {
         let age = self.age(request);
         let refused = &mut self.requests[request];
-        refused.fate = Fate::Refused(age);
+        refused.outcome = Outcome::Refused(age);
         if refused.is_new() {
-            self.schedule(RETURN, Event::Return(request));
+            self.schedule(RETRY_DELAY, Event::Retry(request));
         }
     }
 
     fn send(&mut self, request: usize, incarnation: &Incarnation) {
-        let engine = number(&incarnation.name);
+        let engine = engine_number(&incarnation.name);
         let sent = &mut self.requests[request];
         assert!(
             sent.attempts.allows(incarnation),
@@ -362,14 +372,14 @@
         let fleet = &mut self.gateways[sent.gateway].fleet;
         sent.expected_wait = fleet.begin_delay(self.now, incarnation);
         fleet.started(self.now, incarnation);
-        match self.engines[engine].take(Some(request)) {
-            Taken::Begun => self.start_run(engine, Some(request)),
-            Taken::Waits => {}
-            Taken::TurnedAway => self.turned_away(request, engine),
+        match self.engines[engine].submit(Some(request)) {
+            Submission::Started => self.start_run(engine, Some(request)),
+            Submission::Queued => {}
+            Submission::Refused => self.handle_refusal(request, engine),
         }
     }
 
-    fn turned_away(&mut self, request: usize, engine: usize) {
+    fn handle_refusal(&mut self, request: usize, engine: usize) {
         let load = self.engines[engine].load();
         let incarnation = incarnation(engine);
         let sent = &mut self.requests[request];
@@ -378,7 +388,7 @@
         fleet.observed(self.now, &incarnation, Impression::Full);
         fleet.ended(self.now, &incarnation);
         match sent.attempts.ended(&incarnation, SendEnd::NotRun) {
-            Next::SendAgain => self.ask(request),
+            Next::SendAgain => self.decide(request),
             _ => self.refuse(request),
         }
     }
@@ -387,28 +397,32 @@
         let length = Duration::from_secs_f64(self.random.random_range(SLOT_TIME));
         self.schedule(length, Event::End { engine, request });
         if let Some(request) = request {
-            self.schedule(FIRST_EVENT, Event::AnswerBegins(request));
+            self.schedule(FIRST_EVENT, Event::ResponseBegins(request));
         }
     }
 
-    fn answer_begins(&mut self, request: usize) {
+    fn response_begins(&mut self, request: usize) {
         let age = self.age(request);
-        let begun = &mut self.requests[request];
-        assert_eq!(begun.fate, Fate::Open, "ran after it was refused");
-        begun.fate = Fate::Began(age);
-        begun.began_after = self.now - begun.sent_at;
-        let engine = begun.sent_to;
+        let started = &mut self.requests[request];
+        assert_eq!(
+            started.outcome,
+            Outcome::Pending,
+            "ran after it was refused"
+        );
+        started.outcome = Outcome::Began(age);
+        started.began_after = self.now - started.sent_at;
+        let engine = started.sent_to;
         let incarnation = incarnation(engine);
-        let fleet = &mut self.gateways[begun.gateway].fleet;
+        let fleet = &mut self.gateways[started.gateway].fleet;
         fleet.heard(self.now, &incarnation);
-        let (expected, began_after) = (begun.expected_wait, begun.began_after);
+        let (expected, began_after) = (started.expected_wait, started.began_after);
         fleet.began(self.now, &self.service, expected, began_after);
         fleet.reported(self.now, &incarnation, self.engines[engine].load());
         fleet.observed(self.now, &incarnation, Impression::Answered);
     }
 
     fn end(&mut self, engine: usize, request: Option<usize>) {
-        if let Some(next) = self.engines[engine].ended() {
+        if let Some(next) = self.engines[engine].end() {
             self.start_run(engine, next);
         }
         let Some(request) = request else {
@@ -420,35 +434,35 @@
         let fleet = &mut self.gateways[gateway].fleet;
         fleet.served(&self.service, ended.began_after, rest);
         fleet.ended(self.now, &incarnation(engine));
-        self.ask_waiting(gateway);
+        self.decide_queued(gateway);
     }
 
-    /// A gateway tells what it has under way, and learns what others had when they told.
-    fn exchange(&mut self, teller: usize) {
-        let gateway = &mut self.gateways[teller];
-        if gateway.cut_off || self.now - self.start > self.scene.length + TIMEOUT {
+    /// Reports a gateway's in-flight requests and applies the latest reports of the others.
+    fn exchange(&mut self, reporter: usize) {
+        let gateway = &mut self.gateways[reporter];
+        if gateway.isolated || self.now - self.start > self.scenario.length + TIMEOUT {
             return;
         }
-        gateway.told.fill(0);
+        gateway.reported.fill(0);
         for (name, count) in gateway.fleet.in_flight() {
-            gateway.told[number(&name)] = count;
+            gateway.reported[engine_number(&name)] = count;
         }
-        let interval = gateway.picture_interval;
-        let others = self.told_by_others(teller);
-        let gateway = &mut self.gateways[teller];
+        let interval = gateway.view_interval;
+        let others = self.sum_others(reporter);
+        let gateway = &mut self.gateways[reporter];
         gateway
             .fleet
             .learned_others(self.now, &others, &mut self.random);
-        self.schedule(interval, Event::Picture(teller));
-        self.ask_waiting(teller);
+        self.schedule(interval, Event::Exchange(reporter));
+        self.decide_queued(reporter);
     }
 
-    fn told_by_others(&self, learner: usize) -> HashMap<BackendName, u32> {
+    fn sum_others(&self, receiver: usize) -> HashMap<BackendName, u32> {
         let mut sums = vec![0; ENGINES];
         for (other, gateway) in self.gateways.iter().enumerate() {
-            if other != learner {
+            if other != receiver {
                 sums.iter_mut()
-                    .zip(&gateway.told)
+                    .zip(&gateway.reported)
                     .for_each(|(sum, count)| *sum += count);
             }
         }
--- a/crates/firshore-gateway/tests/room.rs
+++ b/crates/firshore-gateway/tests/room.rs
@@ -1,5 +1,5 @@
-//! What room there is: what pictures show and leave out, which of the last places a node may take, and how
-//! it begins where nobody has told it anything.
+//! Estimates of free capacity: from views and the load that back ends report, the distribution of the last slots
+//! among nodes, and the start of a node without any reports.
 
 use firshore_adapter::backend::{Backend, ReportedLoad};
 use firshore_adapter::incarnation::{BackendName, Incarnation};
@@ -16,19 +16,20 @@
 const SLOTS: u32 = 8;
 const FIRST_EVENT: Duration = Duration::from_millis(40);
 
-/// Time between two pictures of a node in a large fleet.
-const OLD_PICTURES: Duration = Duration::from_millis(300);
+/// View interval of a node in a large fleet.
+const LONG_INTERVAL: Duration = Duration::from_millis(300);
 
+/// Time in the slot after the first event.
 const REST: Duration = Duration::from_millis(680);
 
-/// Time in which requests are to begin: half of an objective of 300 ms.
+/// Time within which requests must begin: half of an objective of 300 ms.
 const BEGIN_WITHIN: Duration = Duration::from_millis(150);
 
 fn incarnation(number: usize) -> Incarnation {
     Incarnation::named(format!("b{number}").as_str())
 }
 
-/// A fleet at a node that has a request under way at the first back end.
+/// Creates the fleet of a node that has one request in flight, at the first back end.
 fn fleet(backends: usize) -> Fleet {
     let mut fleet = idle_fleet(backends);
     fleet.started(Instant::now(), &incarnation(0));
@@ -49,16 +50,16 @@
     for _ in 0..100 {
         fleet.served(&"llm".into(), FIRST_EVENT, REST);
     }
-    fleet.set_picture_interval(OLD_PICTURES);
+    fleet.set_picture_interval(LONG_INTERVAL);
     fleet
 }
 
-/// Has back ends hold so many requests, the node's own among them.
-fn pictured(fleet: &mut Fleet, now: Instant, held: &[u32]) {
-    let own: HashMap<BackendName, u32> = fleet.in_flight().collect();
+/// Applies a view in which back ends hold `held` requests, including those of this node.
+fn apply_view(fleet: &mut Fleet, now: Instant, held: &[u32]) {
+    let local: HashMap<BackendName, u32> = fleet.in_flight().collect();
     let others = held.iter().enumerate().map(|(number, held)| {
         let name = incarnation(number).name;
-        let others = held - own[&name].min(*held);
+        let others = held - local[&name].min(*held);
         (name, others)
     });
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -79,7 +80,7 @@
     fleet.outlook(now, &wanted, BEGIN_WITHIN).unwrap()
 }
 
-fn reported(fleet: &mut Fleet, now: Instant, number: usize, running: u32, waiting: u32) {
+fn report_load(fleet: &mut Fleet, now: Instant, number: usize, running: u32, waiting: u32) {
     let load = ReportedLoad {
         running,
         waiting,
@@ -89,76 +90,75 @@
     fleet.reported(now, &incarnation(number), load);
 }
 
-/// Where pictures are current they tell how long a request waits.
 #[test]
-fn a_current_picture_tells_the_wait() {
+fn a_current_view_yields_the_expected_wait() {
     let now = Instant::now();
     let mut fleet = fleet(10);
     fleet.set_picture_interval(Duration::from_millis(30));
-    pictured(&mut fleet, now, &[8; 10]);
+    apply_view(&mut fleet, now, &[8; 10]);
     let at = outlook(&fleet, now);
-    assert!(at.has_place, "the first in line begins in time");
+    assert!(at.has_place, "the first queued request begins in time");
     assert!(at.is_scarce);
     let expected = (FIRST_EVENT + REST).mul_f32(1.0 / SLOTS as f32);
     assert!(at.begin_delay.abs_diff(expected) < Duration::from_millis(2));
-    pictured(&mut fleet, now, &[12; 10]);
+    apply_view(&mut fleet, now, &[12; 10]);
     assert!(!outlook(&fleet, now).has_place);
-    pictured(&mut fleet, now, &[5; 10]);
+    apply_view(&mut fleet, now, &[5; 10]);
     assert!(!outlook(&fleet, now).is_scarce);
 }
 
-/// The shortest line of many is so by chance, and all gateways see it.
+/// One short queue among many is a coincidence, and all gateways see the same one.
 #[test]
-fn one_free_back_end_of_many_is_no_room() {
+fn one_free_back_end_of_many_is_no_capacity() {
     let now = Instant::now();
     let mut fleet = fleet(20);
     fleet.set_picture_interval(Duration::from_millis(30));
     let mut held = [14; 20];
     held[3] = 2;
-    pictured(&mut fleet, now, &held);
+    apply_view(&mut fleet, now, &held);
     assert!(!outlook(&fleet, now).has_place);
 }
 
-/// Requests that waited longer than was expected say that others were sent there meanwhile.
+/// Requests that waited longer than expected indicate load that the view doesn't contain yet.
 #[test]
-fn what_came_later_than_expected_is_added_where_a_service_is_full() {
+fn unexpected_waits_reduce_the_capacity_of_a_full_service() {
     let now = Instant::now();
     let mut fleet = fleet(10);
     fleet.set_picture_interval(Duration::from_millis(30));
-    pictured(&mut fleet, now, &[8; 10]);
+    apply_view(&mut fleet, now, &[8; 10]);
     assert!(outlook(&fleet, now).has_place);
     let began_after = FIRST_EVENT + Duration::from_millis(400);
     for _ in 0..10 {
         fleet.began(now, &"llm".into(), Duration::ZERO, began_after);
     }
     assert!(!outlook(&fleet, now).has_place);
-    pictured(&mut fleet, now, &[3; 10]);
+    apply_view(&mut fleet, now, &[3; 10]);
     assert!(
         outlook(&fleet, now).has_place,
-        "a slow one or two were the cause"
+        "with free slots, single slow back ends are the cause"
     );
     let later = now + Duration::from_secs(2);
-    pictured(&mut fleet, later, &[8; 10]);
-    assert!(outlook(&fleet, later).has_place, "it fades");
+    apply_view(&mut fleet, later, &[8; 10]);
+    assert!(outlook(&fleet, later).has_place, "the correction expires");
 }
 
 #[test]
-fn any_place_may_be_taken_while_there_are_plenty() {
+fn any_slot_may_be_used_while_many_are_free() {
     let now = Instant::now();
     let mut fleet = fleet(10);
-    pictured(&mut fleet, now, &[4; 10]);
+    apply_view(&mut fleet, now, &[4; 10]);
     let outlook = outlook(&fleet, now);
     assert!(outlook.has_place);
     assert!(!outlook.is_scarce);
     assert_eq!(outlook.begin_delay, Duration::ZERO);
 }
 
-/// All nodes see the same last places: were each free to take them, all would.
+/// All nodes see the same last free slots; if each could use them, all would.
 #[test]
-fn the_last_places_are_dealt_to_nodes_by_what_each_has_under_way() {
+fn the_last_slots_are_distributed_by_requests_in_flight() {
     const NODES: u32 = 50;
     let now = Instant::now();
-    let mut dealt = 0;
+    let mut admitting = 0;
     for node in 0..NODES {
         let mut fleet = idle_fleet(20);
         for number in 0..4 {
@@ -169,39 +169,42 @@
         let others = others.map(|(number, held)| (incarnation(number).name, *held));
         let mut random = ChaCha8Rng::seed_from_u64(u64::from(node));
         fleet.learned_others(now, &others.collect(), &mut random);
-        dealt += u32::from(outlook(&fleet, now).has_place);
+        admitting += u32::from(outlook(&fleet, now).has_place);
     }
-    // Free are 20 places less what each node itself holds; all together must not take them several times.
-    assert!(dealt > 0);
-    assert!(dealt < 30, "{dealt}");
+    // About 20 slots are free; the nodes together must not use them several times.
+    assert!(admitting > 0);
+    assert!(admitting < 30, "{admitting}");
 }
 
 #[test]
-fn a_place_that_an_own_request_left_is_the_nodes_own_for_a_moment() {
+fn a_slot_freed_by_a_local_request_is_reserved_for_a_short_time() {
     let now = Instant::now();
     let mut fleet = fleet(4);
     fleet.started(now, &incarnation(2));
-    pictured(&mut fleet, now, &[8; 4]);
+    apply_view(&mut fleet, now, &[8; 4]);
     assert!(!outlook(&fleet, now).has_place);
     fleet.ended(now, &incarnation(2));
     assert!(outlook(&fleet, now).has_place);
     let later = now + Duration::from_millis(60);
-    assert!(!outlook(&fleet, later).has_place, "others have seen it");
+    assert!(
+        !outlook(&fleet, later).has_place,
+        "other nodes may have used it"
+    );
     fleet.started(now, &incarnation(1));
     fleet.ended(now, &incarnation(1));
     let at = outlook(&fleet, now);
     assert!(
         at.has_place,
-        "the one of the second back end is still there"
+        "the slot at the second back end is still free"
     );
 }
 
 #[test]
-fn a_place_is_taken_once() {
+fn a_reserved_slot_is_used_once() {
     let now = Instant::now();
     let mut fleet = fleet(1);
     fleet.started(now, &incarnation(0));
-    pictured(&mut fleet, now, &[7]);
+    apply_view(&mut fleet, now, &[7]);
     fleet.ended(now, &incarnation(0));
     assert!(outlook(&fleet, now).has_place);
     fleet.started(now, &incarnation(0));
@@ -209,58 +212,58 @@
 }
 
 #[test]
-fn a_request_that_ends_before_a_line_leaves_no_place() {
+fn a_slot_freed_before_a_queue_is_not_reserved() {
     let now = Instant::now();
     let mut fleet = fleet(1);
     fleet.started(now, &incarnation(0));
-    pictured(&mut fleet, now, &[9]);
+    apply_view(&mut fleet, now, &[9]);
     fleet.ended(now, &incarnation(0));
     assert!(!outlook(&fleet, now).has_place);
 }
 
-/// Requests of short work may wait for many others and still begin in time.
+/// Short requests may wait for many others and still begin in time.
 #[test]
-fn lines_are_as_long_as_begins_in_time() {
+fn the_allowed_queue_depends_on_the_objective() {
     let now = Instant::now();
     let mut fleet = fleet(2);
     for _ in 0..200 {
         fleet.served(&"llm".into(), Duration::from_millis(15), Duration::ZERO);
     }
-    pictured(&mut fleet, now, &[20; 2]);
+    apply_view(&mut fleet, now, &[20; 2]);
     assert!(outlook(&fleet, now).has_place);
-    pictured(&mut fleet, now, &[60; 2]);
+    apply_view(&mut fleet, now, &[60; 2]);
     assert!(!outlook(&fleet, now).has_place);
 }
 
-/// A third of the gateways is cut off from the others, not from back ends: pictures show two thirds of
-/// what these hold.
+/// A third of the gateways is isolated from the others but not from back ends: views contain two thirds of the
+/// back ends' load.
 #[test]
-fn what_pictures_leave_out_is_learnt_from_back_ends_own_reports() {
+fn load_missing_in_views_is_derived_from_reports_of_back_ends() {
     let start = Instant::now();
     let mut fleet = fleet(20);
     let mut now = start;
     for number in 0..20 {
         now += Duration::from_millis(50);
-        pictured(&mut fleet, now, &[5; 20]);
-        reported(&mut fleet, now, number, SLOTS, 4);
+        apply_view(&mut fleet, now, &[5; 20]);
+        report_load(&mut fleet, now, number, SLOTS, 4);
     }
-    pictured(&mut fleet, now, &[5; 20]);
+    apply_view(&mut fleet, now, &[5; 20]);
     assert!(outlook(&fleet, now).is_scarce);
-    let healed = now + Duration::from_secs(3);
-    pictured(&mut fleet, healed, &[4; 20]);
-    assert!(!outlook(&fleet, healed).is_scarce);
+    let reconnected = now + Duration::from_secs(3);
+    apply_view(&mut fleet, reconnected, &[4; 20]);
+    assert!(!outlook(&fleet, reconnected).is_scarce);
 }
 
-/// A node that is cut off from all others hears from back ends how full they are.
+/// An isolated node uses the load that back ends report.
 #[test]
-fn a_node_without_pictures_goes_by_back_ends_own_reports() {
+fn a_node_without_views_uses_reports_of_back_ends() {
     let now = Instant::now();
     let mut fleet = fleet(20);
-    reported(&mut fleet, now, 3, 3, 0);
+    report_load(&mut fleet, now, 3, 3, 0);
     let at = outlook(&fleet, now);
     assert!(at.has_place);
     for number in 0..20 {
-        reported(&mut fleet, now, number, SLOTS, 1);
+        report_load(&mut fleet, now, number, SLOTS, 1);
     }
     let at = outlook(&fleet, now);
     assert!(at.is_scarce);
@@ -268,20 +271,20 @@
 }
 
 #[test]
-fn reports_that_scatter_about_the_picture_show_nothing_that_it_leaves_out() {
+fn reports_scattered_around_the_view_indicate_no_missing_load() {
     let now = Instant::now();
     let mut fleet = fleet(20);
     for round in 0..100 {
-        pictured(&mut fleet, now, &[8; 20]);
-        reported(&mut fleet, now, round as usize % 20, 7, 2 * (round % 2));
+        apply_view(&mut fleet, now, &[8; 20]);
+        report_load(&mut fleet, now, round as usize % 20, 7, 2 * (round % 2));
     }
-    pictured(&mut fleet, now, &[5; 20]);
+    apply_view(&mut fleet, now, &[5; 20]);
     assert!(!outlook(&fleet, now).is_scarce);
 }
 
-/// After all nodes lost power nobody tells anything, and back ends may still run what was sent before.
+/// After a power failure of all nodes there are no reports, and back ends may still run earlier requests.
 #[test]
-fn a_node_that_knows_nothing_begins_with_a_few_requests() {
+fn a_node_without_reports_starts_with_a_few_requests() {
     let start = Instant::now();
     let mut fleet = idle_fleet(20);
     let mut sent = 0;
@@ -293,19 +296,22 @@
     }
     assert_eq!(sent, 4);
     let later = start + Duration::from_millis(400);
-    assert!(outlook(&fleet, later).has_place, "it goes on trying");
-    reported(&mut fleet, later, 0, 2, 0);
+    assert!(
+        outlook(&fleet, later).has_place,
+        "it keeps admitting some requests"
+    );
+    report_load(&mut fleet, later, 0, 2, 0);
     let at = outlook(&fleet, later);
     assert!(at.has_place);
     assert!(!at.is_scarce);
 }
 
 #[test]
-fn how_full_a_service_is_and_what_pictures_leave_out_are_told_apart() {
+fn occupancy_and_load_missing_in_views_are_separate() {
     let now = Instant::now();
     let mut fleet = fleet(3);
     let service = ServiceName::from("llm");
-    pictured(&mut fleet, now, &[2, 4, 0]);
+    apply_view(&mut fleet, now, &[2, 4, 0]);
     fleet.started(now, &incarnation(2));
     let occupancy = fleet.occupancy(now, &service);
     assert_eq!((occupancy.slots, occupancy.held), (3 * SLOTS, 7));
@@ -325,9 +331,9 @@
     assert_eq!(fleet.occupancy(now, &"desk".into()).slots, 0);
 }
 
-/// Back ends that tell no load, at a node that nobody tells: its own answers show that there is room.
+/// Without any reports, the waiting times of the node's own requests show whether there is capacity.
 #[test]
-fn a_node_that_is_told_nothing_goes_by_what_its_own_requests_met() {
+fn a_node_without_reports_uses_waits_of_local_requests() {
     let now = Instant::now();
     let mut fleet = idle_fleet(5);
     for number in 0..4 {
@@ -342,22 +348,23 @@
     assert!(!outlook(&fleet, now).has_place);
 }
 
-/// Others keep their places by their own ends: a node that has started later would refuse everybody.
+/// Nodes reuse the slots of their completed requests; without an exception, a node that starts later would refuse
+/// all requests.
 #[test]
-fn a_node_that_has_no_place_gets_one() {
-    for pictures in [Duration::from_millis(30), OLD_PICTURES] {
+fn a_node_without_slots_gets_one() {
+    for interval in [Duration::from_millis(30), LONG_INTERVAL] {
         let now = Instant::now();
         let mut fleet = idle_fleet(4);
-        fleet.set_picture_interval(pictures);
-        pictured(&mut fleet, now, &[20; 4]);
-        assert!(outlook(&fleet, now).has_place, "{pictures:?}");
-        assert!(finds_backend(&fleet, now), "{pictures:?}");
+        fleet.set_picture_interval(interval);
+        apply_view(&mut fleet, now, &[20; 4]);
+        assert!(outlook(&fleet, now).has_place, "{interval:?}");
+        assert!(has_backend(&fleet, now), "{interval:?}");
         fleet.started(now, &incarnation(1));
-        assert!(!outlook(&fleet, now).has_place, "{pictures:?}");
+        assert!(!outlook(&fleet, now).has_place, "{interval:?}");
     }
 }
 
-fn finds_backend(fleet: &Fleet, now: Instant) -> bool {
+fn has_backend(fleet: &Fleet, now: Instant) -> bool {
     let service = ServiceName::from("llm");
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let wanted = Wanted {
