--- a/crates/firshore-crashes/src/table.rs
+++ b/crates/firshore-crashes/src/table.rs
@@ -10,16 +10,16 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Recorded exits; with [`MAX_LOST_RUNS`] requests each, they take about 800 kB.
+/// Maximum number of recorded exits; with [`MAX_LOST_RUNS`] requests each, they take about 800 kB.
 const MAX_EXITS: usize = 256;
 
-/// Recorded requests per exit; more than a back end runs and queues at a time.
+/// Maximum number of recorded requests per exit; more than a back end runs and queues at a time.
 const MAX_LOST_RUNS: usize = 64;
 
-/// Recorded completions.
+/// Maximum number of recorded completions.
 const MAX_COMPLETIONS: usize = 2_048;
 
-/// Exits in one report, so that it fits into one frame.
+/// Maximum number of exits in one report, so that it fits into one frame.
 const MAX_REPORTED_EXITS: usize = 32;
 
 /// An exit of a back end.
--- a/crates/firshore-crashes/tests/table.rs
+++ b/crates/firshore-crashes/tests/table.rs
@@ -3,7 +3,7 @@
 use firshore_adapter::incarnation::{Incarnation, StartTime};
 use firshore_crashes::print::{AskedRequest, PrintKey, RequestPrint};
 use firshore_crashes::report::{CrashReport, LostRun};
-use firshore_crashes::sync::{CrashSync, answer};
+use firshore_crashes::sync::{self, CrashSync};
 use firshore_crashes::table::{CrashTable, TableChange};
 use firshore_types::ids::{NodeName, TenantName};
 use rand::seq::SliceRandom;
@@ -277,7 +277,7 @@
     for count in 1..100 {
         let request = sync.question(now, name, local);
         let reported = request.report.position;
-        let (response, _) = answer(peer, now, &request);
+        let (response, _) = sync::answer(peer, now, &request);
         sync.answered(now, name, reported, &response, local);
         if !sync.has_to_tell(name, local) && response.report.ends.is_empty() {
             return count;
--- a/crates/firshore-exchange/src/exchange.rs
+++ b/crates/firshore-exchange/src/exchange.rs
@@ -7,7 +7,7 @@
 use crate::framing::{self, BodyEnd, Framing};
 use crate::keep_alive;
 use crate::pool::{self, IdleConnection};
-use crate::wire::{Activity, Wire};
+use crate::socket::{Activity, BufferedSocket};
 use actix_codec::{Decoder, Encoder};
 use actix_http::body::BodySize;
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, Message, MessageType};
@@ -102,8 +102,8 @@
 
 enum BodySource {
     Ended,
-    Delimited(Wire, ClientPayloadCodec),
-    ByClose(Wire),
+    Delimited(BufferedSocket, ClientPayloadCodec),
+    ByClose(BufferedSocket),
 }
 
 /// The unread rest of a response. Dropping it before its end closes the connection, which cancels the request at
@@ -183,14 +183,14 @@
     ) -> Result<Exchange, ExchangeError> {
         let method = head.method.clone();
         let mut codec = ClientCodec::new(CODEC_CONFIGURATION.with(ServiceConfig::clone));
-        let mut wire = Wire::new(self.stream);
-        encode(&mut codec, &mut wire.output, head, body)?;
+        let mut socket = BufferedSocket::new(self.stream);
+        encode(&mut codec, &mut socket.output, head, body)?;
         loop {
-            let head = read_head(&mut wire, &mut codec).await?;
+            let head = read_head(&mut socket, &mut codec).await?;
             if is_expected(&head) {
-                return open_body(self.endpoint, wire, codec, &method, head);
+                return open_body(self.endpoint, socket, codec, &method, head);
             }
-            (wire, codec) = skip_response(self.endpoint, wire, codec, &method, head).await?;
+            (socket, codec) = skip_response(self.endpoint, socket, codec, &method, head).await?;
         }
     }
 }
@@ -223,12 +223,12 @@
 
 /// Reads the head of the final response; skips interim responses (1xx).
 async fn read_head(
-    wire: &mut Wire,
+    socket: &mut BufferedSocket,
     codec: &mut ClientCodec,
 ) -> Result<ResponseHead, ExchangeError> {
     let lost = |reason: String| ExchangeError::Lost(reason);
     loop {
-        match codec.decode(&mut wire.input) {
+        match codec.decode(&mut socket.input) {
             Ok(Some(head)) if head.status.as_u16() == 101 => {
                 return Err(lost("it switched protocols without being asked".to_owned()));
             }
@@ -237,7 +237,7 @@
             Ok(None) => {}
             Err(error) => return Err(lost(error.to_string())),
         }
-        match wire.wait_for_activity().await {
+        match socket.wait_for_activity().await {
             Ok(Activity::Progress) => {}
             Ok(Activity::End) => {
                 return Err(lost("closed before the answer's head".to_owned()));
@@ -250,16 +250,16 @@
 /// Skips a response that belongs to another request, and returns the connection.
 async fn skip_response(
     endpoint: Endpoint,
-    wire: Wire,
+    socket: BufferedSocket,
     codec: ClientCodec,
     method: &Method,
     head: ResponseHead,
-) -> Result<(Wire, ClientCodec), ExchangeError> {
+) -> Result<(BufferedSocket, ClientCodec), ExchangeError> {
     let reason = "it answered another request";
-    let mut exchange = open_body(endpoint, wire, codec, method, head)?;
+    let mut exchange = open_body(endpoint, socket, codec, method, head)?;
     let mut length = 0;
-    while let BodySource::Delimited(wire, codec) = &mut exchange.body.source {
-        match read_chunk(wire, codec).await? {
+    while let BodySource::Delimited(socket, codec) = &mut exchange.body.source {
+        match read_chunk(socket, codec).await? {
             Some(chunk) => length += chunk.len(),
             None => break,
         }
@@ -268,21 +268,21 @@
         }
     }
     match std::mem::replace(&mut exchange.body.source, BodySource::Ended) {
-        BodySource::Delimited(wire, codec) => Ok((wire, codec.into_message_codec())),
+        BodySource::Delimited(socket, codec) => Ok((socket, codec.into_message_codec())),
         BodySource::ByClose(_) | BodySource::Ended => Err(ExchangeError::Lost(reason.to_owned())),
     }
 }
 
 fn open_body(
     endpoint: Endpoint,
-    wire: Wire,
+    socket: BufferedSocket,
     codec: ClientCodec,
     method: &Method,
     head: ResponseHead,
 ) -> Result<Exchange, ExchangeError> {
     // A back end that responds before it has read the whole request leaves the rest unread.
     let is_reusable =
-        wire.is_flushed() && codec.keep_alive() && framing::may_keep_connection(&head);
+        socket.is_flushed() && codec.keep_alive() && framing::may_keep_connection(&head);
     let mut body = ExchangeBody {
         endpoint,
         source: BodySource::Ended,
@@ -290,16 +290,16 @@
         idle_lifetime: is_reusable.then(|| framing::idle_lifetime(&head)).flatten(),
     };
     match framing::of(method, &head) {
-        Framing::Empty => body.release(wire),
+        Framing::Empty => body.release(socket),
         Framing::Delimited if codec.message_type() == MessageType::None => {
             let reason = "its answer's length and upgrade headers contradict each other";
             return Err(ExchangeError::Lost(reason.to_owned()));
         }
         Framing::Delimited => {
-            body.source = BodySource::Delimited(wire, codec.into_payload_codec());
+            body.source = BodySource::Delimited(socket, codec.into_payload_codec());
         }
         Framing::ByClose => {
-            body.source = BodySource::ByClose(wire);
+            body.source = BodySource::ByClose(socket);
             body.end = BodyEnd::ByClose;
         }
     }
@@ -320,8 +320,8 @@
     pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         let result = match &mut self.source {
             BodySource::Ended => return Ok(None),
-            BodySource::Delimited(wire, codec) => read_chunk(wire, codec).await,
-            BodySource::ByClose(wire) => read_until_close(wire).await,
+            BodySource::Delimited(socket, codec) => read_chunk(socket, codec).await,
+            BodySource::ByClose(socket) => read_until_close(socket).await,
         };
         if !matches!(result, Ok(Some(_))) {
             self.finish(result.is_ok());
@@ -347,46 +347,46 @@
 
     fn finish(&mut self, is_complete: bool) {
         let source = std::mem::replace(&mut self.source, BodySource::Ended);
-        if let BodySource::Delimited(wire, _) = source
+        if let BodySource::Delimited(socket, _) = source
             && is_complete
         {
-            self.release(wire);
+            self.release(socket);
         }
     }
 
     /// Returns the connection to the pool if it can be reused and has no unread input or unsent output.
-    fn release(&self, wire: Wire) {
-        let is_idle = wire.input.is_empty() && wire.is_flushed();
+    fn release(&self, socket: BufferedSocket) {
+        let is_idle = socket.input.is_empty() && socket.is_flushed();
         if let Some(lifetime) = self.idle_lifetime.filter(|_| is_idle) {
-            pool::put(self.endpoint, IdleConnection::new(wire.stream, lifetime));
+            pool::put(self.endpoint, IdleConnection::new(socket.stream, lifetime));
         }
     }
 }
 
 async fn read_chunk(
-    wire: &mut Wire,
+    socket: &mut BufferedSocket,
     codec: &mut ClientPayloadCodec,
 ) -> Result<Option<Bytes>, ExchangeError> {
     loop {
-        match codec.decode(&mut wire.input) {
+        match codec.decode(&mut socket.input) {
             Ok(Some(item)) => return Ok(item),
             Ok(None) => {}
             Err(_) => return Err(ExchangeError::CutOff),
         }
-        match wire.wait_for_activity().await {
+        match socket.wait_for_activity().await {
             Ok(Activity::Progress) => {}
             Ok(Activity::End) | Err(_) => return Err(ExchangeError::CutOff),
         }
     }
 }
 
-async fn read_until_close(wire: &mut Wire) -> Result<Option<Bytes>, ExchangeError> {
-    while wire.input.is_empty() {
-        match wire.wait_for_activity().await {
+async fn read_until_close(socket: &mut BufferedSocket) -> Result<Option<Bytes>, ExchangeError> {
+    while socket.input.is_empty() {
+        match socket.wait_for_activity().await {
             Ok(Activity::Progress) => {}
             Ok(Activity::End) => return Ok(None),
             Err(_) => return Err(ExchangeError::CutOff),
         }
     }
-    Ok(Some(wire.input.split().freeze()))
+    Ok(Some(socket.input.split().freeze()))
 }
--- a/crates/firshore-exchange/src/lib.rs
+++ b/crates/firshore-exchange/src/lib.rs
@@ -9,4 +9,4 @@
 pub mod framing;
 pub mod keep_alive;
 mod pool;
-mod wire;
+mod socket;
--- a/crates/firshore-exchange/src/wire.rs
+++ b/crates/firshore-exchange/src/socket.rs
@@ -9,7 +9,7 @@
 const READ_BYTES: usize = 8 * 1024;
 
 /// A connection with its buffers of received and unsent bytes.
-pub(crate) struct Wire {
+pub(crate) struct BufferedSocket {
     pub(crate) stream: TcpStream,
     pub(crate) input: BytesMut,
     pub(crate) output: BytesMut,
@@ -17,7 +17,7 @@
     send_failed: bool,
 }
 
-/// Result of [`Wire::wait_for_activity`].
+/// Result of [`BufferedSocket::wait_for_activity`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Activity {
     /// The socket was ready; bytes may have been read or written.
@@ -26,7 +26,7 @@
     End,
 }
 
-impl Wire {
+impl BufferedSocket {
     pub(crate) fn new(stream: TcpStream) -> Self {
         Self {
             stream,
--- a/crates/firshore-gateway/tests/room.rs
+++ b/crates/firshore-gateway/tests/room.rs
@@ -171,7 +171,7 @@
         fleet.learned_others(now, &others.collect(), &mut random);
         admitting += u32::from(outlook(&fleet, now).has_place);
     }
-    // About 20 slots are free; the nodes together must not use them several times.
+    // 20 slots are free, minus those that the node itself holds. The nodes together must not use them several times.
     assert!(admitting > 0);
     assert!(admitting < 30, "{admitting}");
 }
