--- a/crates/firshore-clock/src/lib.rs
+++ b/crates/firshore-clock/src/lib.rs
@@ -3,7 +3,7 @@
 //! `CLOCK_MONOTONIC`, on which timers run, stops during a suspension. By that clock a node that resumes would
 //! take an old view for a fresh one and keep using leases that others hold by now, so ages, leases and shares are
 //! measured with this clock. It returns the time of the timers' clock plus the time that the machine was suspended
-//! (from `CLOCK_BOOTTIME`) since the first call in the process; [`as_timer`] subtracts the latter again.
+//! (from `CLOCK_BOOTTIME`) since the first call in the process; [`timer_deadline`] subtracts the latter again.
 #![deny(missing_docs, unsafe_code)]
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
@@ -42,7 +42,7 @@
 }
 
 /// Converts a time of this clock to the timers' clock, assuming no further suspension.
-pub fn as_timer(at: Instant) -> Instant {
+pub fn timer_deadline(at: Instant) -> Instant {
     at.checked_sub(suspended()).unwrap_or(at)
 }
 
--- a/crates/firshore-clock/tests/clock.rs
+++ b/crates/firshore-clock/tests/clock.rs
@@ -1,6 +1,6 @@
 //! The clock includes suspensions and never goes back.
 
-use firshore_clock::{as_timer, elapsed, now, simulate_suspension};
+use firshore_clock::{timer_deadline, elapsed, now, simulate_suspension};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -8,7 +8,7 @@
 fn without_a_suspension_it_equals_the_timers_clock() {
     let (before, at, after) = (Instant::now(), now(), Instant::now());
     assert!(before <= at && at <= after);
-    assert!(as_timer(at) == at);
+    assert!(timer_deadline(at) == at);
 }
 
 #[test]
@@ -17,7 +17,7 @@
     simulate_suspension(Duration::from_secs(5));
     assert!(elapsed(start) >= Duration::from_secs(5));
     let later = now() + Duration::from_secs(1);
-    let timer = as_timer(later).saturating_duration_since(Instant::now());
+    let timer = timer_deadline(later).saturating_duration_since(Instant::now());
     assert!(timer <= Duration::from_secs(1), "{timer:?}");
 }
 
--- a/crates/firshore-crashes/src/detection.rs
+++ b/crates/firshore-crashes/src/detection.rs
@@ -4,7 +4,7 @@
 //! request is quarantined when it was lost at several exits at different times, none of its runs got past the
 //! point of these exits, and back ends don't exit as often without it.
 
-use crate::print::RequestPrint;
+use crate::print::RequestFingerprint;
 use crate::table::{BackendExit, Suspicion, Verdict};
 use firshore_adapter::incarnation::Incarnation;
 use std::collections::{BTreeMap, HashMap};
@@ -31,8 +31,8 @@
 
 /// Result of an evaluation.
 pub(crate) struct Findings {
-    pub(crate) suspects: BTreeMap<RequestPrint, Suspicion>,
-    pub(crate) verdicts: BTreeMap<RequestPrint, Verdict>,
+    pub(crate) suspects: BTreeMap<RequestFingerprint, Suspicion>,
+    pub(crate) verdicts: BTreeMap<RequestFingerprint, Verdict>,
 }
 
 /// All exits, ordered by time.
@@ -56,7 +56,7 @@
 /// Evaluates all requests that were lost at exits. Completed requests are not suspected.
 pub(crate) fn evaluate(
     exits: &HashMap<Incarnation, BackendExit>,
-    completed: impl Fn(&RequestPrint) -> bool,
+    completed: impl Fn(&RequestFingerprint) -> bool,
 ) -> Findings {
     let mut sorted: Vec<(&Incarnation, &BackendExit)> = exits.iter().collect();
     sorted.sort_by_key(|(backend, exit)| (exit.at, *backend));
@@ -81,9 +81,9 @@
 
 fn exits_by_request(
     sorted: &[(&Incarnation, &BackendExit)],
-    completed: impl Fn(&RequestPrint) -> bool,
-) -> BTreeMap<RequestPrint, RequestExits> {
-    let mut reached: BTreeMap<RequestPrint, Vec<(usize, u64)>> = BTreeMap::new();
+    completed: impl Fn(&RequestFingerprint) -> bool,
+) -> BTreeMap<RequestFingerprint, RequestExits> {
+    let mut reached: BTreeMap<RequestFingerprint, Vec<(usize, u64)>> = BTreeMap::new();
     for (idx, (_, exit)) in sorted.iter().enumerate() {
         for (print, bytes) in &exit.lost {
             if !completed(print) {
@@ -112,10 +112,10 @@
 
 /// Returns the request with the most unattributed exits among those with sufficient evidence, and these exits.
 fn strongest_suspect(
-    by_request: &BTreeMap<RequestPrint, RequestExits>,
+    by_request: &BTreeMap<RequestFingerprint, RequestExits>,
     list: &ExitList<'_>,
-) -> Option<(RequestPrint, Vec<usize>)> {
-    let mut most: Option<(RequestPrint, Vec<usize>)> = None;
+) -> Option<(RequestFingerprint, Vec<usize>)> {
+    let mut most: Option<(RequestFingerprint, Vec<usize>)> = None;
     for (print, exits) in by_request
         .iter()
         .filter(|(_, exits)| exits.furthest.len() >= MIN_EXITS)
--- a/crates/firshore-crashes/src/print.rs
+++ b/crates/firshore-crashes/src/print.rs
@@ -14,7 +14,7 @@
 
 /// Input of a fingerprint.
 #[derive(Clone, Copy, Debug)]
-pub struct AskedRequest<'a> {
+pub struct FingerprintInput<'a> {
     /// Tenant of the caller, if known.
     pub tenant: Option<&'a TenantName>,
     /// Value of the `Host` header.
@@ -29,7 +29,7 @@
 
 /// Identifies a request across repeats and nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RequestPrint {
+pub struct RequestFingerprint {
     /// Digest of the caller: of the tenant, or of the host if there is none.
     #[serde(rename = "c")]
     caller: u64,
@@ -41,14 +41,14 @@
     low: u64,
 }
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// Returns the digest of the caller, which all its requests share.
     pub fn caller(&self) -> u64 {
         self.caller
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}{:016x}", self.high, self.low)
     }
@@ -56,15 +56,15 @@
 
 /// The key for fingerprints, shared by all nodes of a cluster.
 #[derive(Clone)]
-pub struct PrintKey(Hmac<Sha256>);
+pub struct FingerprintKey(Hmac<Sha256>);
 
-impl fmt::Debug for PrintKey {
+impl fmt::Debug for FingerprintKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("PrintKey")
     }
 }
 
-impl PrintKey {
+impl FingerprintKey {
     /// Derives the key from the cluster's secret.
     ///
     /// # Panics
@@ -77,7 +77,7 @@
     }
 
     /// Returns the fingerprint of a request.
-    pub fn print(&self, asked: &AskedRequest<'_>) -> RequestPrint {
+    pub fn print(&self, asked: &FingerprintInput<'_>) -> RequestFingerprint {
         let caller_parts = match asked.tenant {
             Some(tenant) => [b"tenant", tenant.as_str().as_bytes()],
             None => [b"nobody", asked.host.as_bytes()],
@@ -90,7 +90,7 @@
             asked.target.as_bytes(),
             asked.body,
         ]);
-        RequestPrint { caller, high, low }
+        RequestFingerprint { caller, high, low }
     }
 
     /// Returns the first two 8-byte words of the digest of `parts`. Each part is prefixed with its length, so that
--- a/crates/firshore-crashes/src/report.rs
+++ b/crates/firshore-crashes/src/report.rs
@@ -1,6 +1,6 @@
 //! Serialized form of the crash table's entries.
 
-use crate::print::RequestPrint;
+use crate::print::RequestFingerprint;
 use firshore_adapter::incarnation::StartTime;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
 pub struct LostRun {
     /// Fingerprint of the request.
     #[serde(rename = "r")]
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Bytes of the response received before the exit.
     #[serde(rename = "n")]
     pub reached: u64,
@@ -28,7 +28,7 @@
 
 /// An exit of a back end's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReportedEnd {
+pub struct ReportedExit {
     /// Name of the back end.
     #[serde(rename = "b")]
     pub backend: String,
@@ -48,7 +48,7 @@
 pub struct ReportedCompletion {
     /// Fingerprint of the request.
     #[serde(rename = "r")]
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Milliseconds since the completion.
     #[serde(rename = "a")]
     pub age: u64,
@@ -59,7 +59,7 @@
 pub struct CrashReport {
     /// Exits of back ends.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub ends: Vec<ReportedEnd>,
+    pub ends: Vec<ReportedExit>,
     /// Requests that completed although they had been lost at exits before.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub completions: Vec<ReportedCompletion>,
--- a/crates/firshore-crashes/src/sync.rs
+++ b/crates/firshore-crashes/src/sync.rs
@@ -9,7 +9,7 @@
 
 /// Reports changes to a peer and requests the peer's changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashQuestion {
+pub struct CrashSyncRequest {
     /// Cursor of the peer's table up to which the sender has received changes.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub known: Option<TableCursor>,
@@ -20,7 +20,7 @@
 
 /// Response of the peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashAnswer {
+pub struct CrashSyncResponse {
     /// Cursor of the peer's table up to which `report` is complete.
     #[serde(rename = "k")]
     pub cursor: TableCursor,
@@ -47,13 +47,13 @@
 pub fn answer(
     table: &mut CrashTable,
     now: Instant,
-    question: &CrashQuestion,
-) -> (CrashAnswer, Vec<TableChange>) {
+    question: &CrashSyncRequest,
+) -> (CrashSyncResponse, Vec<TableChange>) {
     let changes = table.merge(now, &question.report);
     let cursor = table.cursor();
     let known = question.known.filter(|known| known.epoch == cursor.epoch);
     let report = table.changes_after(now, known.map_or(0, |known| known.position));
-    let answer = CrashAnswer {
+    let answer = CrashSyncResponse {
         cursor: TableCursor {
             position: report.position,
             ..cursor
@@ -88,9 +88,9 @@
     }
 
     /// Returns the next request to a peer.
-    pub fn question(&self, now: Instant, peer: &NodeName, table: &CrashTable) -> CrashQuestion {
+    pub fn question(&self, now: Instant, peer: &NodeName, table: &CrashTable) -> CrashSyncRequest {
         let progress = self.progress(peer);
-        CrashQuestion {
+        CrashSyncRequest {
             known: progress.known,
             report: table.changes_after(now, progress.reported),
         }
@@ -102,7 +102,7 @@
         now: Instant,
         peer: &NodeName,
         reported: u64,
-        answer: &CrashAnswer,
+        answer: &CrashSyncResponse,
         table: &mut CrashTable,
     ) -> Vec<TableChange> {
         let previous = self.progress(peer);
--- a/crates/firshore-crashes/src/table.rs
+++ b/crates/firshore-crashes/src/table.rs
@@ -4,8 +4,8 @@
 //! completes at any node is cleared: later exits no longer count against it.
 
 use crate::detection;
-use crate::print::RequestPrint;
-use crate::report::{CrashReport, LostRun, ReportedCompletion, ReportedEnd, TableCursor};
+use crate::print::RequestFingerprint;
+use crate::report::{CrashReport, LostRun, ReportedCompletion, ReportedExit, TableCursor};
 use firshore_adapter::incarnation::Incarnation;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
 pub(crate) struct BackendExit {
     pub(crate) at: Instant,
     /// Requests that were lost there, each with the bytes of its response that had been received.
-    pub(crate) lost: BTreeMap<RequestPrint, u64>,
+    pub(crate) lost: BTreeMap<RequestFingerprint, u64>,
     /// Position of the table's latest change to this exit.
     position: u64,
 }
@@ -60,11 +60,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableChange {
     /// The request is quarantined from now on.
-    Condemned(RequestPrint, Verdict),
+    Condemned(RequestFingerprint, Verdict),
     /// The request is no longer quarantined.
-    Lifted(RequestPrint),
+    Lifted(RequestFingerprint),
     /// Another node reported the exit of a back end.
-    BackendEnded(Incarnation),
+    BackendExited(Incarnation),
 }
 
 /// Exits of back ends and requests lost there, as observed by this node and reported by others.
@@ -75,10 +75,10 @@
     retention: Duration,
     position: u64,
     exits: HashMap<Incarnation, BackendExit>,
-    completions: HashMap<RequestPrint, Completion>,
+    completions: HashMap<RequestFingerprint, Completion>,
     /// Requests that were lost at any of these exits and have not completed since.
-    suspects: BTreeMap<RequestPrint, Suspicion>,
-    verdicts: BTreeMap<RequestPrint, Verdict>,
+    suspects: BTreeMap<RequestFingerprint, Suspicion>,
+    verdicts: BTreeMap<RequestFingerprint, Verdict>,
 }
 
 impl CrashTable {
@@ -115,17 +115,17 @@
     }
 
     /// Returns whether any request is quarantined.
-    pub fn has_verdicts(&self) -> bool {
+    pub fn has_quarantined(&self) -> bool {
         !self.verdicts.is_empty()
     }
 
     /// Returns why a request is quarantined, or `None` if it isn't.
-    pub fn verdict(&self, print: &RequestPrint) -> Option<&Verdict> {
+    pub fn verdict(&self, print: &RequestFingerprint) -> Option<&Verdict> {
         self.verdicts.get(print)
     }
 
     /// Returns the evidence against a request; zero if there is none or the request was cleared.
-    pub fn suspicion(&self, print: &RequestPrint) -> Suspicion {
+    pub fn suspicion(&self, print: &RequestFingerprint) -> Suspicion {
         self.suspects.get(print).copied().unwrap_or_default()
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Records a successful completion of a request. Has no effect on a request that is not suspected.
-    pub fn completed(&mut self, now: Instant, print: RequestPrint) -> Vec<TableChange> {
+    pub fn completed(&mut self, now: Instant, print: RequestFingerprint) -> Vec<TableChange> {
         if !self.suspects.contains_key(&print) {
             return Vec::new();
         }
@@ -175,7 +175,7 @@
                 continue;
             }
             if !self.exits.contains_key(&backend) {
-                changes.push(TableChange::BackendEnded(backend.clone()));
+                changes.push(TableChange::BackendExited(backend.clone()));
             }
             self.add_exit(time_of(now, exit.age), &backend, &exit.lost);
         }
@@ -240,7 +240,7 @@
 
     /// Returns the incarnation that a reported exit refers to. A report without a start time refers to the latest
     /// recorded exit of that name, if there is one; otherwise the same exit would count twice.
-    fn reported_incarnation(&self, exit: &ReportedEnd) -> Incarnation {
+    fn reported_incarnation(&self, exit: &ReportedExit) -> Incarnation {
         let reported = Incarnation {
             name: exit.backend.as_str().into(),
             started: exit.started,
@@ -283,7 +283,7 @@
         }
     }
 
-    fn add_completion(&mut self, at: Instant, print: RequestPrint) {
+    fn add_completion(&mut self, at: Instant, print: RequestFingerprint) {
         if self.completions.contains_key(&print) {
             return;
         }
@@ -312,7 +312,7 @@
                 .lost
                 .keys()
                 .filter(|print| self.verdicts.contains_key(print));
-            quarantined.next().map(RequestPrint::caller)
+            quarantined.next().map(RequestFingerprint::caller)
         };
         let mut counts: HashMap<Option<u64>, usize> = HashMap::new();
         for exit in self.exits.values() {
@@ -362,9 +362,9 @@
     now.saturating_duration_since(at).as_millis() as u64
 }
 
-fn report_exit(now: Instant, backend: &Incarnation, exit: &BackendExit) -> ReportedEnd {
+fn report_exit(now: Instant, backend: &Incarnation, exit: &BackendExit) -> ReportedExit {
     let lost = exit.lost.iter();
-    ReportedEnd {
+    ReportedExit {
         backend: backend.name.to_string(),
         started: backend.started,
         age: age(now, exit.at),
--- a/crates/firshore-crashes/tests/print.rs
+++ b/crates/firshore-crashes/tests/print.rs
@@ -1,10 +1,10 @@
 //! Fingerprints of requests.
 
-use firshore_crashes::print::{AskedRequest, PrintKey};
+use firshore_crashes::print::{FingerprintInput, FingerprintKey};
 use firshore_types::ids::TenantName;
 use std::collections::BTreeSet;
 
-const REQUEST: AskedRequest<'static> = AskedRequest {
+const REQUEST: FingerprintInput<'static> = FingerprintInput {
     tenant: None,
     host: "a.example",
     method: "POST",
@@ -14,47 +14,47 @@
 
 #[test]
 fn equal_requests_have_equal_fingerprints_under_the_same_key() {
-    let (first, second) = (PrintKey::new(b"secret"), PrintKey::new(b"secret"));
+    let (first, second) = (FingerprintKey::new(b"secret"), FingerprintKey::new(b"secret"));
     assert_eq!(first.print(&REQUEST), second.print(&REQUEST));
     assert_ne!(
         first.print(&REQUEST),
-        PrintKey::new(b"another").print(&REQUEST)
+        FingerprintKey::new(b"another").print(&REQUEST)
     );
 }
 
 #[test]
 fn caller_host_method_target_and_body_change_the_fingerprint() {
-    let key = PrintKey::new(b"secret");
+    let key = FingerprintKey::new(b"secret");
     let tenant: TenantName = "t".into();
     let named_like_host: TenantName = "a.example".into();
     let requests = [
         REQUEST,
-        AskedRequest {
+        FingerprintInput {
             tenant: Some(&tenant),
             ..REQUEST
         },
-        AskedRequest {
+        FingerprintInput {
             tenant: Some(&named_like_host),
             ..REQUEST
         },
-        AskedRequest {
+        FingerprintInput {
             host: "b.example",
             ..REQUEST
         },
-        AskedRequest {
+        FingerprintInput {
             method: "PUT",
             ..REQUEST
         },
-        AskedRequest {
+        FingerprintInput {
             target: "/notes/1?full=2",
             ..REQUEST
         },
-        AskedRequest {
+        FingerprintInput {
             target: "/notes/1?full=1body",
             body: b"",
             ..REQUEST
         },
-        AskedRequest {
+        FingerprintInput {
             body: b"bodi",
             ..REQUEST
         },
@@ -73,13 +73,13 @@
 
 #[test]
 fn requests_of_one_caller_share_its_digest() {
-    let key = PrintKey::new(b"secret");
+    let key = FingerprintKey::new(b"secret");
     let tenant: TenantName = "t".into();
-    let other_body = AskedRequest {
+    let other_body = FingerprintInput {
         body: b"other",
         ..REQUEST
     };
-    let of_tenant = AskedRequest {
+    let of_tenant = FingerprintInput {
         tenant: Some(&tenant),
         ..REQUEST
     };
--- a/crates/firshore-crashes/tests/table.rs
+++ b/crates/firshore-crashes/tests/table.rs
@@ -1,7 +1,7 @@
 //! Exits of back ends, and the requests that are quarantined because of them.
 
 use firshore_adapter::incarnation::{Incarnation, StartTime};
-use firshore_crashes::print::{AskedRequest, PrintKey, RequestPrint};
+use firshore_crashes::print::{FingerprintInput, FingerprintKey, RequestFingerprint};
 use firshore_crashes::report::{CrashReport, LostRun};
 use firshore_crashes::sync::{self, CrashSync};
 use firshore_crashes::table::{CrashTable, TableChange};
@@ -13,9 +13,9 @@
 
 const RETENTION: Duration = Duration::from_secs(600);
 
-fn print_of(tenant: &str, target: &str) -> RequestPrint {
+fn print_of(tenant: &str, target: &str) -> RequestFingerprint {
     let tenant: TenantName = tenant.into();
-    PrintKey::new(b"secret").print(&AskedRequest {
+    FingerprintKey::new(b"secret").print(&FingerprintInput {
         tenant: Some(&tenant),
         host: "a.example",
         method: "POST",
@@ -24,11 +24,11 @@
     })
 }
 
-fn print(target: &str) -> RequestPrint {
+fn print(target: &str) -> RequestFingerprint {
     print_of("t", target)
 }
 
-fn lost(print: RequestPrint, reached: u64) -> LostRun {
+fn lost(print: RequestFingerprint, reached: u64) -> LostRun {
     LostRun { print, reached }
 }
 
@@ -40,7 +40,7 @@
 fn record_exits(
     table: &mut CrashTable,
     at: Instant,
-    print: RequestPrint,
+    print: RequestFingerprint,
     names: &[&str],
 ) -> Vec<TableChange> {
     let mut changes = Vec::new();
@@ -81,7 +81,7 @@
     let (mut table, now) = (table(), Instant::now());
     record_exits(&mut table, now, print("/a"), &["b1", "b1", "b1", "b2"]);
     assert_eq!(table.suspicion(&print("/a")).ends, 2);
-    assert!(!table.has_verdicts());
+    assert!(!table.has_quarantined());
 }
 
 #[test]
@@ -95,7 +95,7 @@
         );
     }
     assert_eq!(table.suspicion(&print("/popular")).ends, 6);
-    assert!(!table.has_verdicts());
+    assert!(!table.has_quarantined());
 }
 
 #[test]
@@ -110,14 +110,14 @@
         &["b3", "b4", "b5"],
     );
     assert_eq!(table.suspicion(&print("/a")).ends, 0);
-    assert!(!table.has_verdicts());
+    assert!(!table.has_quarantined());
 }
 
 #[test]
 fn a_run_in_flight_that_completes_releases_the_request() {
     let (mut table, now) = (table(), Instant::now());
     record_exits(&mut table, now, print("/a"), &["b1", "b2", "b3"]);
-    assert!(table.has_verdicts());
+    assert!(table.has_quarantined());
     let changes = table.completed(now, print("/a"));
     assert_eq!(changes, [TableChange::Lifted(print("/a"))]);
 }
@@ -131,7 +131,7 @@
         table.ended(at, &Incarnation::named(*name), &[run]);
     }
     assert_eq!(table.suspicion(&print("/item")).ends, 1);
-    assert!(!table.has_verdicts());
+    assert!(!table.has_quarantined());
 }
 
 #[test]
@@ -238,7 +238,7 @@
     for seed in 0..20 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let now = Instant::now();
-        let mut records: Vec<(u64, String, RequestPrint)> = Vec::new();
+        let mut records: Vec<(u64, String, RequestFingerprint)> = Vec::new();
         for exit in 0..12_u64 {
             for request in 0..4 {
                 if random.random_bool(0.5) {
@@ -246,7 +246,7 @@
                 }
             }
         }
-        let quarantined = |records: &[(u64, String, RequestPrint)]| {
+        let quarantined = |records: &[(u64, String, RequestFingerprint)]| {
             let mut table = table();
             for (exit, backend, print) in records {
                 let at = now + Duration::from_secs(*exit);
@@ -294,12 +294,12 @@
     let (mut local, mut peer) = (table(), CrashTable::new(2, RETENTION));
     record_exits(&mut local, start, print("/a"), &["b1", "b2", "b3"]);
     exchange(now, &mut sync, &name, &mut local, &mut peer);
-    assert!(peer.has_verdicts());
+    assert!(peer.has_quarantined());
     assert!(!sync.differs(&name, Some(peer.cursor()), &local));
     let mut peer = CrashTable::new(3, RETENTION);
     assert!(sync.differs(&name, None, &local));
     exchange(now, &mut sync, &name, &mut local, &mut peer);
-    assert!(peer.has_verdicts());
+    assert!(peer.has_quarantined());
 }
 
 #[test]
--- a/crates/firshore-gateway/tests/access.rs
+++ b/crates/firshore-gateway/tests/access.rs
@@ -4,8 +4,8 @@
 
 use firshore_adapter::jobs::{JobId, JobItem, ResultPage};
 use firshore_adapter::route::Route;
-use firshore_gateway::belief::BeliefSource;
-use firshore_gateway::gateway::{JobAnswer, JobService};
+use firshore_gateway::belief::FreshnessSource;
+use firshore_gateway::gateway::{JobFuture, JobService};
 use firshore_stand_in::adapter::{KEY, TENANT};
 use firshore_stand_in::backend::Play;
 use firshore_types::payload::Payload;
@@ -182,7 +182,7 @@
 }
 
 impl RecordingJobs {
-    fn record<'a, T: 'a>(&'a self, job: JobId, response: T) -> JobAnswer<'a, T> {
+    fn record<'a, T: 'a>(&'a self, job: JobId, response: T) -> JobFuture<'a, T> {
         self.calls.borrow_mut().push(job);
         std::future::ready(Ok(response)).boxed_local()
     }
@@ -198,7 +198,7 @@
         _route: Arc<Route>,
         job: JobId,
         _items: Vec<JobItem>,
-    ) -> JobAnswer<'a, ()> {
+    ) -> JobFuture<'a, ()> {
         self.record(job, ())
     }
 
@@ -207,15 +207,15 @@
         job: JobId,
         _from: u64,
         _wait: Duration,
-    ) -> JobAnswer<'a, Option<ResultPage>> {
+    ) -> JobFuture<'a, Option<ResultPage>> {
         self.record(job, None)
     }
 
-    fn body<'a>(&'a self, job: JobId, _item: String) -> JobAnswer<'a, Option<Payload>> {
+    fn body<'a>(&'a self, job: JobId, _item: String) -> JobFuture<'a, Option<Payload>> {
         self.record(job, None)
     }
 
-    fn end<'a>(&'a self, job: JobId) -> JobAnswer<'a, bool> {
+    fn end<'a>(&'a self, job: JobId) -> JobFuture<'a, bool> {
         self.record(job, true)
     }
 }
@@ -347,7 +347,7 @@
             404
         );
         freshness.limit_age(Duration::from_millis(500));
-        freshness.confirm(Instant::now(), BeliefSource::Store);
+        freshness.confirm(Instant::now(), FreshnessSource::Store);
         assert_eq!(
             status(fixture.address, unknown_route.0, &unknown_route.1).await,
             404
@@ -361,7 +361,7 @@
             assert_eq!(status(fixture.address, path, headers).await, 503, "{path}");
         }
         assert_eq!(status(fixture.address, "/own/", &key("key-a")).await, 200);
-        freshness.confirm(Instant::now(), BeliefSource::Store);
+        freshness.confirm(Instant::now(), FreshnessSource::Store);
         assert_eq!(
             status(fixture.address, unknown_route.0, &unknown_route.1).await,
             404
--- a/crates/firshore-gateway/tests/crash_monitor.rs
+++ b/crates/firshore-gateway/tests/crash_monitor.rs
@@ -4,9 +4,9 @@
 
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::Incarnation;
-use firshore_crashes::print::{AskedRequest, RequestPrint};
-use firshore_crashes::report::{CrashReport, LostRun, ReportedEnd};
-use firshore_crashes::sync::CrashQuestion;
+use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
+use firshore_crashes::report::{CrashReport, LostRun, ReportedExit};
+use firshore_crashes::sync::CrashSyncRequest;
 use firshore_stand_in::adapter::HOST;
 use firshore_stand_in::backend::Play;
 use serde_json::{Value, json};
@@ -46,8 +46,8 @@
 
 impl Fixture {
     /// Returns the fingerprint of a request as written by [`send`].
-    fn print(&self, path: &str) -> RequestPrint {
-        self.gateway.print_key.print(&AskedRequest {
+    fn print(&self, path: &str) -> RequestFingerprint {
+        self.gateway.fingerprint_key.print(&FingerprintInput {
             tenant: None,
             host: HOST,
             method: "POST",
@@ -59,7 +59,7 @@
     /// Merges a report of another node about exits under a request, 1 s apart.
     fn report_exits(&self, path: &str, backends: &[&str]) {
         let print = self.print(path);
-        let exits = backends.iter().enumerate().map(|(idx, name)| ReportedEnd {
+        let exits = backends.iter().enumerate().map(|(idx, name)| ReportedExit {
             backend: (*name).to_owned(),
             started: None,
             age: 1_000 * idx as u64,
@@ -69,7 +69,7 @@
             ends: exits.collect(),
             ..CrashReport::default()
         };
-        let request = CrashQuestion {
+        let request = CrashSyncRequest {
             known: None,
             report,
         };
--- a/crates/firshore-gateway/tests/decisions.rs
+++ b/crates/firshore-gateway/tests/decisions.rs
@@ -6,8 +6,8 @@
 use firshore_adapter::route::{Repetition, Route, RouteTable, WeightedService};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
 use firshore_gateway::choice::{Candidate, Placement, affinity_key, choose};
-use firshore_gateway::events::{EventFault, EventStream, data_of};
-use firshore_gateway::fleet::{Fleet, Impression, Wanted};
+use firshore_gateway::events::{EventError, EventStream, data_of};
+use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
 use firshore_gateway::split::Split;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -43,7 +43,7 @@
 ) -> Option<String> {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let service = "llm".into();
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts,
         affinity,
@@ -241,10 +241,10 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut fleet = fleet(&names);
     let others = names[1..].iter().map(|name| (BackendName::from(*name), 2));
-    fleet.learned_others(now, &others.collect(), &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &others.collect(), &mut ChaCha8Rng::seed_from_u64(1));
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -269,7 +269,7 @@
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b", "c"]);
     let others = HashMap::from([("a".into(), 4), ("b".into(), 2)]);
-    fleet.learned_others(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("c"));
     for _ in 0..3 {
         fleet.started(now, &incarnation("c"));
@@ -319,14 +319,14 @@
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b"]);
-    assert!(fleet.observed(now, &incarnation("a"), Impression::Unreachable));
+    assert!(fleet.observed(now, &incarnation("a"), BackendOutcome::Unreachable));
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
-    assert!(fleet.observed(now, &incarnation("b"), Impression::Unreachable));
+    assert!(fleet.observed(now, &incarnation("b"), BackendOutcome::Unreachable));
     assert!(
         chosen(&fleet, now, &attempts, None).is_some(),
         "an ejected back end is chosen if there is no other"
     );
-    fleet.observed(now, &incarnation("b"), Impression::Answered);
+    fleet.observed(now, &incarnation("b"), BackendOutcome::Answered);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
     let later = now + Duration::from_secs(5);
     fleet.started(later, &incarnation("b"));
@@ -371,7 +371,7 @@
     for event in ["id: 3\ndata: c\n\n", "id: 5\ndata: e\n\n"] {
         let mut stream = EventStream::after(Some(3));
         let found = if event.starts_with("id: 3") { 3 } else { 5 };
-        let fault = EventFault::OutOfOrder(4, found);
+        let fault = EventError::OutOfOrder(4, found);
         assert_eq!(stream.feed(event.as_bytes()), Err(fault));
     }
 }
@@ -397,7 +397,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut counts = [0; 5];
     for _ in 0..DRAWS {
-        let found = choose(&candidates, None, Placement::ByRoom, &mut random);
+        let found = choose(&candidates, None, Placement::ByCapacity, &mut random);
         counts[found.unwrap()] += 1;
     }
     let fractions = counts.map(|count| f64::from(count) / DRAWS as f64);
@@ -413,7 +413,7 @@
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -423,10 +423,10 @@
     };
     let mut fleet = fleet(&["a", "b", "c"]);
     let others = HashMap::from([("a".into(), 4), ("b".into(), 2)]);
-    fleet.learned_others(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for (interval, min, max) in [(100, DRAWS, DRAWS), (400, 100, 240)] {
-        fleet.set_picture_interval(Duration::from_millis(interval));
+        fleet.set_view_interval(Duration::from_millis(interval));
         let chosen = (0..DRAWS).map(|_| fleet.choose(now, &wanted, &mut random).unwrap());
         let idle = incarnation("c");
         let count = chosen.filter(|backend| backend.incarnation == idle).count();
@@ -446,10 +446,10 @@
     let candidates = [candidate(1, 1.5), candidate(2, 1.0), candidate(3, 2.0)];
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..100 {
-        let found = choose(&candidates, None, Placement::ByRoom, &mut random);
+        let found = choose(&candidates, None, Placement::ByCapacity, &mut random);
         assert_eq!(found, Some(1));
     }
-    assert_eq!(choose(&[], None, Placement::ByRoom, &mut random), None);
+    assert_eq!(choose(&[], None, Placement::ByCapacity, &mut random), None);
 }
 
 #[test]
@@ -465,7 +465,7 @@
                 ..backend("b", "here")
             };
             fleet.replace(vec![backend]);
-            let wanted = Wanted {
+            let wanted = BackendRequirements {
                 service: &service,
                 attempts: &attempts,
                 affinity: None,
@@ -500,7 +500,7 @@
 fn count_choices(fleet: &Fleet, now: Instant, answer_within: Option<Duration>) -> [usize; 2] {
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -521,7 +521,7 @@
 fn slots_of_a_slow_back_end_have_less_weight() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
-    fleet.set_picture_interval(Duration::from_millis(400));
+    fleet.set_view_interval(Duration::from_millis(400));
     report_pace(&mut fleet, now, "a", 60);
     report_pace(&mut fleet, now, "b", 180);
     let [fast, slow] = count_choices(&fleet, now, None);
@@ -530,10 +530,10 @@
         "expected three times as many: {fast}, {slow}"
     );
     // With a current view, the slow one is skipped until the other is clearly fuller.
-    fleet.set_picture_interval(Duration::from_millis(100));
+    fleet.set_view_interval(Duration::from_millis(100));
     assert_eq!(count_choices(&fleet, now, None), [2_000, 0]);
     let crowded = HashMap::from([("a".into(), 8)]);
-    fleet.learned_others(now, &crowded, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &crowded, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(count_choices(&fleet, now, None), [0, 2_000]);
 }
 
@@ -542,7 +542,7 @@
     let now = Instant::now();
     let objective = Some(Duration::from_millis(300));
     let mut fleet = fleet(&["a", "b"]);
-    fleet.set_picture_interval(Duration::from_millis(400));
+    fleet.set_view_interval(Duration::from_millis(400));
     fleet.served(
         &"llm".into(),
         Duration::from_millis(80),
@@ -557,7 +557,7 @@
         "without an objective it is chosen in proportion: {slow}"
     );
     let full = HashMap::from([("a".into(), 20)]);
-    fleet.learned_others(now, &full, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &full, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(
         count_choices(&fleet, now, objective),
         [0, 2_000],
@@ -569,14 +569,14 @@
 fn paces_reported_by_other_nodes_count_and_are_not_reported_back() {
     let now = Instant::now();
     let (mut local, mut remote) = (fleet(&["a", "b"]), fleet(&["a", "b"]));
-    local.set_picture_interval(Duration::from_millis(400));
-    assert_eq!(remote.take_untold_paces(), []);
+    local.set_view_interval(Duration::from_millis(400));
+    assert_eq!(remote.take_unreported_paces(), []);
     report_pace(&mut remote, now, "b", 300);
-    let paces = remote.take_untold_paces();
+    let paces = remote.take_unreported_paces();
     assert_eq!(paces.len(), 1);
-    assert_eq!(remote.take_untold_paces(), [], "each pace is reported once");
-    local.learned_paces(now, paces);
-    assert_eq!(local.take_untold_paces(), []);
+    assert_eq!(remote.take_unreported_paces(), [], "each pace is reported once");
+    local.apply_remote_paces(now, paces);
+    assert_eq!(local.take_unreported_paces(), []);
     let [_, slow] = count_choices(&local, now, None);
     assert!(
         (400..600).contains(&slow),
@@ -588,11 +588,11 @@
 fn a_back_end_that_fails_fast_is_chosen_less_often() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
-    fleet.set_picture_interval(Duration::from_millis(400));
+    fleet.set_view_interval(Duration::from_millis(400));
     report_pace(&mut fleet, now, "a", 100);
     report_pace(&mut fleet, now, "b", 60);
     for _ in 0..20 {
-        fleet.observed(now, &incarnation("b"), Impression::Failed);
+        fleet.observed(now, &incarnation("b"), BackendOutcome::Failed);
     }
     let [_, failing] = count_choices(&fleet, now, None);
     assert!(failing < 700, "by pace alone it would get 1,250: {failing}");
@@ -603,17 +603,17 @@
 fn without_reported_paces_capacity_alone_decides() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
-    fleet.set_picture_interval(Duration::from_millis(400));
+    fleet.set_view_interval(Duration::from_millis(400));
     fleet.served(
         &"llm".into(),
         Duration::from_millis(900),
         Duration::from_millis(500),
     );
     for _ in 0..20 {
-        fleet.observed(now, &incarnation("b"), Impression::Failed);
+        fleet.observed(now, &incarnation("b"), BackendOutcome::Failed);
     }
     let others = HashMap::from([("a".into(), 5)]);
-    fleet.learned_others(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
     let [half_full, idle] = count_choices(&fleet, now, Some(Duration::from_millis(300)));
     assert!(
         (600..733).contains(&half_full),
--- a/crates/firshore-gateway/tests/overload/world.rs
+++ b/crates/firshore-gateway/tests/overload/world.rs
@@ -4,9 +4,9 @@
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_adapter::route::Repetition;
-use firshore_admission::admission::{Admission, AdmissionAsk, ShareStanding, decide};
+use firshore_admission::admission::{Admission, AdmissionRequest, ShareStatus, decide};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
-use firshore_gateway::fleet::{Fleet, Impression, Wanted};
+use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
 use firshore_types::ids::ServiceName;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -157,7 +157,7 @@
             Duration::from_secs_f64(random.random_range(scenario.view_interval.clone()));
         let mut fleet = Fleet::new(format!("z{}", number % 3).as_str().into());
         fleet.replace((0..ENGINES).map(listed).collect());
-        fleet.set_picture_interval(view_interval * 2);
+        fleet.set_view_interval(view_interval * 2);
         Self {
             fleet,
             queue: BTreeSet::new(),
@@ -287,16 +287,16 @@
         let arrived = &self.requests[request];
         let gateway = &mut self.gateways[arrived.gateway];
         gateway.queue.remove(&key);
-        let admission = AdmissionAsk {
+        let admission = AdmissionRequest {
             objective: OBJECTIVE,
             timeout: TIMEOUT,
             time_left: arrived.time_left,
             age: self.now - self.start - arrived.arrived,
-            standing: ShareStanding::Within,
+            standing: ShareStatus::Within,
             behind_others: gateway.queue.first().is_some_and(|first| *first < key),
-            node_leaves: false,
+            node_is_draining: false,
         };
-        let mut requirements = Wanted {
+        let mut requirements = BackendRequirements {
             service: &self.service,
             attempts: &arrived.attempts,
             affinity: None,
@@ -385,7 +385,7 @@
         let sent = &mut self.requests[request];
         let fleet = &mut self.gateways[sent.gateway].fleet;
         fleet.reported(self.now, &incarnation, load);
-        fleet.observed(self.now, &incarnation, Impression::Full);
+        fleet.observed(self.now, &incarnation, BackendOutcome::Full);
         fleet.ended(self.now, &incarnation);
         match sent.attempts.ended(&incarnation, SendEnd::NotRun) {
             Next::SendAgain => self.decide(request),
@@ -418,7 +418,7 @@
         let (expected, began_after) = (started.expected_wait, started.began_after);
         fleet.began(self.now, &self.service, expected, began_after);
         fleet.reported(self.now, &incarnation, self.engines[engine].load());
-        fleet.observed(self.now, &incarnation, Impression::Answered);
+        fleet.observed(self.now, &incarnation, BackendOutcome::Answered);
     }
 
     fn end(&mut self, engine: usize, request: Option<usize>) {
@@ -452,7 +452,7 @@
         let gateway = &mut self.gateways[reporter];
         gateway
             .fleet
-            .learned_others(self.now, &others, &mut self.random);
+            .apply_remote_load(self.now, &others, &mut self.random);
         self.schedule(interval, Event::Exchange(reporter));
         self.decide_queued(reporter);
     }
--- a/crates/firshore-gateway/tests/pace.rs
+++ b/crates/firshore-gateway/tests/pace.rs
@@ -1,7 +1,7 @@
 //! Estimate of a back end's pace from its reports, the pauses of streams, and failures.
 
 use firshore_adapter::backend::Pace;
-use firshore_gateway::pace::{AnswerQuality, PaceEstimate, UsualPause};
+use firshore_gateway::pace::{ResponseQuality, PaceEstimate, TypicalPause};
 use std::time::{Duration, Instant};
 
 /// Length of a temporary slowdown.
@@ -42,7 +42,7 @@
     let now = Instant::now();
     let mut estimate = PaceEstimate::default();
     assert_eq!((estimate.pace(now), estimate.factor(now)), (None, 1.0));
-    estimate.answered(now, AnswerQuality::Failed);
+    estimate.answered(now, ResponseQuality::Failed);
     assert_eq!(estimate.factor(now), 1.0, "no pace was reported");
 }
 
@@ -112,7 +112,7 @@
     let mut estimate = PaceEstimate::default();
     estimate.told(start, pace(60));
     for _ in 0..20 {
-        estimate.answered(start, AnswerQuality::Failed);
+        estimate.answered(start, ResponseQuality::Failed);
     }
     assert!(estimate.factor(start) > 2.0);
     assert_near(estimate.pace(start).unwrap(), 0.6);
@@ -120,11 +120,11 @@
     for _ in 0..40 {
         now = after(now, 20);
         estimate.told(now, pace(60));
-        estimate.answered(now, AnswerQuality::Good);
+        estimate.answered(now, ResponseQuality::Good);
     }
     assert_near(estimate.factor(now), 0.6);
     // Without further failures the penalty expires after some seconds.
-    estimate.answered(now, AnswerQuality::Failed);
+    estimate.answered(now, ResponseQuality::Failed);
     let later = after(now, 5_000);
     assert_eq!(Some(estimate.factor(later)), estimate.pace(later));
 }
@@ -132,7 +132,7 @@
 #[test]
 fn pauses_of_streams_reveal_a_slow_engine_without_reports() {
     let start = Instant::now();
-    let mut typical = UsualPause::default();
+    let mut typical = TypicalPause::default();
     let mut estimates = [PaceEstimate::default(); 4];
     let pauses = [40, 40, 40, 100].map(Duration::from_millis);
     for round in 0..200 {
@@ -160,7 +160,7 @@
 #[test]
 fn a_few_pauses_or_one_stall_have_no_effect() {
     let now = Instant::now();
-    let mut typical = UsualPause::default();
+    let mut typical = TypicalPause::default();
     let mut estimate = PaceEstimate::default();
     for _ in 0..10 {
         estimate.paused(now, typical.seen(Duration::from_millis(40)));
--- a/crates/firshore-gateway/tests/pressure.rs
+++ b/crates/firshore-gateway/tests/pressure.rs
@@ -1,12 +1,12 @@
 //! Counting and serialization of the pressure of online requests on services.
 
-use firshore_gateway::pressure::{PressureCount, PressureFigure, ServicePressure};
+use firshore_gateway::pressure::{PressureCounter, PressureCounts, ServicePressure};
 use firshore_types::ids::ServiceName;
 
 #[test]
 fn counts_are_reported_once() {
     let (chat, desk) = (ServiceName::from("chat"), ServiceName::from("desk"));
-    let mut count = PressureCount::default();
+    let mut count = PressureCounter::default();
     count.waited(&chat);
     count.late(&chat);
     count.late(&chat);
@@ -14,14 +14,14 @@
     count.reported(&chat, 5);
     count.reported(&desk, 0);
     let reported = count.take();
-    let chat_counts = PressureFigure {
+    let chat_counts = PressureCounts {
         waiting: 6,
         late: 2,
         refused: 0,
     };
-    let desk_counts = PressureFigure {
+    let desk_counts = PressureCounts {
         refused: 1,
-        ..PressureFigure::default()
+        ..PressureCounts::default()
     };
     assert_eq!(reported[0].figure, chat_counts);
     assert_eq!(reported[1].figure, desk_counts);
@@ -31,19 +31,19 @@
 
 #[test]
 fn a_service_without_pressure_is_not_reported() {
-    let mut count = PressureCount::default();
+    let mut count = PressureCounter::default();
     count.reported(&"chat".into(), 0);
     assert_eq!(count.take(), Vec::new());
 }
 
 #[test]
 fn reports_of_others_are_added() {
-    let mut first = PressureCount::default();
-    let mut second = PressureCount::default();
+    let mut first = PressureCounter::default();
+    let mut second = PressureCounter::default();
     first.late(&"chat".into());
     second.late(&"chat".into());
     second.waited(&"desk".into());
-    let mut sum = PressureCount::default();
+    let mut sum = PressureCounter::default();
     sum.told(&first.take());
     sum.told(&second.take());
     let sums: Vec<(String, u32)> = sum
@@ -58,9 +58,9 @@
 fn zero_counts_are_not_serialized() {
     let pressure = ServicePressure {
         service: "chat".into(),
-        figure: PressureFigure {
+        figure: PressureCounts {
             late: 3,
-            ..PressureFigure::default()
+            ..PressureCounts::default()
         },
     };
     let json = serde_json::to_string(&pressure).unwrap();
--- a/crates/firshore-gateway/tests/room.rs
+++ b/crates/firshore-gateway/tests/room.rs
@@ -4,9 +4,9 @@
 use firshore_adapter::backend::{Backend, ReportedLoad};
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_adapter::route::Repetition;
-use firshore_admission::admission::RoomOutlook;
+use firshore_admission::admission::CapacityOutlook;
 use firshore_gateway::attempts::Attempts;
-use firshore_gateway::fleet::{Fleet, Wanted};
+use firshore_gateway::fleet::{Fleet, BackendRequirements};
 use firshore_types::ids::ServiceName;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -50,7 +50,7 @@
     for _ in 0..100 {
         fleet.served(&"llm".into(), FIRST_EVENT, REST);
     }
-    fleet.set_picture_interval(LONG_INTERVAL);
+    fleet.set_view_interval(LONG_INTERVAL);
     fleet
 }
 
@@ -63,13 +63,13 @@
         (name, others)
     });
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    fleet.learned_others(now, &others.collect::<HashMap<_, _>>(), &mut random);
+    fleet.apply_remote_load(now, &others.collect::<HashMap<_, _>>(), &mut random);
 }
 
-fn outlook(fleet: &Fleet, now: Instant) -> RoomOutlook {
+fn outlook(fleet: &Fleet, now: Instant) -> CapacityOutlook {
     let service = ServiceName::from("llm");
     let attempts = Attempts::new(Repetition::Idempotent, 1);
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -94,15 +94,15 @@
 fn a_current_view_yields_the_expected_wait() {
     let now = Instant::now();
     let mut fleet = fleet(10);
-    fleet.set_picture_interval(Duration::from_millis(30));
+    fleet.set_view_interval(Duration::from_millis(30));
     apply_view(&mut fleet, now, &[8; 10]);
     let at = outlook(&fleet, now);
-    assert!(at.has_place, "the first queued request begins in time");
+    assert!(at.has_slot, "the first queued request begins in time");
     assert!(at.is_scarce);
     let expected = (FIRST_EVENT + REST).mul_f32(1.0 / SLOTS as f32);
     assert!(at.begin_delay.abs_diff(expected) < Duration::from_millis(2));
     apply_view(&mut fleet, now, &[12; 10]);
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
     apply_view(&mut fleet, now, &[5; 10]);
     assert!(!outlook(&fleet, now).is_scarce);
 }
@@ -112,11 +112,11 @@
 fn one_free_back_end_of_many_is_no_capacity() {
     let now = Instant::now();
     let mut fleet = fleet(20);
-    fleet.set_picture_interval(Duration::from_millis(30));
+    fleet.set_view_interval(Duration::from_millis(30));
     let mut held = [14; 20];
     held[3] = 2;
     apply_view(&mut fleet, now, &held);
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 /// Requests that waited longer than expected indicate load that the view doesn't contain yet.
@@ -124,22 +124,22 @@
 fn unexpected_waits_reduce_the_capacity_of_a_full_service() {
     let now = Instant::now();
     let mut fleet = fleet(10);
-    fleet.set_picture_interval(Duration::from_millis(30));
+    fleet.set_view_interval(Duration::from_millis(30));
     apply_view(&mut fleet, now, &[8; 10]);
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     let began_after = FIRST_EVENT + Duration::from_millis(400);
     for _ in 0..10 {
         fleet.began(now, &"llm".into(), Duration::ZERO, began_after);
     }
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
     apply_view(&mut fleet, now, &[3; 10]);
     assert!(
-        outlook(&fleet, now).has_place,
+        outlook(&fleet, now).has_slot,
         "with free slots, single slow back ends are the cause"
     );
     let later = now + Duration::from_secs(2);
     apply_view(&mut fleet, later, &[8; 10]);
-    assert!(outlook(&fleet, later).has_place, "the correction expires");
+    assert!(outlook(&fleet, later).has_slot, "the correction expires");
 }
 
 #[test]
@@ -148,7 +148,7 @@
     let mut fleet = fleet(10);
     apply_view(&mut fleet, now, &[4; 10]);
     let outlook = outlook(&fleet, now);
-    assert!(outlook.has_place);
+    assert!(outlook.has_slot);
     assert!(!outlook.is_scarce);
     assert_eq!(outlook.begin_delay, Duration::ZERO);
 }
@@ -168,8 +168,8 @@
         let others = others.iter().enumerate();
         let others = others.map(|(number, held)| (incarnation(number).name, *held));
         let mut random = ChaCha8Rng::seed_from_u64(u64::from(node));
-        fleet.learned_others(now, &others.collect(), &mut random);
-        admitting += u32::from(outlook(&fleet, now).has_place);
+        fleet.apply_remote_load(now, &others.collect(), &mut random);
+        admitting += u32::from(outlook(&fleet, now).has_slot);
     }
     // 20 slots are free, minus those that the node itself holds. The nodes together must not use them several times.
     assert!(admitting > 0);
@@ -182,19 +182,19 @@
     let mut fleet = fleet(4);
     fleet.started(now, &incarnation(2));
     apply_view(&mut fleet, now, &[8; 4]);
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
     fleet.ended(now, &incarnation(2));
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     let later = now + Duration::from_millis(60);
     assert!(
-        !outlook(&fleet, later).has_place,
+        !outlook(&fleet, later).has_slot,
         "other nodes may have used it"
     );
     fleet.started(now, &incarnation(1));
     fleet.ended(now, &incarnation(1));
     let at = outlook(&fleet, now);
     assert!(
-        at.has_place,
+        at.has_slot,
         "the slot at the second back end is still free"
     );
 }
@@ -206,9 +206,9 @@
     fleet.started(now, &incarnation(0));
     apply_view(&mut fleet, now, &[7]);
     fleet.ended(now, &incarnation(0));
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     fleet.started(now, &incarnation(0));
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 #[test]
@@ -218,7 +218,7 @@
     fleet.started(now, &incarnation(0));
     apply_view(&mut fleet, now, &[9]);
     fleet.ended(now, &incarnation(0));
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 /// Short requests may wait for many others and still begin in time.
@@ -230,9 +230,9 @@
         fleet.served(&"llm".into(), Duration::from_millis(15), Duration::ZERO);
     }
     apply_view(&mut fleet, now, &[20; 2]);
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     apply_view(&mut fleet, now, &[60; 2]);
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 /// A third of the gateways is isolated from the others but not from back ends: views contain two thirds of the
@@ -261,13 +261,13 @@
     let mut fleet = fleet(20);
     report_load(&mut fleet, now, 3, 3, 0);
     let at = outlook(&fleet, now);
-    assert!(at.has_place);
+    assert!(at.has_slot);
     for number in 0..20 {
         report_load(&mut fleet, now, number, SLOTS, 1);
     }
     let at = outlook(&fleet, now);
     assert!(at.is_scarce);
-    assert!(!at.has_place);
+    assert!(!at.has_slot);
 }
 
 #[test]
@@ -289,7 +289,7 @@
     let mut fleet = idle_fleet(20);
     let mut sent = 0;
     for number in 0..20 {
-        if outlook(&fleet, start).has_place {
+        if outlook(&fleet, start).has_slot {
             fleet.started(start, &incarnation(number));
             sent += 1;
         }
@@ -297,12 +297,12 @@
     assert_eq!(sent, 4);
     let later = start + Duration::from_millis(400);
     assert!(
-        outlook(&fleet, later).has_place,
+        outlook(&fleet, later).has_slot,
         "it keeps admitting some requests"
     );
     report_load(&mut fleet, later, 0, 2, 0);
     let at = outlook(&fleet, later);
-    assert!(at.has_place);
+    assert!(at.has_slot);
     assert!(!at.is_scarce);
 }
 
@@ -339,13 +339,13 @@
     for number in 0..4 {
         fleet.started(now, &incarnation(number));
     }
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
     fleet.began(now, &"llm".into(), Duration::ZERO, FIRST_EVENT);
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     for _ in 0..20 {
         fleet.began(now, &"llm".into(), Duration::ZERO, REST);
     }
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 /// Nodes reuse the slots of their completed requests; without an exception, a node that starts later would refuse
@@ -355,19 +355,19 @@
     for interval in [Duration::from_millis(30), LONG_INTERVAL] {
         let now = Instant::now();
         let mut fleet = idle_fleet(4);
-        fleet.set_picture_interval(interval);
+        fleet.set_view_interval(interval);
         apply_view(&mut fleet, now, &[20; 4]);
-        assert!(outlook(&fleet, now).has_place, "{interval:?}");
+        assert!(outlook(&fleet, now).has_slot, "{interval:?}");
         assert!(has_backend(&fleet, now), "{interval:?}");
         fleet.started(now, &incarnation(1));
-        assert!(!outlook(&fleet, now).has_place, "{interval:?}");
+        assert!(!outlook(&fleet, now).has_slot, "{interval:?}");
     }
 }
 
 fn has_backend(fleet: &Fleet, now: Instant) -> bool {
     let service = ServiceName::from("llm");
     let attempts = Attempts::new(Repetition::Idempotent, 1);
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
--- a/crates/firshore-gateway/tests/suspended.rs
+++ b/crates/firshore-gateway/tests/suspended.rs
@@ -4,8 +4,8 @@
 mod support;
 
 use firshore_adapter::tenant::{RateLimit, Tenant};
-use firshore_gateway::belief::BeliefSource;
-use firshore_limits::report::{TenantDigest, TenantPicture, UsageNews};
+use firshore_gateway::belief::FreshnessSource;
+use firshore_limits::report::{TenantDigest, TenantView, UsageResponse};
 use firshore_stand_in::backend::Play;
 use serde_json::json;
 use std::time::Duration;
@@ -23,7 +23,7 @@
         let fixture = fixture(configuration, &[&[]], Play::Whole).await;
         let freshness = &fixture.gateway.beliefs.configuration;
         freshness.limit_age(Duration::from_secs(2));
-        freshness.confirm(firshore_clock::now(), BeliefSource::Store);
+        freshness.confirm(firshore_clock::now(), FreshnessSource::Store);
         assert_eq!(status(fixture.address).await, 404);
         firshore_clock::simulate_suspension(SUSPENSION);
         assert_eq!(status(fixture.address).await, 503);
@@ -52,21 +52,21 @@
                 burst: 1_000.0,
             }),
         };
-        let view = TenantPicture {
+        let view = TenantView {
             tenant: TenantDigest::from(&ann.name),
             left: 1_000.0,
             next: 1_000.0,
             demand: 1_000.0,
         };
-        let response = UsageNews {
+        let response = UsageResponse {
             pictures: vec![view],
             ledger: 1,
             complete: true,
         };
         let _ = fixture.gateway.admit(&ann);
         let now = firshore_clock::now().into_std();
-        fixture.gateway.report_uses(now);
-        fixture.gateway.learned_uses(Some((now, &response)));
+        fixture.gateway.take_usage_report(now);
+        fixture.gateway.apply_usage_report(Some((now, &response)));
         let admitted = || {
             (0..300)
                 .filter(|_| fixture.gateway.admit(&ann).is_ok())
--- a/crates/firshore-gateway/tests/uneven.rs
+++ b/crates/firshore-gateway/tests/uneven.rs
@@ -5,7 +5,7 @@
 use firshore_adapter::incarnation::Incarnation;
 use firshore_adapter::route::Repetition;
 use firshore_gateway::attempts::Attempts;
-use firshore_gateway::fleet::{Fleet, Wanted};
+use firshore_gateway::fleet::{Fleet, BackendRequirements};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -141,13 +141,13 @@
         leaving: false,
     });
     fleet.replace(listed.collect());
-    fleet.set_picture_interval(Duration::from_millis(VIEW_INTERVAL_MS));
+    fleet.set_view_interval(Duration::from_millis(VIEW_INTERVAL_MS));
     fleet
 }
 
 /// Reports the loads and paces of each gateway to all others.
 fn exchange_loads(fleets: &mut [Fleet], at: Instant, random: &mut impl Rng) {
-    let mut paces: Vec<_> = fleets.iter_mut().map(Fleet::take_untold_paces).collect();
+    let mut paces: Vec<_> = fleets.iter_mut().map(Fleet::take_unreported_paces).collect();
     for reports in &mut paces {
         reports.sort_by_key(|report| report.backend.clone());
     }
@@ -166,13 +166,13 @@
                 *others.entry(name.clone()).or_default() += count;
             }
         }
-        fleet.learned_others(at, &others, random);
+        fleet.apply_remote_load(at, &others, random);
         for (_, reports) in paces
             .iter()
             .enumerate()
             .filter(|(other, _)| *other != number)
         {
-            fleet.learned_paces(at, reports.clone());
+            fleet.apply_remote_paces(at, reports.clone());
         }
     }
 }
@@ -186,7 +186,7 @@
     let (mut world, start) = (World::new(), Instant::now());
     let mut fleets: Vec<Fleet> = (0..GATEWAYS).map(|_| new_fleet()).collect();
     let (service, attempts) = ("llm".into(), Attempts::new(Repetition::Idempotent, 1));
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
