--- a/crates/firshore-node/src/runner/stepping_aside.rs
+++ b/crates/firshore-node/src/runner/stepping_aside.rs
@@ -1,7 +1,7 @@
 //! Joins what is decided on giving way to what runs.
 
-use super::give_way::{HeldRun, ServiceRoom};
-use super::work_ahead::ItemOutlook;
+use super::backlog::DeadlineRisk;
+use super::preemption::{PreemptibleRun, ServiceUsage};
 use super::{ItemKey, Run, Runner};
 use firshore_adapter::jobs::caller_id;
 use firshore_gateway::fleet::Fleet;
@@ -21,22 +21,22 @@
         let mut way = self.way.borrow_mut();
         for pressure in &told {
             let pressed = way.is_pressed(&pressure.service);
-            way.told(now, room(&pressure.service), pressure);
+            way.record_pressure(now, room(&pressure.service), pressure);
             if !pressed && way.is_pressed(&pressure.service) {
                 info!(self.gateway.log, "runner: Items give way."; "service" => %pressure.service,
-                    "waiting" => pressure.figure.waiting, "late" => pressure.figure.late,
-                    "refused" => pressure.figure.refused, "running" => self.running());
+                    "waiting" => pressure.counts.waiting, "late" => pressure.counts.late,
+                    "refused" => pressure.counts.refused, "running" => self.running());
             }
         }
-        way.pass(now, room);
+        way.advance(now, room);
         let mut work = self.work.borrow_mut();
         for (service, room) in &rooms {
-            work.saw_room(now, service, room.slots.saturating_sub(room.online));
+            work.record_free_slots(now, service, room.slots.saturating_sub(room.online));
         }
     }
 
     /// The room of each service, and what online requests use of it.
-    fn rooms(&self, now: Instant) -> HashMap<ServiceName, ServiceRoom> {
+    fn rooms(&self, now: Instant) -> HashMap<ServiceName, ServiceUsage> {
         let fleet = self.gateway.fleet.borrow();
         let running = self.running.borrow();
         let mut items: HashMap<&ServiceName, u32> = HashMap::new();
@@ -46,7 +46,7 @@
         let rooms = fleet.services().map(|service| {
             let occupancy = fleet.occupancy(now, service);
             let own = items.get(service).copied().unwrap_or(0);
-            let room = ServiceRoom {
+            let room = ServiceUsage {
                 slots: occupancy.slots,
                 online: occupancy.held.saturating_sub(own),
             };
@@ -71,12 +71,12 @@
         for service in pressed {
             let runs = self.held_runs(now, &service);
             let room = rooms.get(&service).copied().unwrap_or_default();
-            let stopped = self.way.borrow_mut().step_aside(&service, room, runs);
+            let stopped = self.way.borrow_mut().runs_to_preempt(&service, room, runs);
             self.stop_runs(&stopped);
         }
     }
 
-    fn stop_runs(&self, stopped: &[HeldRun]) {
+    fn stop_runs(&self, stopped: &[PreemptibleRun]) {
         let mut running = self.running.borrow_mut();
         for held in stopped {
             let Some(run) = running.remove(&held.key) else {
@@ -91,8 +91,8 @@
     }
 
     /// Runs of a service, as the decision sees them.
-    fn held_runs(&self, now: Instant, service: &ServiceName) -> Vec<HeldRun> {
-        let calm_share = self.way.borrow().calm_share(service);
+    fn held_runs(&self, now: Instant, service: &ServiceName) -> Vec<PreemptibleRun> {
+        let calm_share = self.way.borrow().calm_fraction(service);
         let fleet = self.gateway.fleet.borrow();
         let running = self.running.borrow();
         let of_service = running.iter().filter(|(_, run)| run.service == *service);
@@ -107,13 +107,13 @@
         key: &ItemKey,
         run: &Run,
         calm_share: f32,
-    ) -> HeldRun {
+    ) -> PreemptibleRun {
         let produced = self.produced(key);
         let work = self.work.borrow();
-        HeldRun {
+        PreemptibleRun {
             key: key.clone(),
             load: fleet.load(now, &run.backend).unwrap_or(0.0),
-            outlook: work.outlook(now, &run.service, &run.due, produced, calm_share),
+            deadline_risk: work.deadline_risk(now, &run.service, &run.due, produced, calm_share),
             urgency: run.due.urgency(now),
             produced,
         }
@@ -134,12 +134,12 @@
         service: &ServiceName,
         waiting: &super::schedule::WaitingItem<'_>,
         behind: bool,
-    ) -> ItemOutlook {
-        let calm_share = self.way.borrow().calm_share(service);
+    ) -> DeadlineRisk {
+        let calm_share = self.way.borrow().calm_fraction(service);
         let work = self.work.borrow();
-        let alone = work.outlook(now, service, &waiting.due, waiting.produced, calm_share);
+        let alone = work.deadline_risk(now, service, &waiting.due, waiting.produced, calm_share);
         match behind {
-            true => alone.max(ItemOutlook::Pressed),
+            true => alone.max(DeadlineRisk::High),
             false => alone,
         }
     }
--- a/crates/firshore-node/src/runner/telling.rs
+++ b/crates/firshore-node/src/runner/telling.rs
@@ -1,9 +1,9 @@
 //! Tells the nodes of the other replicas what items have produced, so that one that leads next goes
 //! on from there.
 
-use super::handover::{ProgressDelta, Told, ToldThrough};
+use super::handover::{DeltaEnd, ProgressDelta, SentProgress};
 use super::progress::ItemProgress;
-use super::progress_keeper::Leadership;
+use super::progress_store::Leadership;
 use super::{ItemKey, Runner};
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use firshore_types::ids::NodeName;
@@ -29,8 +29,8 @@
 impl Runner {
     /// Tells the nodes of the other replicas what items have produced, while this node leads.
     pub(super) async fn tell_others(self: Rc<Self>) {
-        let mut told: HashMap<NodeName, Told> = HashMap::new();
-        let mut kept = Told::default();
+        let mut told: HashMap<NodeName, SentProgress> = HashMap::new();
+        let mut kept = SentProgress::default();
         let mut leadership = Leadership::default();
         loop {
             actix_rt::time::sleep(TELL_INTERVAL).await;
@@ -46,7 +46,7 @@
                 // What was told before may be of other runs.
                 leadership = current;
                 told.clear();
-                kept = Told::default();
+                kept = SentProgress::default();
             }
             self.keep(leadership, &mut kept);
             let replicas = status.membership.replicas.iter();
@@ -62,12 +62,12 @@
     }
 
     /// Keeps what items have produced on this node, for the case that all processes end.
-    fn keep(&self, leadership: Leadership, kept: &mut Told) {
+    fn keep(&self, leadership: Leadership, kept: &mut SentProgress) {
         let deltas = self.untold(kept, usize::MAX);
-        let sent: Vec<ToldThrough> = deltas.iter().map(ProgressDelta::through).collect();
+        let sent: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::end).collect();
         let mut keeper = self.journal.progress.borrow_mut();
-        let gaps = keeper.told(leadership, deltas);
-        kept.answered(sent, gaps);
+        let gaps = keeper.apply(leadership, deltas);
+        kept.acknowledge(sent, gaps);
         let progress = self.progress.borrow();
         keeper.keep(|key| progress.contains_key(key));
     }
@@ -78,21 +78,21 @@
         &self,
         leadership: Leadership,
         node: NodeName,
-        mut told: Told,
-    ) -> (NodeName, Told) {
+        mut told: SentProgress,
+    ) -> (NodeName, SentProgress) {
         for _ in 0..MOST_TELLS {
             let deltas = self.untold(&mut told, TELL_BYTES);
             if deltas.is_empty() {
                 break;
             }
-            let sent: Vec<ToldThrough> = deltas.iter().map(ProgressDelta::through).collect();
+            let sent: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::end).collect();
             let request = PeerRequest::Progress { leadership, deltas };
             let call = self.journal.ask(&node, request);
             match timeout(TELL_TIMEOUT, call).await {
-                Ok(Some(PeerResponse::Gaps(gaps))) => told.answered(sent, gaps),
+                Ok(Some(PeerResponse::Gaps(gaps))) => told.acknowledge(sent, gaps),
                 _ => {
                     // It may hold anything: it is told from the start.
-                    told = Told::default();
+                    told = SentProgress::default();
                     break;
                 }
             }
@@ -101,7 +101,7 @@
     }
 
     /// What has not been told, up to about `bytes` of events.
-    fn untold(&self, told: &mut Told, bytes: usize) -> Vec<ProgressDelta> {
+    fn untold(&self, told: &mut SentProgress, bytes: usize) -> Vec<ProgressDelta> {
         let progress = self.progress.borrow();
         told.keep(|key| progress.contains_key(key));
         let items = progress.iter().map(|(key, one)| (key, one.borrow()));
--- a/crates/firshore-node/src/runner/urgency.rs
+++ b/crates/firshore-node/src/runner/urgency.rs
@@ -27,24 +27,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueTime {
     /// When this process first saw the job.
-    pub seen: Instant,
+    pub first_seen: Instant,
     /// When the results are wanted.
-    pub wanted: Option<Instant>,
+    pub deadline: Option<Instant>,
     /// From when on its items may take the last slots.
-    pub pressed_from: Option<Instant>,
+    pub at_risk_from: Option<Instant>,
 }
 
 impl DueTime {
     /// Returns whether the job's items are in danger of being late, but not late yet.
-    pub fn is_pressed(&self, now: Instant) -> bool {
-        let pressed = self.pressed_from.is_some_and(|from| now >= from);
-        pressed && self.wanted.is_some_and(|wanted| now <= wanted)
+    pub fn is_at_risk(&self, now: Instant) -> bool {
+        let pressed = self.at_risk_from.is_some_and(|from| now >= from);
+        pressed && self.deadline.is_some_and(|wanted| now <= wanted)
     }
 
     /// Returns how urgent the job's items are.
     pub fn urgency(&self, now: Instant) -> ItemUrgency {
-        match self.wanted {
-            None => ItemUrgency::Undated(self.seen),
+        match self.deadline {
+            None => ItemUrgency::Undated(self.first_seen),
             Some(wanted) if now <= wanted => ItemUrgency::InTime(wanted),
             Some(wanted) => ItemUrgency::Late(wanted),
         }
@@ -75,9 +75,9 @@
         }
         let submitted = now.checked_sub(age).unwrap_or(now);
         let due = DueTime {
-            seen: now,
-            wanted: due_after.map(|due_after| submitted + due_after),
-            pressed_from: due_after.map(|due_after| submitted + due_after.mul_f64(PATIENT_SHARE)),
+            first_seen: now,
+            deadline: due_after.map(|due_after| submitted + due_after),
+            at_risk_from: due_after.map(|due_after| submitted + due_after.mul_f64(PATIENT_SHARE)),
         };
         self.jobs.insert(job.to_owned(), due);
         due
--- a/crates/firshore-node/src/status_listener.rs
+++ b/crates/firshore-node/src/status_listener.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// What a listener answers.
-pub struct StatusAnswer {
+pub struct StatusResponse {
     /// Status.
     pub status: StatusCode,
     /// Text, empty where the status says all.
@@ -20,7 +20,7 @@
 }
 
 /// Answers with what `answer` returns at that moment.
-pub async fn accept(listener: TcpListener, answer: impl Fn() -> StatusAnswer + 'static) {
+pub async fn accept(listener: TcpListener, answer: impl Fn() -> StatusResponse + 'static) {
     let answer = Rc::new(answer);
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -29,11 +29,11 @@
     }
 }
 
-async fn serve(stream: TcpStream, answer: Rc<impl Fn() -> StatusAnswer>) {
+async fn serve(stream: TcpStream, answer: Rc<impl Fn() -> StatusResponse>) {
     let mut connection = CallerConnection::new(stream);
     let limits = CallerLimits::default();
     while let Incoming::Request(_) = connection.read_request(&limits, pending()).await {
-        let StatusAnswer { status, text } = answer();
+        let StatusResponse { status, text } = answer();
         let mut headers = HeaderMap::new();
         if !text.is_empty() {
             headers.insert(CONTENT_TYPE, HeaderValue::from_static(TEXT));
--- a/crates/firshore-node/src/watcher.rs
+++ b/crates/firshore-node/src/watcher.rs
@@ -1,6 +1,6 @@
-//! Asks the store what an [`Observation`] wants to know, for as long as the node lives.
+//! Asks the store what an [`ListWatch`] wants to know, for as long as the node lives.
 
-use crate::observation::{Learned, ListingRefusal, Observation, Question, Terms};
+use crate::list_watch::{ListWatch, ListingRefusal, ObjectUpdate, StoreQuery, WatchOptions};
 use crate::refusals::RefusalLog;
 use firshore_adapter::objects::{ObjectError, ObjectStore, Revision};
 use rand::RngExt;
@@ -18,14 +18,14 @@
     /// Kind of the objects.
     pub kind: String,
     /// On which terms.
-    pub terms: Terms,
+    pub options: WatchOptions,
     /// Wakes a watch that waits, to ask anew at once.
     pub renewal: Rc<Notify>,
 }
 
 /// Follows all objects of a kind and hands on what is learned.
-pub async fn follow(watcher: Watcher, learn: impl Fn(Learned)) {
-    let step = |learned: Option<Learned>, _: &Observation, _: Instant| {
+pub async fn follow(watcher: Watcher, learn: impl Fn(ObjectUpdate)) {
+    let step = |learned: Option<ObjectUpdate>, _: &ListWatch, _: Instant| {
         if let Some(learned) = learned {
             learn(learned);
         }
@@ -36,40 +36,40 @@
 /// Follows all objects of a kind; tells after each answer what was learned, if anything, how the
 /// observation stands, and as of when: a listing tells the store as its first page was asked for, an
 /// answer to a watch as it arrives.
-pub async fn observe(watcher: Watcher, step: impl Fn(Option<Learned>, &Observation, Instant)) {
+pub async fn observe(watcher: Watcher, step: impl Fn(Option<ObjectUpdate>, &ListWatch, Instant)) {
     let Watcher {
         log,
         store,
         kind,
-        terms,
+        options,
         renewal,
     } = watcher;
-    let mut observation = Observation::new(terms);
+    let mut observation = ListWatch::new(options);
     let mut refusals = RefusalLog::default();
     let mut as_of = firshore_clock::now();
     loop {
-        let pause = observation.pause();
+        let pause = observation.delay();
         if !pause.is_zero() {
             // Nodes that lost the store together must not return together.
             let spread = pause.mul_f64(rand::rng().random_range(0.5..1.0));
             actix_rt::time::sleep(spread).await;
         }
         let connected = observation.is_connected();
-        let learned = match observation.question() {
-            Question::List(after) => {
+        let learned = match observation.next_query() {
+            StoreQuery::List(after) => {
                 if after.is_none() {
                     as_of = firshore_clock::now();
                 }
                 let page = store.list(&kind, after.as_deref()).await;
                 note(&log, &kind, connected, page.as_ref().err());
                 let revision = page.as_ref().map_or(0, |page| page.revision);
-                let learned = observation.listed(page);
+                let learned = observation.handle_page(page);
                 note_refusal(&log, &kind, observation.refusal());
                 note_unnamed(&log, &kind, &mut refusals, &observation, revision);
                 learned
             }
-            Question::Watch(revision) => {
-                let watching = store.watch(&kind, revision, observation.wait());
+            StoreQuery::Watch(revision) => {
+                let watching = store.watch(&kind, revision, observation.watch_timeout());
                 let changes = tokio::select! {
                     changes = watching => changes,
                     () = renewal.notified() => {
@@ -80,7 +80,7 @@
                 note(&log, &kind, connected, changes.as_ref().err());
                 as_of = firshore_clock::now();
                 let revision = changes.as_ref().map_or(0, |changes| changes.revision);
-                let learned = observation.watched(changes);
+                let learned = observation.handle_changes(changes);
                 note_unnamed(&log, &kind, &mut refusals, &observation, revision);
                 learned
             }
@@ -118,7 +118,7 @@
     log: &Logger,
     kind: &str,
     refusals: &mut RefusalLog,
-    observation: &Observation,
+    observation: &ListWatch,
     revision: Revision,
 ) {
     let count = observation.unnamed();
--- a/crates/firshore-node/tests/cluster/mod.rs
+++ b/crates/firshore-node/tests/cluster/mod.rs
@@ -10,16 +10,16 @@
 use firshore_link::handshake::ClusterSecret;
 use firshore_metrics::Builder;
 use firshore_node::journal::client::JournalClient;
-use firshore_node::journal::duties::{Duties, MakeAsker};
-use firshore_node::journal::group_keeper::GroupKeeper;
-use firshore_node::journal::maintenance::{self, Upkeep};
+use firshore_node::journal::group_manager::GroupManager;
+use firshore_node::journal::leader_tasks::{LeaderTasks, RelayClientFactory};
+use firshore_node::journal::maintenance::{self, MaintenanceTask};
 use firshore_node::journal::registry::{KIND, NodeRecord, Registry};
 use firshore_node::journal::retirement::Retirements;
 use firshore_node::journal::{Journal, NodeRelays, PeerClient};
+use firshore_node::list_watch::WatchOptions;
 use firshore_node::metrics::RunnerMetrics;
-use firshore_node::observation::Terms;
-use firshore_node::relay::asker::RelayAsker;
 use firshore_node::relay::budget::FreshnessBudget;
+use firshore_node::relay::client::RelayClient;
 use firshore_node::relay::loads::LoadRelay;
 use firshore_node::relay::{Relay, RelayedKind};
 use firshore_node::runner::Runner;
@@ -114,16 +114,16 @@
 }
 
 /// Makes who asks relays for a node of a test.
-fn asker(number: usize, registry: &Rc<Registry>) -> MakeAsker {
+fn asker(number: usize, registry: &Rc<Registry>) -> RelayClientFactory {
     let registry = registry.clone();
-    Rc::new(move || RelayAsker {
+    Rc::new(move || RelayClient {
         node: format!("n{number}").as_str().into(),
         zone: format!("z{number}").as_str().into(),
         registry: registry.clone(),
         peers: peers(),
         log: log(),
-        heard: Rc::new(|_, _| {}),
-        passed_over: RefCell::default(),
+        on_contact: Rc::new(|_, _| {}),
+        excluded: RefCell::default(),
     })
 }
 
@@ -131,11 +131,11 @@
 pub fn relayed_kinds() -> Vec<RelayedKind> {
     let kinds = [BACKENDS, CONFIGURATION].map(|name| RelayedKind {
         name: name.to_owned(),
-        terms: Terms {
+        terms: WatchOptions {
             history: Duration::from_secs(20),
             spacing: Duration::from_millis(100),
             creation_spacing: Duration::from_millis(100),
-            longest_wait: budget().watch_wait(),
+            max_wait: budget().watch_wait(),
         },
         budget: budget(),
     });
@@ -172,14 +172,14 @@
     let journal = Journal::start(&settings, &storage, registry, relays, &peers(), &log()).await;
     let journal = journal.expect("the port and the folder are free");
     let retirements = Rc::new(Retirements::default());
-    let duties = Duties {
+    let duties = LeaderTasks {
         gateway: gateway.clone(),
         journal: journal.clone(),
         retirements: retirements.clone(),
         objects: settings.objects.clone(),
-        asker: Some(make_asker),
+        relay_client: Some(make_asker),
     };
-    let upkeep = Upkeep {
+    let upkeep = MaintenanceTask {
         journal: journal.clone(),
         adapter: gateway.adapter.clone(),
         node: settings.name.clone(),
@@ -189,7 +189,7 @@
             disk: journal.replica.status().disk,
         },
         retirements,
-        keeper: RefCell::new(GroupKeeper::new(journal.terms)),
+        manager: RefCell::new(GroupManager::new(journal.policy)),
     };
     let metrics = RunnerMetrics::new(&mut Builder::default());
     let runner = Runner::new(gateway.clone(), journal.clone(), metrics);
--- a/crates/firshore-node/tests/contact.rs
+++ b/crates/firshore-node/tests/contact.rs
@@ -15,11 +15,11 @@
         !contact.is_lost(now + milliseconds(60_000)),
         "nothing was asked"
     );
-    contact.asked(now, now);
-    contact.asked(now + milliseconds(500), now + milliseconds(500));
+    contact.record_query(now, now);
+    contact.record_query(now + milliseconds(500), now + milliseconds(500));
     assert!(!contact.is_lost(now + milliseconds(999)));
     assert!(contact.is_lost(now + milliseconds(1_000)));
-    contact.heard();
+    contact.record_response();
     assert!(!contact.is_lost(now + milliseconds(1_000)));
 }
 
@@ -27,7 +27,7 @@
 fn a_question_that_may_wait_is_not_overdue_before() {
     let now = Instant::now();
     let mut contact = PeerContact::default();
-    contact.asked(now, now + milliseconds(1_000));
+    contact.record_query(now, now + milliseconds(1_000));
     assert!(!contact.is_lost(now + milliseconds(1_900)));
     assert!(contact.is_lost(now + milliseconds(2_000)));
 }
@@ -36,11 +36,11 @@
 fn a_lost_contact_is_tried_again_where_nobody_else_asks() {
     let now = Instant::now();
     let mut contact = PeerContact::default();
-    contact.asked(now, now);
-    assert!(contact.is_hopeless(now + milliseconds(1_400)));
-    assert!(!contact.is_hopeless(now + milliseconds(1_500)));
-    contact.asked(now + milliseconds(1_500), now + milliseconds(1_500));
-    assert!(contact.is_hopeless(now + milliseconds(1_600)));
-    contact.heard();
-    assert!(!contact.is_hopeless(now + milliseconds(1_600)));
+    contact.record_query(now, now);
+    assert!(contact.should_fail_fast(now + milliseconds(1_400)));
+    assert!(!contact.should_fail_fast(now + milliseconds(1_500)));
+    contact.record_query(now + milliseconds(1_500), now + milliseconds(1_500));
+    assert!(contact.should_fail_fast(now + milliseconds(1_600)));
+    contact.record_response();
+    assert!(!contact.should_fail_fast(now + milliseconds(1_600)));
 }
--- a/crates/firshore-node/tests/copies_world/mod.rs
+++ b/crates/firshore-node/tests/copies_world/mod.rs
@@ -7,7 +7,7 @@
 mod store;
 
 use firshore_log::placement::{self, Candidate, keeps_promises};
-use firshore_node::journal::group_keeper::{KeeperStep, KeeperTerms};
+use firshore_node::journal::group_manager::{GroupAction, GroupPolicy};
 use firshore_replication::message::Envelope;
 use firshore_replication::replica::{Output, ReadToken};
 use firshore_replication::storage::StoredState;
@@ -76,7 +76,7 @@
 /// A played deployment.
 pub struct World {
     sheet: Sheet,
-    terms: KeeperTerms,
+    terms: GroupPolicy,
     random: ChaCha8Rng,
     start: Instant,
     now: u64,
@@ -108,9 +108,9 @@
     /// A group founded on the first machines.
     pub fn new(sheet: Sheet, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let terms = KeeperTerms {
-            target: placement::voters_for(sheet.losses),
-            least: sheet.losses as usize + 1,
+        let terms = GroupPolicy {
+            target_voters: placement::voters_for(sheet.losses),
+            min_disks: sheet.losses as usize + 1,
             catch_up: Duration::from_millis(CATCH_UP),
         };
         let disks: Vec<DiskId> = (0..sheet.machines)
@@ -149,7 +149,7 @@
 
     fn found(&mut self) {
         let all: Vec<Candidate> = self.machines.iter().map(candidate).collect();
-        let membership = placement::founders(&all, &all[0], self.terms.target);
+        let membership = placement::founders(&all, &all[0], self.terms.target_voters);
         for machine in &mut self.machines {
             self.store
                 .nodes
@@ -614,7 +614,7 @@
         for index in 0..self.machines.len() {
             let command = self.random.next_u64().to_be_bytes().to_vec();
             let machine = &mut self.machines[index];
-            let promises = keeps_promises(&machine.status.membership, self.terms.least);
+            let promises = keeps_promises(&machine.status.membership, self.terms.min_disks);
             if !machine.runs() || !machine.status.leads || !promises {
                 continue;
             }
@@ -646,7 +646,7 @@
         let knows_wishes = self.machines[index].status.leads;
         let step = self.step(index, knows_wishes);
         let step = match step {
-            KeeperStep::ListLeaving if self.reaches_store(index) => {
+            GroupAction::ListLeaving if self.reaches_store(index) => {
                 self.machines[index].known.wishes = Some(self.store.wishes.clone());
                 self.step(index, true)
             }
@@ -697,22 +697,22 @@
         true
     }
 
-    fn step(&mut self, index: usize, knows_wishes: bool) -> KeeperStep {
+    fn step(&mut self, index: usize, knows_wishes: bool) -> GroupAction {
         let now = self.start + Duration::from_millis(self.now);
         let machine = &mut self.machines[index];
         let leaving = machine.leaving().filter(|_| knows_wishes);
         let mut keeper = std::mem::replace(
             &mut machine.keeper,
-            firshore_node::journal::group_keeper::GroupKeeper::new(machine.terms),
+            firshore_node::journal::group_manager::GroupManager::new(machine.terms),
         );
         let step = keeper.step(now, &machine.view(self.start, leaving.as_ref()));
         machine.keeper = keeper;
         step
     }
 
-    fn carry_out_step(&mut self, index: usize, step: KeeperStep) {
+    fn carry_out_step(&mut self, index: usize, step: GroupAction) {
         let name = self.machines[index].name.clone();
-        if step != KeeperStep::Rest {
+        if step != GroupAction::Idle {
             self.line(format!("{name}: {step:?}"));
         }
         let late = self.random.random_bool(0.05);
@@ -723,11 +723,11 @@
             return;
         };
         match step {
-            KeeperStep::Rest | KeeperStep::ListLeaving => {}
-            KeeperStep::StepAside(heir) => {
+            GroupAction::Idle | GroupAction::ListLeaving => {}
+            GroupAction::StepAside(heir) => {
                 let _ = replica.transfer_leadership(heir);
             }
-            KeeperStep::Record(record) => {
+            GroupAction::Record(record) => {
                 if machine.known.unsettled || !reaches {
                     return;
                 }
@@ -741,18 +741,18 @@
                     self.store.record(known, record);
                 }
             }
-            KeeperStep::Change(change) => {
+            GroupAction::Change(change) => {
                 let _ = replica.change_membership(&change);
             }
-            KeeperStep::PassOver(disk, _) => {
+            GroupAction::PassOver(disk, _) => {
                 let _ = replica.change_membership(&MembershipChange::Remove(disk));
             }
-            KeeperStep::ContinueWith(survivors) => {
+            GroupAction::ContinueWith(survivors) => {
                 if replica.continue_with(&survivors).is_ok() {
                     machine.open.clear();
                 }
             }
-            KeeperStep::JoinHistory(history) => replica.join_history(history),
+            GroupAction::JoinHistory(history) => replica.join_history(history),
         }
         self.settle(index);
     }
@@ -769,7 +769,7 @@
         let emptied: Vec<NodeName> = leaving
             .open
             .iter()
-            .filter(|node| machine.keeper.is_emptied(&view, node))
+            .filter(|node| machine.keeper.is_drained(&view, node))
             .cloned()
             .collect();
         for node in emptied {
@@ -791,7 +791,7 @@
             return Ok(());
         };
         let copies = self.copies(accepted);
-        let wanted = self.terms.least - self.losses.len();
+        let wanted = self.terms.min_disks - self.losses.len();
         if copies >= wanted {
             return Ok(());
         }
@@ -830,11 +830,11 @@
         let (leaving, staying): (Vec<&Machine>, Vec<&Machine>) =
             there.partition(|one| wishes.contains_key(&one.name));
         let voters = leader.status.membership.voters().count();
-        let enough = leaving.len() + staying.len() >= self.terms.least;
-        if enough && !keeps_promises(&leader.status.membership, self.terms.least) {
+        let enough = leaving.len() + staying.len() >= self.terms.min_disks;
+        if enough && !keeps_promises(&leader.status.membership, self.terms.min_disks) {
             return Err(self.broken(format!("{voters} voters after calm, nothing is promised")));
         }
-        if staying.len() >= self.terms.target && !leaving.is_empty() {
+        if staying.len() >= self.terms.target_voters && !leaving.is_empty() {
             return Err(self.broken(format!("{} is not emptied", leaving[0].name)));
         }
         Ok(())
--- a/crates/firshore-node/tests/copies_world/readers.rs
+++ b/crates/firshore-node/tests/copies_world/readers.rs
@@ -76,7 +76,7 @@
             return false;
         };
         let status = replica.status();
-        let least = self.terms.least;
+        let least = self.terms.min_disks;
         placement::may_show(&status.membership, &status.committed_membership, least)
     }
 
@@ -129,7 +129,7 @@
             return Ok(());
         };
         let copies = self.copies(shown);
-        let wanted = self.terms.least - self.losses.len();
+        let wanted = self.terms.min_disks - self.losses.len();
         if copies >= wanted {
             return Ok(());
         }
--- a/crates/firshore-node/tests/crash_world/callers.rs
+++ b/crates/firshore-node/tests/crash_world/callers.rs
@@ -4,7 +4,7 @@
 use super::backends::Life;
 use super::nodes::SimNode;
 use super::{World, spawn};
-use firshore_crashes::print::{AskedRequest, PrintKey, RequestPrint};
+use firshore_crashes::fingerprint::{FingerprintInput, FingerprintKey, RequestFingerprint};
 use firshore_crashes::report::LostRun;
 use firshore_gateway::crash_monitor::CrashMonitor;
 use std::rc::Rc;
@@ -47,8 +47,8 @@
     NotSent,
 }
 
-fn print(name: &str) -> RequestPrint {
-    PrintKey::new(b"secret").print(&AskedRequest {
+fn print(name: &str) -> RequestFingerprint {
+    FingerprintKey::new(b"secret").fingerprint(&FingerprintInput {
         tenant: None,
         host: "a.example",
         method: "POST",
@@ -88,11 +88,16 @@
     }
 }
 
-async fn fatal_try(world: Rc<World>, node: Rc<SimNode>, print: RequestPrint, fatal: usize) {
+async fn fatal_try(
+    world: Rc<World>,
+    node: Rc<SimNode>,
+    fingerprint: RequestFingerprint,
+    fatal: usize,
+) {
     let Some(monitor) = running_monitor(&node) else {
         return;
     };
-    if monitor.held_back_for(&print).is_some() {
+    if monitor.quarantined_for(&fingerprint).is_some() {
         return;
     }
     let Some(life) = drawn_backend(&world) else {
@@ -107,7 +112,13 @@
     if timeout(run, ended.wait_for(|ended| *ended)).await.is_err() {
         world.park.end(&world, &life, Some(fatal));
     }
-    monitor.broke_off(&life.backend, LostRun { print, reached: 0 });
+    monitor.record_lost_run(
+        &life.backend,
+        LostRun {
+            fingerprint,
+            reached: 0,
+        },
+    );
 }
 
 async fn send_popular(world: Rc<World>, name: String) {
@@ -164,9 +175,9 @@
     let Some(monitor) = running_monitor(&node) else {
         return TryEnd::NotSent;
     };
-    let print = print(name);
+    let fingerprint = print(name);
     world.tries.set(world.tries.get() + 1);
-    if monitor.held_back_for(&print).is_some() {
+    if monitor.quarantined_for(&fingerprint).is_some() {
         world.condemned.borrow_mut().insert(name.to_owned());
         return TryEnd::HeldBack;
     }
@@ -184,7 +195,7 @@
         .await
         .is_ok();
     if !is_lost && !is_reset {
-        monitor.completed(print);
+        monitor.completed(fingerprint);
         return TryEnd::Completed;
     }
     let ran = began.elapsed().as_millis() as u64;
@@ -194,7 +205,13 @@
     if name.starts_with(ITEM) && arrived > 0 {
         return TryEnd::Lost(reached);
     }
-    monitor.broke_off(&life.backend, LostRun { print, reached });
+    monitor.record_lost_run(
+        &life.backend,
+        LostRun {
+            fingerprint,
+            reached,
+        },
+    );
     TryEnd::Lost(reached)
 }
 
--- a/crates/firshore-node/tests/crash_world/nodes.rs
+++ b/crates/firshore-node/tests/crash_world/nodes.rs
@@ -110,7 +110,7 @@
         let PeerRequest::Crashes(question) = request else {
             panic!("{request:?}");
         };
-        let answer = monitor.answer(&question);
+        let answer = monitor.handle_request(&question);
         sleep(LATENCY).await;
         match self.is_cut(from, to) {
             true => pending().await,
@@ -289,7 +289,7 @@
                 peer.monitor().map(|monitor| monitor.cursor())
             };
             if let Ok(Some(cursor)) = timeout(POLL_TIMEOUT, asked).await {
-                exchange.heard(&relay, cursor);
+                exchange.update_cursor(&relay, cursor);
                 break;
             }
         }
--- a/crates/firshore-node/tests/foreign.rs
+++ b/crates/firshore-node/tests/foreign.rs
@@ -8,7 +8,7 @@
 use cluster::{Cluster, log, pause, run};
 use firshore_adapter::objects::{Change, Object};
 use firshore_node::journal::registry::{KIND, NodeRecord, Registry, VoterRecord};
-use firshore_node::observation::Learned;
+use firshore_node::list_watch::ObjectUpdate;
 use firshore_node::refusals::RefusalLog;
 use firshore_replication::types::DiskId;
 use firshore_stand_in::adapter::{BACKENDS, CONFIGURATION};
@@ -120,12 +120,12 @@
 
 fn listed(registry: &Registry, store: &MemoryStore, names: &[&str]) {
     let objects = names.iter().filter_map(|name| store.object(KIND, name));
-    registry.learn(Learned::All(objects.collect()));
+    registry.apply(ObjectUpdate::All(objects.collect()));
 }
 
 fn changed(registry: &Registry, store: &MemoryStore, name: &str) {
     let object = store.object(KIND, name).unwrap();
-    registry.learn(Learned::Changed(vec![Change::Written(object)]));
+    registry.apply(ObjectUpdate::Changed(vec![Change::Written(object)]));
 }
 
 const VOTERS: &str = "voters.0";
@@ -208,8 +208,8 @@
         spec,
         ..Object::default()
     };
-    registry.learn(Learned::All(vec![object(spec, 4)]));
-    registry.learn(Learned::Changed(vec![Change::Written(object(
+    registry.apply(ObjectUpdate::All(vec![object(spec, 4)]));
+    registry.apply(ObjectUpdate::Changed(vec![Change::Written(object(
         json!([]),
         5,
     ))]));
--- a/crates/firshore-node/tests/items.rs
+++ b/crates/firshore-node/tests/items.rs
@@ -4,7 +4,7 @@
 use firshore_adapter::jobs::ItemOutcome;
 use firshore_node::load_table::{BackendCount, LoadTable, as_counts};
 use firshore_node::runner::ItemKey;
-use firshore_node::runner::handover::{HeldItems, ProgressDelta, Told};
+use firshore_node::runner::handover::{HeldItems, ProgressDelta, SentProgress};
 use firshore_node::runner::progress::{ItemProgress, RunEnd, RunLimits};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -42,7 +42,7 @@
         for end in ends {
             assert_eq!(outcome, None, "{name}");
             failures += u32::from(*end == Failed);
-            outcome = progress.ended(now, *end, failures, &LIMITS);
+            outcome = progress.end_run(now, *end, failures, &LIMITS);
         }
         assert_eq!(outcome, expected, "{name}");
     }
@@ -52,12 +52,12 @@
 fn a_stopped_run_goes_on_after_its_last_whole_event() {
     let now = Instant::now();
     let mut progress = ItemProgress::new(now);
-    progress.starts();
+    progress.start_run();
     progress.feed(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
-    progress.starts();
+    progress.start_run();
     assert_eq!(progress.last_event(), Some(1));
     progress.feed(b"id: 2\ndata: b\n\n").unwrap();
-    let outcome = progress.ended(now, RunEnd::Whole, 0, &LIMITS);
+    let outcome = progress.end_run(now, RunEnd::Whole, 0, &LIMITS);
     let events = vec!["a".to_owned(), "b".to_owned()];
     assert_eq!(outcome, Some(ItemOutcome::Done(events)));
     assert_eq!(
@@ -74,7 +74,7 @@
     progress.feed(b"id: 1\ndata: a\n\n").unwrap();
     let spoiled = progress.feed(b"id: 2\ndata: b\n\nid: 4\ndata: d\n\n");
     assert!(spoiled.is_err());
-    assert_eq!(progress.ended(now, RunEnd::Broken, 0, &LIMITS), None);
+    assert_eq!(progress.end_run(now, RunEnd::Broken, 0, &LIMITS), None);
     assert_eq!(progress.last_event(), Some(1));
     assert_eq!(progress.produced(), ["a".to_owned()]);
 }
@@ -84,9 +84,9 @@
     let now = Instant::now();
     let mut progress = ItemProgress::new(now);
     let before = now + GIVE_UP - Duration::from_millis(1);
-    assert_eq!(progress.ended(before, RunEnd::Broken, 0, &LIMITS), None);
-    assert!(progress.is_paused(before));
-    let outcome = progress.ended(now + GIVE_UP, RunEnd::Broken, 0, &LIMITS);
+    assert_eq!(progress.end_run(before, RunEnd::Broken, 0, &LIMITS), None);
+    assert!(progress.is_backing_off(before));
+    let outcome = progress.end_run(now + GIVE_UP, RunEnd::Broken, 0, &LIMITS);
     assert_eq!(outcome, Some(ItemOutcome::GivenUp));
 }
 
@@ -101,14 +101,14 @@
 fn loads_add_up_and_grow_old() {
     let now = Instant::now();
     let mut table = LoadTable::default();
-    table.told(now, "one".into(), told("a", 3));
-    table.told(now, "two".into(), told("a", 4));
-    table.told(now, "two".into(), told("a", 5));
+    table.record(now, "one".into(), told("a", 3));
+    table.record(now, "two".into(), told("a", 4));
+    table.record(now, "two".into(), told("a", 5));
     let sums = |sums: HashMap<BackendName, u32>| as_counts(sums);
     assert_eq!(sums(table.sums().clone()), told("a", 8));
     assert_eq!(sums(table.others(&"two".into())), told("a", 3));
     let later = now + Duration::from_secs(2);
-    table.told(later, "two".into(), told("a", 1));
+    table.record(later, "two".into(), told("a", 1));
     assert_eq!(sums(table.sums().clone()), told("a", 1));
     assert_eq!(table.nodes(), 1);
     table.forget_old(later + Duration::from_secs(2));
@@ -122,19 +122,19 @@
 #[test]
 fn what_is_told_in_parts_is_held_whole() {
     let key = ("job".to_owned(), 3);
-    let mut told = Told::default();
+    let mut told = SentProgress::default();
     let mut held = HeldItems::default();
     for last in [2, 5] {
         let delta = told.delta(&key, &events(1..=last), Some(last)).unwrap();
-        let gaps = held.told(vec![delta.clone()]);
+        let gaps = held.apply(vec![delta.clone()]);
         assert!(gaps.is_empty());
-        told.answered(vec![delta.through()], gaps);
+        told.acknowledge(vec![delta.end()], gaps);
     }
     assert_eq!(told.delta(&key, &events(1..=5), Some(5)), None);
     let all = held.all();
     assert_eq!(all[&key].events, events(1..=5));
     assert_eq!(all[&key].last, Some(5));
-    let begun = ItemProgress::begun(Instant::now(), all[&key].clone());
+    let begun = ItemProgress::resumed(Instant::now(), all[&key].clone());
     assert_eq!(begun.last_event(), Some(5));
 }
 
@@ -144,7 +144,7 @@
     let items: Vec<(ItemKey, Vec<String>)> = (0..50)
         .map(|index| (("job".to_owned(), index), events(1..=10)))
         .collect();
-    let mut told = Told::default();
+    let mut told = SentProgress::default();
     let mut held = HeldItems::default();
     let mut messages = 0;
     loop {
@@ -157,8 +157,8 @@
         }
         let bytes: usize = deltas.iter().map(ProgressDelta::bytes).sum();
         assert!(bytes < LIMIT + 30, "{bytes} bytes in one message");
-        let sent = deltas.iter().map(ProgressDelta::through).collect();
-        told.answered(sent, held.told(deltas));
+        let sent = deltas.iter().map(ProgressDelta::end).collect();
+        told.acknowledge(sent, held.apply(deltas));
         messages += 1;
     }
     assert_eq!(messages, 10);
@@ -168,18 +168,18 @@
 #[test]
 fn a_gap_is_named_and_told_from_the_start() {
     let key = ("job".to_owned(), 3);
-    let mut told = Told::default();
+    let mut told = SentProgress::default();
     let mut held = HeldItems::default();
     let first = told.delta(&key, &events(1..=2), Some(2)).unwrap();
     // The answer came from a node that was started anew right after.
-    told.answered(vec![first.through()], Vec::new());
+    told.acknowledge(vec![first.end()], Vec::new());
     let second = told.delta(&key, &events(1..=4), Some(4)).unwrap();
-    let gaps = held.told(vec![second.clone()]);
+    let gaps = held.apply(vec![second.clone()]);
     assert_eq!(gaps, std::slice::from_ref(&key));
-    told.answered(vec![second.through()], gaps);
+    told.acknowledge(vec![second.end()], gaps);
     let whole = told.delta(&key, &events(1..=4), Some(4)).unwrap();
     assert_eq!(whole.offset, 0);
-    assert!(held.told(vec![whole]).is_empty());
+    assert!(held.apply(vec![whole]).is_empty());
     assert_eq!(held.all()[&key].events, events(1..=4));
 }
 
@@ -194,11 +194,11 @@
         events,
         last: Some(last),
     };
-    held.told(vec![delta(0, events(1..=5), 5)]);
-    held.told(vec![delta(0, events(1..=2), 2)]);
+    held.apply(vec![delta(0, events(1..=5), 5)]);
+    held.apply(vec![delta(0, events(1..=2), 2)]);
     held.keep(|open| *open == key);
     assert_eq!(held.all()[&key].events, events(1..=2));
-    held.told(vec![delta(0, events(1..=2), 2)]);
+    held.apply(vec![delta(0, events(1..=2), 2)]);
     held.keep(|_| false);
     assert!(held.all().is_empty());
 }
--- a/crates/firshore-node/tests/memory.rs
+++ b/crates/firshore-node/tests/memory.rs
@@ -5,7 +5,7 @@
 use cluster::*;
 use firshore_adapter::jobs::{JobId, JobItem};
 use firshore_gateway::gateway::JobService;
-use firshore_node::memory::{ByteCounter, LOG_SHARE, MemoryBudget, MemoryUse};
+use firshore_node::memory::{ByteCounter, LOG_FRACTION, MemoryBudget, MemoryUse};
 use firshore_stand_in::backend::{Play, ScriptedBackend};
 use firshore_types::error::Execution;
 
@@ -38,8 +38,8 @@
         let jobs = most(&jobs).unwrap();
         let progress = most(&|held| budget.admits_new_run(held)).unwrap() * 2;
         let results = most(&|held| held == 0 || budget.admits_results(held, 0)).unwrap();
-        let runs = budget.of_runs(budget.most_runs());
-        let log = (bytes as f64 * LOG_SHARE) as usize;
+        let runs = budget.run_bytes(budget.max_runs());
+        let log = (bytes as f64 * LOG_FRACTION) as usize;
         let all = jobs + progress + results + runs + log;
         assert!(
             (all as f64) < bytes as f64 * COUNTED_SHARE + 64.0 * 1024.0,
--- a/crates/firshore-node/tests/missing_results.rs
+++ b/crates/firshore-node/tests/missing_results.rs
@@ -29,7 +29,7 @@
     let entries = BTreeSet::from([7, 9]);
     for step in 0..25 {
         let now = start + Duration::from_millis(100 * step);
-        missing.note(now, "job", &entries);
+        missing.record(now, "job", &entries);
     }
     let told = lines.0.lock().expect("nobody panics").clone();
     assert_eq!(told, ["journal: Results missing."; 3]);
--- a/crates/firshore-node/tests/pace_table.rs
+++ b/crates/firshore-node/tests/pace_table.rs
@@ -12,7 +12,7 @@
 }
 
 fn news(table: &mut PaceTable, now: Instant, asker: &PaceSource) -> Vec<BackendPace> {
-    let mut news = table.news(now, asker);
+    let mut news = table.take_updates(now, asker);
     news.sort_by_key(|one| one.backend.clone());
     news
 }
@@ -22,14 +22,14 @@
     let now = Instant::now();
     let [one, other] = ["one", "other"].map(|name| PaceSource::Node(name.into()));
     let mut table = PaceTable::default();
-    table.told(now, &one, paces(&[("a", 160), ("b", 60)]));
+    table.record(now, &one, paces(&[("a", 160), ("b", 60)]));
     assert_eq!(news(&mut table, now, &one), [], "it heard them itself");
     assert_eq!(
         news(&mut table, now, &other),
         paces(&[("a", 160), ("b", 60)])
     );
     assert_eq!(news(&mut table, now, &other), []);
-    table.told(now, &other, paces(&[("a", 400)]));
+    table.record(now, &other, paces(&[("a", 400)]));
     assert_eq!(news(&mut table, now, &one), paces(&[("a", 400)]));
     assert_eq!(
         news(&mut table, now, &PaceSource::Leader),
@@ -42,8 +42,8 @@
     let now = Instant::now();
     let node = PaceSource::Node("one".into());
     let mut table = PaceTable::default();
-    table.told(now, &PaceSource::Leader, paces(&[("a", 160)]));
-    table.told(now, &node, paces(&[("b", 60)]));
+    table.record(now, &PaceSource::Leader, paces(&[("a", 160)]));
+    table.record(now, &node, paces(&[("b", 60)]));
     assert_eq!(
         news(&mut table, now, &PaceSource::Leader),
         paces(&[("b", 60)])
@@ -56,9 +56,9 @@
     let now = Instant::now();
     let [one, other] = ["one", "other"].map(|name| PaceSource::Node(name.into()));
     let mut table = PaceTable::default();
-    table.told(now, &one, paces(&[("a", 160), ("b", 0)]));
+    table.record(now, &one, paces(&[("a", 160), ("b", 0)]));
     let later = now + Duration::from_millis(400);
-    table.told(later, &one, paces(&[("c", 100)]));
+    table.record(later, &one, paces(&[("c", 100)]));
     let much_later = now + Duration::from_millis(600);
     assert_eq!(news(&mut table, much_later, &other), paces(&[("c", 100)]));
 }
--- a/crates/firshore-node/tests/give_way.rs
+++ b/crates/firshore-node/tests/preemption.rs
@@ -1,9 +1,9 @@
 //! Where items give way to online requests, and what they still need until they are due.
 
-use firshore_gateway::pressure::{PressureFigure, ServicePressure};
-use firshore_node::runner::give_way::{GiveWay, HeldRun, ServiceRoom};
+use firshore_gateway::pressure::{PressureCounts, ServicePressure};
+use firshore_node::runner::backlog::{BacklogEstimate, DeadlineRisk};
+use firshore_node::runner::preemption::{PreemptibleRun, PreemptionPolicy, ServiceUsage};
 use firshore_node::runner::urgency::{DueTable, DueTime, ItemUrgency};
-use firshore_node::runner::work_ahead::{ItemOutlook, WorkAhead};
 use firshore_types::ids::ServiceName;
 use std::time::{Duration, Instant};
 
@@ -18,8 +18,8 @@
     Duration::from_millis(count)
 }
 
-fn room(online: u32) -> ServiceRoom {
-    ServiceRoom {
+fn room(online: u32) -> ServiceUsage {
+    ServiceUsage {
         slots: SLOTS,
         online,
     }
@@ -28,126 +28,126 @@
 fn late(count: u32) -> ServicePressure {
     ServicePressure {
         service: service(),
-        figure: PressureFigure {
+        counts: PressureCounts {
             late: count,
-            ..PressureFigure::default()
+            ..PressureCounts::default()
         },
     }
 }
 
-fn held(now: Instant, index: u64, load: f32, outlook: ItemOutlook) -> HeldRun {
-    HeldRun {
+fn held(now: Instant, index: u64, load: f32, deadline_risk: DeadlineRisk) -> PreemptibleRun {
+    PreemptibleRun {
         key: ("job".to_owned(), index as _),
         load,
-        outlook,
+        deadline_risk,
         urgency: ItemUrgency::InTime(now + millis(1_000 + index)),
         produced: 0,
     }
 }
 
-fn keys(runs: &[HeldRun]) -> Vec<u64> {
+fn keys(runs: &[PreemptibleRun]) -> Vec<u64> {
     runs.iter().map(|run| run.key.1 as u64).collect()
 }
 
 #[test]
 fn a_few_late_requests_in_many_slots_hold_nothing_back() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
-    way.told(now, room(500), &late(5));
+    let mut way = PreemptionPolicy::default();
+    way.record_pressure(now, room(500), &late(5));
     assert!(!way.is_pressed(&service()));
-    assert!(way.may_start(&service(), SLOTS, 100, ItemOutlook::Easy));
-    way.told(now + millis(20), room(500), &late(5));
+    assert!(way.may_start(&service(), SLOTS, 100, DeadlineRisk::Low));
+    way.record_pressure(now + millis(20), room(500), &late(5));
     assert!(way.is_pressed(&service()));
-    assert!(!way.may_start(&service(), SLOTS, 100, ItemOutlook::Pressed));
+    assert!(!way.may_start(&service(), SLOTS, 100, DeadlineRisk::High));
     assert!(!way.is_pressed(&"desk".into()), "another service");
 }
 
 #[test]
 fn items_go_on_once_online_requests_leave_room() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
-    way.told(now, room(600), &late(200));
-    way.pass(now + millis(300), |_| room(400));
+    let mut way = PreemptionPolicy::default();
+    way.record_pressure(now, room(600), &late(200));
+    way.advance(now + millis(300), |_| room(400));
     assert!(way.is_pressed(&service()), "a moment ago they were late");
-    way.pass(now + millis(700), |_| room(400));
+    way.advance(now + millis(700), |_| room(400));
     assert!(!way.is_pressed(&service()));
 }
 
 #[test]
 fn items_that_stepped_aside_do_not_start_again_into_the_same_wave() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
-    way.told(now, room(600), &late(200));
-    way.pass(now + millis(1_500), |_| room(590));
+    let mut way = PreemptionPolicy::default();
+    way.record_pressure(now, room(600), &late(200));
+    way.advance(now + millis(1_500), |_| room(590));
     assert!(way.is_pressed(&service()));
-    way.pass(now + millis(1_700), |_| room(500));
+    way.advance(now + millis(1_700), |_| room(500));
     assert!(!way.is_pressed(&service()));
 }
 
 #[test]
 fn what_comes_late_after_a_wave_holds_nothing_back() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
-    way.told(now, room(600), &late(200));
-    way.told(now + millis(200), room(290), &late(50));
+    let mut way = PreemptionPolicy::default();
+    way.record_pressure(now, room(600), &late(200));
+    way.record_pressure(now + millis(200), room(290), &late(50));
     assert!(!way.is_pressed(&service()));
-    way.told(now + millis(1_000), room(290), &late(50));
+    way.record_pressure(now + millis(1_000), room(290), &late(50));
     assert!(!way.is_pressed(&service()));
-    way.told(now + millis(1_800), room(290), &late(50));
+    way.record_pressure(now + millis(1_800), room(290), &late(50));
     assert!(way.is_pressed(&service()), "that is no rest of a wave");
 }
 
 #[test]
 fn items_are_not_held_back_for_ever() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
-    way.told(now, room(600), &late(200));
-    way.pass(now + millis(100), |_| room(600));
-    way.pass(now + millis(4_000), |_| room(600));
+    let mut way = PreemptionPolicy::default();
+    way.record_pressure(now, room(600), &late(200));
+    way.advance(now + millis(100), |_| room(600));
+    way.advance(now + millis(4_000), |_| room(600));
     assert!(!way.is_pressed(&service()));
 }
 
 #[test]
 fn as_many_runs_step_aside_as_requests_pressed_the_least_urgent_first() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
-    way.told(now, room(600), &late(8));
+    let mut way = PreemptionPolicy::default();
+    way.record_pressure(now, room(600), &late(8));
     let runs = |range: std::ops::Range<u64>| {
-        let runs = range.map(|index| held(now, index, 1.0, ItemOutlook::Easy));
+        let runs = range.map(|index| held(now, index, 1.0, DeadlineRisk::Low));
         runs.collect::<Vec<_>>()
     };
-    let stopped = way.step_aside(&service(), room(600), runs(0..20));
+    let stopped = way.runs_to_preempt(&service(), room(600), runs(0..20));
     assert_eq!(keys(&stopped), (12..20).rev().collect::<Vec<_>>());
-    let again = way.step_aside(&service(), room(600), runs(0..12));
+    let again = way.runs_to_preempt(&service(), room(600), runs(0..12));
     assert!(again.is_empty(), "nothing pressed since");
-    way.told(now + millis(20), room(600), &late(2));
-    let next = way.step_aside(&service(), room(600), runs(0..12));
+    way.record_pressure(now + millis(20), room(600), &late(2));
+    let next = way.runs_to_preempt(&service(), room(600), runs(0..12));
     assert_eq!(keys(&next), [11, 10]);
 }
 
 #[test]
 fn runs_with_room_beside_them_are_in_nobodys_way() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
-    way.told(now, room(600), &late(100));
+    let mut way = PreemptionPolicy::default();
+    way.record_pressure(now, room(600), &late(100));
     let runs = vec![
-        held(now, 0, 0.3, ItemOutlook::Easy),
-        held(now, 1, 1.0, ItemOutlook::Easy),
+        held(now, 0, 0.3, DeadlineRisk::Low),
+        held(now, 1, 1.0, DeadlineRisk::Low),
     ];
-    assert_eq!(keys(&way.step_aside(&service(), room(600), runs)), [1]);
+    assert_eq!(keys(&way.runs_to_preempt(&service(), room(600), runs)), [1]);
 }
 
 #[test]
 fn items_that_would_be_late_keep_a_small_part_of_the_slots() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
-    way.told(now, room(600), &late(1_000));
-    let runs = (0..100).map(|index| held(now, index, 1.0, ItemOutlook::LastChance));
-    let stopped = way.step_aside(&service(), room(600), runs.collect());
+    let mut way = PreemptionPolicy::default();
+    way.record_pressure(now, room(600), &late(1_000));
+    let runs = (0..100).map(|index| held(now, index, 1.0, DeadlineRisk::Critical));
+    let stopped = way.runs_to_preempt(&service(), room(600), runs.collect());
     let kept = 100 - stopped.len();
     assert!((1..=SLOTS as usize / 20).contains(&kept), "{kept} kept");
     assert!(stopped.iter().all(|run| run.key.1 as usize >= kept));
-    let last = ItemOutlook::LastChance;
+    let last = DeadlineRisk::Critical;
     assert!(way.may_start(&service(), SLOTS, kept - 1, last));
     assert!(!way.may_start(&service(), SLOTS, kept, last));
 }
@@ -155,31 +155,31 @@
 #[test]
 fn the_part_of_calm_time_is_learned() {
     let mut now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     for _ in 0..10 {
         for step in 0..60 {
             now += millis(100);
             let in_wave = step < 24;
             let online = if in_wave { 690 } else { 140 };
             if in_wave {
-                way.told(now, room(online), &late(20));
+                way.record_pressure(now, room(online), &late(20));
             }
-            way.pass(now, |_| room(online));
+            way.advance(now, |_| room(online));
         }
     }
-    let calm = way.calm_share(&service());
+    let calm = way.calm_fraction(&service());
     assert!((0.4..0.7).contains(&calm), "{calm}");
-    assert_eq!(way.calm_share(&"desk".into()), 1.0);
+    assert_eq!(way.calm_fraction(&"desk".into()), 1.0);
 }
 
 fn due(now: Instant, age: Duration) -> DueTime {
     DueTable::default().due(now, "job", age, Some(DUE_AFTER))
 }
 
-fn learned() -> WorkAhead {
-    let mut work = WorkAhead::default();
+fn learned() -> BacklogEstimate {
+    let mut work = BacklogEstimate::default();
     for _ in 0..20 {
-        work.finished(&service(), 130, 130, millis(5_200));
+        work.record_finished(&service(), 130, 130, millis(5_200));
     }
     work
 }
@@ -187,7 +187,7 @@
 #[test]
 fn what_is_left_is_reckoned_by_the_usual_item() {
     let work = learned();
-    let left = |produced| work.left(&service(), produced).unwrap().as_millis();
+    let left = |produced| work.remaining(&service(), produced).unwrap().as_millis();
     assert_eq!(left(0), 5_200);
     assert_eq!(left(65), 2_600);
     assert_eq!(
@@ -195,14 +195,14 @@
         520,
         "it is longer than usual: by how much is unknown"
     );
-    assert_eq!(work.left(&"desk".into(), 0), None);
+    assert_eq!(work.remaining(&"desk".into(), 0), None);
 }
 
 #[test]
 fn a_run_that_made_nothing_teaches_nothing() {
-    let mut work = WorkAhead::default();
-    work.finished(&service(), 130, 0, millis(10));
-    assert_eq!(work.left(&service(), 0), None);
+    let mut work = BacklogEstimate::default();
+    work.record_finished(&service(), 130, 0, millis(10));
+    assert_eq!(work.remaining(&service(), 0), None);
 }
 
 #[test]
@@ -211,18 +211,18 @@
     let now = Instant::now();
     let outlook = |age: u64, produced, calm| {
         let due = due(now, millis(age));
-        work.outlook(now, &service(), &due, produced, calm)
+        work.deadline_risk(now, &service(), &due, produced, calm)
     };
-    assert_eq!(outlook(2_000, 0, 1.0), ItemOutlook::Easy);
-    assert_eq!(outlook(2_000, 0, 0.4), ItemOutlook::Pressed);
-    assert_eq!(outlook(2_000, 100, 0.4), ItemOutlook::Easy);
-    assert_eq!(outlook(12_000, 0, 1.0), ItemOutlook::LastChance);
+    assert_eq!(outlook(2_000, 0, 1.0), DeadlineRisk::Low);
+    assert_eq!(outlook(2_000, 0, 0.4), DeadlineRisk::High);
+    assert_eq!(outlook(2_000, 100, 0.4), DeadlineRisk::Low);
+    assert_eq!(outlook(12_000, 0, 1.0), DeadlineRisk::Critical);
     assert_eq!(
         outlook(17_500, 0, 1.0),
-        ItemOutlook::Easy,
+        DeadlineRisk::Low,
         "late whatever is done"
     );
-    assert_eq!(outlook(19_000, 0, 1.0), ItemOutlook::Easy, "late already");
+    assert_eq!(outlook(19_000, 0, 1.0), DeadlineRisk::Low, "late already");
 }
 
 #[test]
@@ -230,14 +230,14 @@
     let mut work = learned();
     let now = Instant::now();
     assert!(
-        !work.is_behind(&service(), 1_000, DUE_AFTER),
+        !work.exceeds_capacity(&service(), 1_000, DUE_AFTER),
         "no room seen yet"
     );
-    work.saw_room(now, &service(), 100);
+    work.record_free_slots(now, &service(), 100);
     // 100 slots for 18 s are some 340 items of 5.2 s, with nothing in reserve.
-    assert!(!work.is_behind(&service(), 200, DUE_AFTER));
-    assert!(work.is_behind(&service(), 350, DUE_AFTER));
-    assert!(work.is_behind(&service(), 200, DUE_AFTER / 2));
+    assert!(!work.exceeds_capacity(&service(), 200, DUE_AFTER));
+    assert!(work.exceeds_capacity(&service(), 350, DUE_AFTER));
+    assert!(work.exceeds_capacity(&service(), 200, DUE_AFTER / 2));
 }
 
 /// An item of the replay.
@@ -276,8 +276,8 @@
 /// worth more than usual. Of online requests a part is seen.
 fn replay(rule: &Rule, seen: f64, items_per_second: f64) -> ReplayEnd {
     let start = Instant::now();
-    let mut way = GiveWay::default();
-    let mut work = WorkAhead::default();
+    let mut way = PreemptionPolicy::default();
+    let mut work = BacklogEstimate::default();
     let mut items: Vec<ReplayItem> = Vec::new();
     let mut pressures = vec![0.0; TOLD_AFTER];
     let mut end = ReplayEnd::default();
@@ -312,18 +312,18 @@
         let seen_load = (f64::from(seen_online) + running as f64) / f64::from(SLOTS);
         let pressure = ServicePressure {
             service: service(),
-            figure: PressureFigure {
+            counts: PressureCounts {
                 waiting: told,
-                ..PressureFigure::default()
+                ..PressureCounts::default()
             },
         };
-        way.told(now, room(seen_online), &pressure);
-        way.pass(now, |_| room(seen_online));
-        work.saw_room(now, &service(), SLOTS - seen_online);
-        let calm = way.calm_share(&service());
-        let outlook = |item: &ReplayItem, work: &WorkAhead| {
+        way.record_pressure(now, room(seen_online), &pressure);
+        way.advance(now, |_| room(seen_online));
+        work.record_free_slots(now, &service(), SLOTS - seen_online);
+        let calm = way.calm_fraction(&service());
+        let outlook = |item: &ReplayItem, work: &BacklogEstimate| {
             let produced = 130 - (item.left.as_millis() / 40) as usize;
-            work.outlook(now, &service(), &item.due, produced, calm)
+            work.deadline_risk(now, &service(), &item.due, produced, calm)
         };
         let mut running_now = running;
         for item in items
@@ -347,14 +347,14 @@
         match rule {
             Rule::Pressure => {
                 let runs = items.iter().enumerate().filter(|(_, item)| item.runs);
-                let runs = runs.map(|(index, item)| HeldRun {
+                let runs = runs.map(|(index, item)| PreemptibleRun {
                     key: ("job".to_owned(), index as _),
                     load: seen_load as f32,
-                    outlook: outlook(item, &work),
+                    deadline_risk: outlook(item, &work),
                     urgency: item.due.urgency(now),
                     produced: 0,
                 });
-                for run in way.step_aside(&service(), room(seen_online), runs.collect()) {
+                for run in way.runs_to_preempt(&service(), room(seen_online), runs.collect()) {
                     items[run.key.1 as usize].runs = false;
                 }
             }
@@ -370,8 +370,8 @@
             item.left = item.left.saturating_sub(TICK);
             if item.left.is_zero() {
                 item.runs = false;
-                end.in_time += usize::from(item.due.wanted.is_some_and(|wanted| now <= wanted));
-                work.finished(&service(), 130, 130, millis(5_200));
+                end.in_time += usize::from(item.due.deadline.is_some_and(|wanted| now <= wanted));
+                work.record_finished(&service(), 130, 130, millis(5_200));
             }
         }
     }
--- a/crates/firshore-node/tests/relay.rs
+++ b/crates/firshore-node/tests/relay.rs
@@ -7,13 +7,13 @@
 use firshore_adapter::objects::{
     Answer, Change, Changes, Object, ObjectError, ObjectStore, Page, Revision,
 };
-use firshore_gateway::belief::Belief;
+use firshore_gateway::freshness::Freshness;
 use firshore_link::handshake::ClusterSecret;
 use firshore_link::listener::{self, Handler};
 use firshore_node::journal::messages::{PeerRequest, PeerResponse};
 use firshore_node::journal::registry::{KIND, NodeRecord, Registry};
-use firshore_node::observation::Learned;
-use firshore_node::relay::asker::RelayAsker;
+use firshore_node::list_watch::ObjectUpdate;
+use firshore_node::relay::client::RelayClient;
 use firshore_node::relay::store::RelayedStore;
 use firshore_node::relay::{Announce, Relay};
 use firshore_replication::types::DiskId;
@@ -145,7 +145,7 @@
     fn notice(&self, request: PeerRequest) {
         if let PeerRequest::Changed { kind, revision } = request {
             let relay = self.relay.clone();
-            actix_rt::spawn(async move { relay.heard(&kind, revision).await });
+            actix_rt::spawn(async move { relay.apply_hint(&kind, revision).await });
         }
     }
 
@@ -254,17 +254,17 @@
 struct Follower {
     own: Rc<OwnStore>,
     known: Rc<RefCell<Vec<String>>>,
-    belief: Rc<Belief>,
+    belief: Rc<Freshness>,
     _following: actix_rt::task::JoinHandle<()>,
 }
 
-fn take(known: &RefCell<Vec<String>>, learned: Learned) {
+fn take(known: &RefCell<Vec<String>>, learned: ObjectUpdate) {
     let mut known = known.borrow_mut();
     match learned {
-        Learned::All(objects) => {
+        ObjectUpdate::All(objects) => {
             *known = objects.into_iter().map(|one| one.name).collect();
         }
-        Learned::Changed(changes) => {
+        ObjectUpdate::Changed(changes) => {
             for change in changes {
                 match change {
                     Change::Written(object) => {
@@ -281,16 +281,16 @@
 impl Follower {
     fn start(number: usize, store: &Rc<MemoryStore>) -> Self {
         let own = OwnStore::new(store);
-        let asker = RelayAsker {
+        let asker = RelayClient {
             node: format!("follower-{number}").as_str().into(),
             zone: "z1".into(),
             registry: Rc::new(Registry::new(store.clone(), log())),
             peers: peers(),
             log: log(),
-            heard: Rc::new(|_, _| {}),
-            passed_over: RefCell::default(),
+            on_contact: Rc::new(|_, _| {}),
+            excluded: RefCell::default(),
         };
-        let belief = Rc::<Belief>::default();
+        let belief = Rc::<Freshness>::default();
         let relayed = RelayedStore::new(asker, own.clone(), budget(), belief.clone());
         let known = Rc::new(RefCell::new(Vec::new()));
         let learning = known.clone();
@@ -300,7 +300,7 @@
                 log: log(),
                 store: relayed,
                 kind: kind.name,
-                terms: kind.terms,
+                options: kind.terms,
                 renewal: Rc::default(),
             },
             move |learned| take(&learning, learned),
--- a/crates/firshore-node/tests/relay_cache.rs
+++ b/crates/firshore-node/tests/relay_cache.rs
@@ -1,7 +1,7 @@
 //! The objects of one kind as a relay keeps them for other nodes.
 
 use firshore_adapter::objects::{Change, Object};
-use firshore_node::observation::Learned;
+use firshore_node::list_watch::ObjectUpdate;
 use firshore_node::relay::cache::{CacheMiss, KindCache};
 use serde_json::json;
 
@@ -22,11 +22,11 @@
 
 fn learn_all(cache: &mut KindCache, names: &[(&str, u64)], revision: u64) {
     let objects = names.iter().map(|(name, at)| object(name, *at));
-    cache.learn(Some(Learned::All(objects.collect())), revision);
+    cache.apply(Some(ObjectUpdate::All(objects.collect())), revision);
 }
 
 fn learn(cache: &mut KindCache, changes: Vec<Change>, revision: u64) {
-    cache.learn(Some(Learned::Changed(changes)), revision);
+    cache.apply(Some(ObjectUpdate::Changed(changes)), revision);
 }
 
 /// Names written and removed after a revision, and the revision to go on from.
@@ -65,7 +65,7 @@
         spec: json!("x".repeat(100 * 1024)),
         ..object(&format!("o{number}"), 1)
     });
-    cache.learn(Some(Learned::All(objects.collect())), 4);
+    cache.apply(Some(ObjectUpdate::All(objects.collect())), 4);
     let mut names = Vec::new();
     loop {
         let after = names.last().cloned();
@@ -86,7 +86,7 @@
     assert_eq!(news(&cache, 9), None);
     learn(&mut cache, vec![Change::Written(object("c", 11))], 12);
     learn(&mut cache, vec![Change::Removed("a".to_owned())], 15);
-    cache.learn(None, 20);
+    cache.apply(None, 20);
     let (written, removed) = (vec!["c".to_owned()], vec!["a".to_owned()]);
     assert_eq!(news(&cache, 9), Some((written, removed.clone(), 20)));
     assert_eq!(news(&cache, 12), Some((vec![], removed, 20)));
@@ -127,7 +127,7 @@
 #[test]
 fn the_revision_never_goes_back() {
     let mut cache = listed(&[("a", 3)], 9);
-    cache.learn(None, 7);
+    cache.apply(None, 7);
     assert_eq!(cache.revision(), Some(9));
 }
 
--- a/crates/firshore-node/tests/relay_loads.rs
+++ b/crates/firshore-node/tests/relay_loads.rs
@@ -5,7 +5,7 @@
 use cluster::*;
 use firshore_adapter::incarnation::BackendName;
 use firshore_gateway::gateway::Gateway;
-use firshore_gateway::pressure::{PressureFigure, ServicePressure};
+use firshore_gateway::pressure::{PressureCounts, ServicePressure};
 use firshore_link::frame;
 use firshore_link::handshake::ClusterSecret;
 use firshore_link::listener::{self, Handler};
@@ -15,7 +15,7 @@
 use firshore_node::journal::messages::{PeerRequest, PeerResponse};
 use firshore_node::journal::registry::{KIND, NodeRecord, Registry};
 use firshore_node::load_exchange::LoadExchange;
-use firshore_node::load_table::{BackendCount, ToldLoad};
+use firshore_node::load_table::{BackendCount, NodeLoadReport};
 use firshore_node::relay::loads::LoadRelay;
 use firshore_replication::types::DiskId;
 use firshore_stand_in::adapter::adapter;
@@ -63,7 +63,7 @@
     let now = Instant::now();
     let first = relay.exchange(now, "n1".into(), counts(&[("a", 2)]).into());
     assert!(first.is_none(), "the leader has told nothing yet");
-    relay.learned(now, picture(&[("a", 5), ("c", 1)]));
+    relay.record_leader_report(now, picture(&[("a", 5), ("c", 1)]));
     let later = now + Duration::from_millis(40);
     let second = relay.exchange(later, "n2".into(), counts(&[("b", 3)]).into());
     let second = second.unwrap();
@@ -80,17 +80,17 @@
 fn an_old_picture_is_not_passed_on() {
     let relay = LoadRelay::new(Duration::from_secs(5));
     let now = Instant::now();
-    relay.learned(now, picture(&[("a", 5)]));
+    relay.record_leader_report(now, picture(&[("a", 5)]));
     let later = now + Duration::from_secs(1);
     assert!(
         relay
-            .exchange(later, "n1".into(), ToldLoad::default())
+            .exchange(later, "n1".into(), NodeLoadReport::default())
             .is_none()
     );
-    relay.learned(later, picture(&[("a", 4)]));
+    relay.record_leader_report(later, picture(&[("a", 4)]));
     assert!(
         relay
-            .exchange(later, "n1".into(), ToldLoad::default())
+            .exchange(later, "n1".into(), NodeLoadReport::default())
             .is_some()
     );
 }
@@ -124,14 +124,16 @@
         let names: Vec<NodeName> = names.collect();
         let (one, other) = (node("one", &cluster.store), node("other", &cluster.store));
         // Any question makes them list the nodes.
-        one.tell_leader(ToldLoad::default(), false).await;
-        other.tell_leader(ToldLoad::default(), false).await;
+        one.report_to_leader(NodeLoadReport::default(), false).await;
+        other
+            .report_to_leader(NodeLoadReport::default(), false)
+            .await;
         loop {
-            let at_one = one.tell_relay(&names[0], counts(&[("a", 2)]).into());
-            let at_other = other.tell_relay(&names[1], counts(&[("b", 3)]).into());
+            let at_one = one.report_to_relay(&names[0], counts(&[("a", 2)]).into());
+            let at_other = other.report_to_relay(&names[1], counts(&[("b", 3)]).into());
             let (at_one, at_other) = (at_one.await, at_other.await);
             let knows = |told: Option<_>, expected: &[(&str, u32)]| {
-                told.is_some_and(|told: firshore_node::journal::client::OthersLoad| {
+                told.is_some_and(|told: firshore_node::journal::client::LoadResponse| {
                     told.counts == picture(expected)
                 })
             };
@@ -211,7 +213,11 @@
             };
             start_peer(&store, "relay", "home", relay).await;
             let jobs = Rc::new(node("n", &store));
-            while jobs.tell_leader(ToldLoad::default(), false).await.is_none() {
+            while jobs
+                .report_to_leader(NodeLoadReport::default(), false)
+                .await
+                .is_none()
+            {
                 cluster::pause().await;
             }
             *refers_to.borrow_mut() = None;
@@ -237,17 +243,17 @@
     }
 }
 
-fn pressed(service: &str, late: u32) -> ToldLoad {
-    let figure = PressureFigure {
+fn pressed(service: &str, late: u32) -> NodeLoadReport {
+    let counts = PressureCounts {
         late,
-        ..PressureFigure::default()
+        ..PressureCounts::default()
     };
-    ToldLoad {
+    NodeLoadReport {
         pressures: vec![ServicePressure {
             service: service.into(),
-            figure,
+            counts,
         }],
-        ..ToldLoad::default()
+        ..NodeLoadReport::default()
     }
 }
 
@@ -257,17 +263,17 @@
     let now = Instant::now();
     let unheard = relay.exchange(now, "n1".into(), pressed("chat", 9));
     assert!(unheard.is_none(), "the node tells the leader itself");
-    relay.learned(now, picture(&[]));
+    relay.record_leader_report(now, picture(&[]));
     relay.exchange(now, "n1".into(), pressed("chat", 2));
     relay.exchange(now, "n2".into(), pressed("chat", 3));
     relay.exchange(now, "n2".into(), pressed("desk", 1));
-    let told = relay.sums_to_tell(now, false).unwrap().pressures;
+    let told = relay.sums_to_report(now, false).unwrap().pressures;
     let sums: Vec<(&str, u32)> = told
         .iter()
-        .map(|one| (one.service.as_str(), one.figure.late))
+        .map(|one| (one.service.as_str(), one.counts.late))
         .collect();
     assert_eq!(sums, [("chat", 5), ("desk", 1)]);
-    let next = relay.sums_to_tell(now, false).unwrap();
+    let next = relay.sums_to_report(now, false).unwrap();
     assert!(next.pressures.is_empty());
 }
 
--- a/crates/firshore-node/tests/settings.rs
+++ b/crates/firshore-node/tests/settings.rs
@@ -21,7 +21,7 @@
     assert_eq!(settings.leave.grace().as_secs(), 8);
     assert!(settings.storage.is_none() && settings.listen.readiness.is_none());
     let budget = settings.limits.memory_budget();
-    assert_eq!(budget.most_runs(), 1_601, "of 256 megabytes");
+    assert_eq!(budget.max_runs(), 1_601, "of 256 megabytes");
     let shown = format!("{settings:?}");
     assert!(!shown.contains("sixteen bytes"), "the secret is not shown");
 }
--- a/crates/firshore-node/tests/stale_world/followers.rs
+++ b/crates/firshore-node/tests/stale_world/followers.rs
@@ -7,9 +7,9 @@
 use firshore_adapter::objects::{Change, Object};
 use firshore_node::journal::PeerClient;
 use firshore_node::journal::registry::Registry;
-use firshore_node::observation::Learned;
-use firshore_node::relay::asker::RelayAsker;
+use firshore_node::list_watch::ObjectUpdate;
 use firshore_node::relay::budget::FreshnessBudget;
+use firshore_node::relay::client::RelayClient;
 use firshore_node::relay::store::RelayedStore;
 use firshore_node::watcher::{self, Watcher};
 use std::cell::RefCell;
@@ -77,16 +77,16 @@
         }
     }
 
-    fn learn(&mut self, kind: &'static str, learned: Learned) {
+    fn learn(&mut self, kind: &'static str, learned: ObjectUpdate) {
         match learned {
-            Learned::All(objects) => {
+            ObjectUpdate::All(objects) => {
                 let known = self.numbers.get(kind).into_iter().flat_map(BTreeMap::keys);
                 let gone = known.filter(|name| objects.iter().all(|one| one.name != **name));
                 let gone: Vec<String> = gone.cloned().collect();
                 gone.iter().for_each(|name| self.lose(kind, name));
                 objects.into_iter().for_each(|one| self.take(kind, one));
             }
-            Learned::Changed(changes) => {
+            ObjectUpdate::Changed(changes) => {
                 for change in changes {
                     match change {
                         Change::Written(object) => self.take(kind, object),
@@ -122,20 +122,20 @@
         let registry = Rc::new(Registry::new(own.clone(), log()));
         let knowledge = Rc::new(RefCell::new(Knowledge::new(removed)));
         let following = KINDS.map(|kind| {
-            let asker = RelayAsker {
+            let asker = RelayClient {
                 node: name.as_str().into(),
                 zone: format!("z{zone}").as_str().into(),
                 registry: registry.clone(),
                 peers: peers.clone(),
                 log: log(),
-                heard: Rc::new(|_, _| {}),
-                passed_over: RefCell::default(),
+                on_contact: Rc::new(|_, _| {}),
+                excluded: RefCell::default(),
             };
             let watcher = Watcher {
                 log: log(),
                 store: RelayedStore::new(asker, own.clone(), budget, Rc::default()),
                 kind: kind.to_owned(),
-                terms: terms(Duration::ZERO),
+                options: terms(Duration::ZERO),
                 renewal: Rc::default(),
             };
             let learning = knowledge.clone();
--- a/crates/firshore-node/tests/stale_world/machines.rs
+++ b/crates/firshore-node/tests/stale_world/machines.rs
@@ -5,7 +5,7 @@
 use firshore_link::client::PeerError;
 use firshore_node::journal::PeerClient;
 use firshore_node::journal::messages::{PeerRequest, PeerResponse};
-use firshore_node::observation::{CALM_WAIT, Terms};
+use firshore_node::list_watch::{IDLE_WAIT, WatchOptions};
 use firshore_node::relay::budget::FreshnessBudget;
 use firshore_node::relay::{Announce, Relay, RelayedKind};
 use firshore_stand_in::adapter::BACKENDS;
@@ -64,12 +64,12 @@
     }
 }
 
-pub fn terms(spacing: Duration) -> Terms {
-    Terms {
+pub fn terms(spacing: Duration) -> WatchOptions {
+    WatchOptions {
         history: HISTORY,
         spacing,
         creation_spacing: spacing,
-        longest_wait: CALM_WAIT,
+        max_wait: IDLE_WAIT,
     }
 }
 
@@ -144,8 +144,8 @@
     pub fn start_again(&self) {
         let kinds = KINDS.map(|kind| RelayedKind {
             name: kind.to_owned(),
-            terms: Terms {
-                longest_wait: self.budget.watch_wait(),
+            terms: WatchOptions {
+                max_wait: self.budget.watch_wait(),
                 ..terms(relay_spacing(kind, self.budget))
             },
             budget: self.budget,
@@ -226,7 +226,7 @@
                 relay.watch(&kind, known, wait).await
             }
             PeerRequest::Changed { kind, revision } => {
-                relay.heard(&kind, revision).await;
+                relay.apply_hint(&kind, revision).await;
                 return pending().await;
             }
             other => panic!("{other:?}"),
--- a/crates/firshore-node/tests/status.rs
+++ b/crates/firshore-node/tests/status.rs
@@ -8,7 +8,7 @@
 use firshore_node::metrics::{JournalMetrics, NodeMetrics, RunnerMetrics};
 use firshore_node::readiness;
 use firshore_node::runner::progress::RunEnd;
-use firshore_node::status_listener::{self, StatusAnswer};
+use firshore_node::status_listener::{self, StatusResponse};
 use firshore_stand_in::adapter::adapter;
 use firshore_stand_in::store::MemoryStore;
 use rand::SeedableRng;
@@ -95,7 +95,7 @@
     counted.job_handed_in(true);
     runner.run_ended(RunEnd::Whole);
     runner.preemptions.inc();
-    let text = metrics.answer().text;
+    let text = metrics.response().text;
     let samples = samples(&text);
     let expected = [
         (
@@ -143,7 +143,7 @@
         assert!(unready.starts_with("HTTP/1.1 503"), "{unready}");
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        actix_rt::spawn(status_listener::accept(listener, || StatusAnswer {
+        actix_rt::spawn(status_listener::accept(listener, || StatusResponse {
             status: StatusCode::OK,
             text: "counted 1\n".to_owned(),
         }));
--- a/crates/firshore-node/tests/urgency.rs
+++ b/crates/firshore-node/tests/urgency.rs
@@ -53,7 +53,7 @@
     }
     table.keep(|job| job != "job");
     let anew = table.due(later, "job", seconds(4), DUE_AFTER);
-    assert_eq!(anew.wanted, due.wanted);
+    assert_eq!(anew.deadline, due.deadline);
 }
 
 #[test]
--- a/crates/firshore-server/src/gateway/classify.rs
+++ b/crates/firshore-server/src/gateway/classify.rs
@@ -63,7 +63,7 @@
 pub fn failure(error: &ExchangeError) -> AttemptEnd {
     match error {
         ExchangeError::NotConnected(_) => AttemptEnd::NotSent,
-        ExchangeError::Lost(_) | ExchangeError::CutOff | ExchangeError::TooLong(_) => {
+        ExchangeError::Lost(_) | ExchangeError::Truncated | ExchangeError::TooLong(_) => {
             AttemptEnd::MaybeRun
         }
     }
--- a/crates/firshore-server/src/gateway/connection.rs
+++ b/crates/firshore-server/src/gateway/connection.rs
@@ -87,7 +87,7 @@
     /// Takes over an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         // A connection that cannot be set up fails at its first use.
-        let _ = keep_alive::set_up(&stream);
+        let _ = keep_alive::configure(&stream);
         Self {
             connection: Rc::new(CallerConnection {
                 stream,
--- a/crates/firshore-server/src/gateway/dispatch.rs
+++ b/crates/firshore-server/src/gateway/dispatch.rs
@@ -241,7 +241,7 @@
         whole => whole?,
     };
     if body.end() == BodyEnd::ByClose && request.kind == BackendKind::Engine && !refused {
-        return Err(ExchangeError::CutOff);
+        return Err(ExchangeError::Truncated);
     }
     Ok((head, AnswerBody::Whole(whole)))
 }
