--- a/crates/firshore-admission/src/shares.rs
+++ b/crates/firshore-admission/src/shares.rs
@@ -247,7 +247,7 @@
     }
 
     /// Takes in what all nodes are asked, as of a moment.
-    pub fn told(&mut self, at: Instant, demands: impl IntoIterator<Item = TenantDemand>) {
+    pub fn update_demand(&mut self, at: Instant, demands: impl IntoIterator<Item = TenantDemand>) {
         let mut demands: Vec<TenantDemand> = demands.into_iter().collect();
         let mut others = 0.0;
         if demands.len() > MOST_TENANTS {
@@ -273,7 +273,7 @@
     }
 
     /// A request has arrived and is within its tenant's limit.
-    pub fn arrived(&mut self, now: Instant, ask: &ShareRequest<'_>) {
+    pub fn record_arrival(&mut self, now: Instant, ask: &ShareRequest<'_>) {
         let saved = self.next_phase();
         let new = || DecayedCount::new(now);
         self.tenants
@@ -306,7 +306,7 @@
     /// requests begin each second. Called once for a request.
     ///
     /// Where nothing was told for long, everybody is within its share.
-    pub fn standing(&mut self, now: Instant, ask: &ShareRequest<'_>, room: f64) -> ShareStatus {
+    pub fn status(&mut self, now: Instant, ask: &ShareRequest<'_>, room: f64) -> ShareStatus {
         let Some(part) = self.part_within(now, ask, room) else {
             return ShareStatus::Within;
         };
--- a/crates/firshore-admission/tests/returns.rs
+++ b/crates/firshore-admission/tests/retry.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use firshore_admission::returns::{RetryRequest, RetryPlan, RetryTime};
+use firshore_admission::retry::{RetryPlan, RetryRequest, RetryTime};
 use std::time::{Duration, Instant};
 use support::{Played, ROOM, ReturnWay, Scene, highest_tenth, play, served_part};
 
@@ -196,7 +196,7 @@
     let mut plan = RetryPlan::new(now, 0.5);
     let ask = RetryRequest {
         time_left: TIME,
-        room: Some(20.0),
+        capacity: Some(20.0),
     };
     // Eight of eighteen a second are free: about thirteen within the reach.
     let told = (0..40).map(|idx| plan.plan(now, &ask, |_| 10.0, f64::from(idx) / 40.0));
@@ -216,7 +216,7 @@
     let mut plan = RetryPlan::new(now, 0.0);
     let ask = RetryRequest {
         time_left: TIME,
-        room: None,
+        capacity: None,
     };
     let waits = (0..100).map(|idx| plan.plan(now, &ask, |_| 0.0, f64::from(idx) / 100.0).wait());
     let waits: Vec<f64> = waits.map(|wait| wait.as_secs_f64()).collect();
@@ -231,7 +231,7 @@
     let mut plan = RetryPlan::new(now, 0.0);
     let ask = RetryRequest {
         time_left: Duration::from_millis(450),
-        room: Some(100.0),
+        capacity: Some(100.0),
     };
     let told = plan.plan(now, &ask, |_| 10.0, 0.999);
     assert!(
--- a/crates/firshore-clock/tests/clock.rs
+++ b/crates/firshore-clock/tests/clock.rs
@@ -1,6 +1,6 @@
 //! The clock includes suspensions and never goes back.
 
-use firshore_clock::{timer_deadline, elapsed, now, simulate_suspension};
+use firshore_clock::{elapsed, now, simulate_suspension, timer_deadline};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/firshore-crashes/src/detection.rs
+++ b/crates/firshore-crashes/src/detection.rs
@@ -4,8 +4,8 @@
 //! request is quarantined when it was lost at several exits at different times, none of its runs got past the
 //! point of these exits, and back ends don't exit as often without it.
 
-use crate::print::RequestFingerprint;
-use crate::table::{BackendExit, Suspicion, Verdict};
+use crate::fingerprint::RequestFingerprint;
+use crate::table::{BackendExit, Quarantine, Suspicion};
 use firshore_adapter::incarnation::Incarnation;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -32,7 +32,7 @@
 /// Result of an evaluation.
 pub(crate) struct Findings {
     pub(crate) suspects: BTreeMap<RequestFingerprint, Suspicion>,
-    pub(crate) verdicts: BTreeMap<RequestFingerprint, Verdict>,
+    pub(crate) quarantined: BTreeMap<RequestFingerprint, Quarantine>,
 }
 
 /// All exits, ordered by time.
@@ -63,20 +63,23 @@
     let mut list = ExitList::new(&sorted);
     let mut by_request = exits_by_request(&sorted, completed);
     let suspicion = |exits: &RequestExits| Suspicion {
-        ends: exits.furthest.len(),
+        exits: exits.furthest.len(),
         occasions: list.occasions(&exits.furthest),
     };
     let suspects = by_request.iter();
-    let suspects = suspects.map(|(print, exits)| (*print, suspicion(exits)));
+    let suspects = suspects.map(|(fingerprint, exits)| (*fingerprint, suspicion(exits)));
     let suspects = suspects.collect();
-    let mut verdicts = BTreeMap::new();
+    let mut quarantined = BTreeMap::new();
     // Exits attributed to one request are no evidence against the others that were lost there.
-    while let Some((print, found)) = strongest_suspect(&by_request, &list) {
+    while let Some((fingerprint, found)) = strongest_suspect(&by_request, &list) {
         list.attribute(&found);
-        verdicts.insert(print, list.verdict(&found));
-        by_request.remove(&print);
+        quarantined.insert(fingerprint, list.quarantine(&found));
+        by_request.remove(&fingerprint);
+    }
+    Findings {
+        suspects,
+        quarantined,
     }
-    Findings { suspects, verdicts }
 }
 
 fn exits_by_request(
@@ -85,14 +88,14 @@
 ) -> BTreeMap<RequestFingerprint, RequestExits> {
     let mut reached: BTreeMap<RequestFingerprint, Vec<(usize, u64)>> = BTreeMap::new();
     for (idx, (_, exit)) in sorted.iter().enumerate() {
-        for (print, bytes) in &exit.lost {
-            if !completed(print) {
-                reached.entry(*print).or_default().push((idx, *bytes));
+        for (fingerprint, bytes) in &exit.lost {
+            if !completed(fingerprint) {
+                reached.entry(*fingerprint).or_default().push((idx, *bytes));
             }
         }
     }
     let runs = reached.into_iter();
-    runs.map(|(print, runs)| (print, RequestExits::new(&runs)))
+    runs.map(|(fingerprint, runs)| (fingerprint, RequestExits::new(&runs)))
         .collect()
 }
 
@@ -116,7 +119,7 @@
     list: &ExitList<'_>,
 ) -> Option<(RequestFingerprint, Vec<usize>)> {
     let mut most: Option<(RequestFingerprint, Vec<usize>)> = None;
-    for (print, exits) in by_request
+    for (fingerprint, exits) in by_request
         .iter()
         .filter(|(_, exits)| exits.furthest.len() >= MIN_EXITS)
     {
@@ -127,7 +130,7 @@
         let open: Vec<usize> = open.copied().collect();
         let most_exits = most.as_ref().map_or(0, |(_, found)| found.len());
         if open.len() > most_exits && list.is_sufficient(&open, &exits.all) {
-            most = Some((*print, open));
+            most = Some((*fingerprint, open));
         }
     }
     most
@@ -159,9 +162,9 @@
         self.update_open_counts();
     }
 
-    fn verdict(&self, exits: &[usize]) -> Verdict {
+    fn quarantine(&self, exits: &[usize]) -> Quarantine {
         let backends = exits.iter().map(|idx| self.backends[*idx].clone());
-        Verdict {
+        Quarantine {
             backends: backends.collect(),
             last_end: self.times[exits[exits.len() - 1]],
         }
--- a/crates/firshore-crashes/src/print.rs
+++ b/crates/firshore-crashes/src/fingerprint.rs
@@ -60,7 +60,7 @@
 
 impl fmt::Debug for FingerprintKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("PrintKey")
+        formatter.write_str("FingerprintKey")
     }
 }
 
@@ -77,7 +77,7 @@
     }
 
     /// Returns the fingerprint of a request.
-    pub fn print(&self, asked: &FingerprintInput<'_>) -> RequestFingerprint {
+    pub fn fingerprint(&self, asked: &FingerprintInput<'_>) -> RequestFingerprint {
         let caller_parts = match asked.tenant {
             Some(tenant) => [b"tenant", tenant.as_str().as_bytes()],
             None => [b"nobody", asked.host.as_bytes()],
--- a/crates/firshore-crashes/src/report.rs
+++ b/crates/firshore-crashes/src/report.rs
@@ -1,6 +1,6 @@
 //! Serialized form of the crash table's entries.
 
-use crate::print::RequestFingerprint;
+use crate::fingerprint::RequestFingerprint;
 use firshore_adapter::incarnation::StartTime;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
 pub struct LostRun {
     /// Fingerprint of the request.
     #[serde(rename = "r")]
-    pub print: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// Bytes of the response received before the exit.
     #[serde(rename = "n")]
     pub reached: u64,
@@ -48,7 +48,7 @@
 pub struct ReportedCompletion {
     /// Fingerprint of the request.
     #[serde(rename = "r")]
-    pub print: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// Milliseconds since the completion.
     #[serde(rename = "a")]
     pub age: u64,
--- a/crates/firshore-crashes/src/sync.rs
+++ b/crates/firshore-crashes/src/sync.rs
@@ -44,23 +44,23 @@
 }
 
 /// Merges a peer's report and returns the response, with the changes to the local table.
-pub fn answer(
+pub fn respond(
     table: &mut CrashTable,
     now: Instant,
-    question: &CrashSyncRequest,
+    request: &CrashSyncRequest,
 ) -> (CrashSyncResponse, Vec<TableChange>) {
-    let changes = table.merge(now, &question.report);
+    let changes = table.merge(now, &request.report);
     let cursor = table.cursor();
-    let known = question.known.filter(|known| known.epoch == cursor.epoch);
+    let known = request.known.filter(|known| known.epoch == cursor.epoch);
     let report = table.changes_after(now, known.map_or(0, |known| known.position));
-    let answer = CrashSyncResponse {
+    let response = CrashSyncResponse {
         cursor: TableCursor {
             position: report.position,
             ..cursor
         },
         report,
     };
-    (answer, changes)
+    (response, changes)
 }
 
 impl CrashSync {
@@ -69,7 +69,7 @@
     }
 
     /// Returns whether the local table has changes that were not reported to a peer.
-    pub fn has_to_tell(&self, peer: &NodeName, table: &CrashTable) -> bool {
+    pub fn has_unreported(&self, peer: &NodeName, table: &CrashTable) -> bool {
         self.progress(peer).reported < table.cursor().position
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Returns the next request to a peer.
-    pub fn question(&self, now: Instant, peer: &NodeName, table: &CrashTable) -> CrashSyncRequest {
+    pub fn request(&self, now: Instant, peer: &NodeName, table: &CrashTable) -> CrashSyncRequest {
         let progress = self.progress(peer);
         CrashSyncRequest {
             known: progress.known,
@@ -97,20 +97,20 @@
     }
 
     /// Merges a peer's response to a request that reported the local table up to position `reported`.
-    pub fn answered(
+    pub fn apply_response(
         &mut self,
         now: Instant,
         peer: &NodeName,
         reported: u64,
-        answer: &CrashSyncResponse,
+        response: &CrashSyncResponse,
         table: &mut CrashTable,
     ) -> Vec<TableChange> {
         let previous = self.progress(peer);
         let is_same_epoch = previous
             .known
-            .is_none_or(|known| known.epoch == answer.cursor.epoch);
+            .is_none_or(|known| known.epoch == response.cursor.epoch);
         let was_complete = reported == table.cursor().position;
-        let changes = table.merge(now, &answer.report);
+        let changes = table.merge(now, &response.report);
         let reported = match (is_same_epoch, was_complete) {
             // The peer restarted: it has only the changes of the last report.
             (false, _) => 0,
@@ -120,7 +120,7 @@
         };
         let progress = PeerProgress {
             reported,
-            known: Some(answer.cursor),
+            known: Some(response.cursor),
         };
         self.peers.insert(peer.clone(), progress);
         changes
--- a/crates/firshore-crashes/src/table.rs
+++ b/crates/firshore-crashes/src/table.rs
@@ -4,7 +4,7 @@
 //! completes at any node is cleared: later exits no longer count against it.
 
 use crate::detection;
-use crate::print::RequestFingerprint;
+use crate::fingerprint::RequestFingerprint;
 use crate::report::{CrashReport, LostRun, ReportedCompletion, ReportedExit, TableCursor};
 use firshore_adapter::incarnation::Incarnation;
 use std::collections::{BTreeMap, HashMap};
@@ -40,7 +40,7 @@
 
 /// Why a request is quarantined.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Quarantine {
     /// Back ends that exited while running the request, in the order of their exits.
     pub backends: Vec<Incarnation>,
     /// Time of the last of these exits.
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Suspicion {
     /// Exits at which the request was lost, without those that another run of it got past.
-    pub ends: usize,
+    pub exits: usize,
     /// Number of distinct times of these exits; simultaneous exits count once.
     pub occasions: usize,
 }
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableChange {
     /// The request is quarantined from now on.
-    Condemned(RequestFingerprint, Verdict),
+    Quarantined(RequestFingerprint, Quarantine),
     /// The request is no longer quarantined.
-    Lifted(RequestFingerprint),
+    Released(RequestFingerprint),
     /// Another node reported the exit of a back end.
     BackendExited(Incarnation),
 }
@@ -78,7 +78,7 @@
     completions: HashMap<RequestFingerprint, Completion>,
     /// Requests that were lost at any of these exits and have not completed since.
     suspects: BTreeMap<RequestFingerprint, Suspicion>,
-    verdicts: BTreeMap<RequestFingerprint, Verdict>,
+    quarantined: BTreeMap<RequestFingerprint, Quarantine>,
 }
 
 impl CrashTable {
@@ -92,12 +92,12 @@
             exits: HashMap::new(),
             completions: HashMap::new(),
             suspects: BTreeMap::new(),
-            verdicts: BTreeMap::new(),
+            quarantined: BTreeMap::new(),
         }
     }
 
     /// Sets the time for which exits and completions are kept.
-    pub fn remember_for(&mut self, retention: Duration) {
+    pub fn set_retention(&mut self, retention: Duration) {
         self.retention = retention;
     }
 
@@ -116,37 +116,37 @@
 
     /// Returns whether any request is quarantined.
     pub fn has_quarantined(&self) -> bool {
-        !self.verdicts.is_empty()
+        !self.quarantined.is_empty()
     }
 
     /// Returns why a request is quarantined, or `None` if it isn't.
-    pub fn verdict(&self, print: &RequestFingerprint) -> Option<&Verdict> {
-        self.verdicts.get(print)
+    pub fn quarantine(&self, fingerprint: &RequestFingerprint) -> Option<&Quarantine> {
+        self.quarantined.get(fingerprint)
     }
 
     /// Returns the evidence against a request; zero if there is none or the request was cleared.
-    pub fn suspicion(&self, print: &RequestFingerprint) -> Suspicion {
-        self.suspects.get(print).copied().unwrap_or_default()
+    pub fn suspicion(&self, fingerprint: &RequestFingerprint) -> Suspicion {
+        self.suspects.get(fingerprint).copied().unwrap_or_default()
     }
 
     /// Returns the number of requests that were lost at an exit and not cleared since.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
     /// Returns the number of quarantined requests.
-    pub fn verdicts(&self) -> usize {
-        self.verdicts.len()
+    pub fn quarantined_count(&self) -> usize {
+        self.quarantined.len()
     }
 
     /// Returns the time until a quarantine expires.
-    pub fn time_left(&self, now: Instant, verdict: &Verdict) -> Duration {
-        let age = now.saturating_duration_since(verdict.last_end);
+    pub fn time_left(&self, now: Instant, quarantine: &Quarantine) -> Duration {
+        let age = now.saturating_duration_since(quarantine.last_end);
         self.retention.saturating_sub(age)
     }
 
     /// Records the exit of a back end and the requests of this node that were lost there.
-    pub fn ended(
+    pub fn record_exit(
         &mut self,
         now: Instant,
         backend: &Incarnation,
@@ -157,11 +157,15 @@
     }
 
     /// Records a successful completion of a request. Has no effect on a request that is not suspected.
-    pub fn completed(&mut self, now: Instant, print: RequestFingerprint) -> Vec<TableChange> {
-        if !self.suspects.contains_key(&print) {
+    pub fn record_completion(
+        &mut self,
+        now: Instant,
+        fingerprint: RequestFingerprint,
+    ) -> Vec<TableChange> {
+        if !self.suspects.contains_key(&fingerprint) {
             return Vec::new();
         }
-        self.add_completion(now, print);
+        self.add_completion(now, fingerprint);
         self.evaluate()
     }
 
@@ -181,7 +185,7 @@
         }
         for completion in &report.completions {
             if completion.age < self.retention.as_millis() as u64 {
-                self.add_completion(time_of(now, completion.age), completion.print);
+                self.add_completion(time_of(now, completion.age), completion.fingerprint);
             }
         }
         if self.position > position_before {
@@ -192,7 +196,7 @@
 
     /// Removes exits and completions older than the retention time. A quarantined request whose exits are removed
     /// is released.
-    pub fn forget_old(&mut self, now: Instant) -> Vec<TableChange> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<TableChange> {
         let count_before = self.exits.len();
         let retention = self.retention;
         let is_kept = |at: Instant| now.saturating_duration_since(at) < retention;
@@ -229,8 +233,8 @@
                 .map(|(backend, exit)| report_exit(now, backend, exit))
                 .collect(),
             completions: completions
-                .map(|(print, completion)| ReportedCompletion {
-                    print: *print,
+                .map(|(fingerprint, completion)| ReportedCompletion {
+                    fingerprint: *fingerprint,
                     age: age(now, completion.at),
                 })
                 .collect(),
@@ -269,11 +273,11 @@
         // The earliest observation is the closest to the exit.
         exit.at = exit.at.min(at);
         for run in lost {
-            let is_recorded = exit.lost.contains_key(&run.print);
+            let is_recorded = exit.lost.contains_key(&run.fingerprint);
             if !is_recorded && exit.lost.len() >= MAX_LOST_RUNS {
                 continue;
             }
-            let reached = exit.lost.entry(run.print).or_insert(run.reached);
+            let reached = exit.lost.entry(run.fingerprint).or_insert(run.reached);
             changed |= !is_recorded || *reached < run.reached;
             *reached = (*reached).max(run.reached);
         }
@@ -283,8 +287,8 @@
         }
     }
 
-    fn add_completion(&mut self, at: Instant, print: RequestFingerprint) {
-        if self.completions.contains_key(&print) {
+    fn add_completion(&mut self, at: Instant, fingerprint: RequestFingerprint) {
+        if self.completions.contains_key(&fingerprint) {
             return;
         }
         if self.completions.len() >= MAX_COMPLETIONS {
@@ -292,12 +296,13 @@
                 .completions
                 .iter()
                 .min_by_key(|(_, completion)| completion.at);
-            let oldest = oldest.map(|(print, _)| *print);
-            oldest.map(|print| self.completions.remove(&print));
+            let oldest = oldest.map(|(fingerprint, _)| *fingerprint);
+            oldest.map(|fingerprint| self.completions.remove(&fingerprint));
         }
         self.position += 1;
         let position = self.position;
-        self.completions.insert(print, Completion { at, position });
+        self.completions
+            .insert(fingerprint, Completion { at, position });
     }
 
     /// Removes the oldest exit if the table is full: of the exits without a quarantined request if there are any,
@@ -308,11 +313,11 @@
             return;
         }
         let owner = |exit: &BackendExit| {
-            let mut quarantined = exit
+            let mut quarantined_here = exit
                 .lost
                 .keys()
-                .filter(|print| self.verdicts.contains_key(print));
-            quarantined.next().map(RequestFingerprint::caller)
+                .filter(|fingerprint| self.quarantined.contains_key(fingerprint));
+            quarantined_here.next().map(RequestFingerprint::caller)
         };
         let mut counts: HashMap<Option<u64>, usize> = HashMap::new();
         for exit in self.exits.values() {
@@ -337,17 +342,20 @@
     /// Evaluates all exits again and returns the requests that were quarantined or released.
     fn evaluate(&mut self) -> Vec<TableChange> {
         let completions = &self.completions;
-        let findings = detection::evaluate(&self.exits, |print| completions.contains_key(print));
+        let findings = detection::evaluate(&self.exits, |fingerprint| {
+            completions.contains_key(fingerprint)
+        });
         self.suspects = findings.suspects;
-        let before = std::mem::replace(&mut self.verdicts, findings.verdicts);
-        let lifted = before
+        let before = std::mem::replace(&mut self.quarantined, findings.quarantined);
+        let released = before
             .keys()
-            .filter(|print| !self.verdicts.contains_key(print));
-        let mut changes: Vec<TableChange> =
-            lifted.map(|print| TableChange::Lifted(*print)).collect();
-        for (print, verdict) in &self.verdicts {
-            if !before.contains_key(print) {
-                changes.push(TableChange::Condemned(*print, verdict.clone()));
+            .filter(|fingerprint| !self.quarantined.contains_key(fingerprint));
+        let mut changes: Vec<TableChange> = released
+            .map(|fingerprint| TableChange::Released(*fingerprint))
+            .collect();
+        for (fingerprint, quarantine) in &self.quarantined {
+            if !before.contains_key(fingerprint) {
+                changes.push(TableChange::Quarantined(*fingerprint, quarantine.clone()));
             }
         }
         changes
@@ -369,8 +377,8 @@
         started: backend.started,
         age: age(now, exit.at),
         lost: lost
-            .map(|(print, reached)| LostRun {
-                print: *print,
+            .map(|(fingerprint, reached)| LostRun {
+                fingerprint: *fingerprint,
                 reached: *reached,
             })
             .collect(),
--- a/crates/firshore-crashes/tests/print.rs
+++ b/crates/firshore-crashes/tests/fingerprint.rs
@@ -1,6 +1,6 @@
 //! Fingerprints of requests.
 
-use firshore_crashes::print::{FingerprintInput, FingerprintKey};
+use firshore_crashes::fingerprint::{FingerprintInput, FingerprintKey};
 use firshore_types::ids::TenantName;
 use std::collections::BTreeSet;
 
@@ -14,11 +14,14 @@
 
 #[test]
 fn equal_requests_have_equal_fingerprints_under_the_same_key() {
-    let (first, second) = (FingerprintKey::new(b"secret"), FingerprintKey::new(b"secret"));
-    assert_eq!(first.print(&REQUEST), second.print(&REQUEST));
+    let (first, second) = (
+        FingerprintKey::new(b"secret"),
+        FingerprintKey::new(b"secret"),
+    );
+    assert_eq!(first.fingerprint(&REQUEST), second.fingerprint(&REQUEST));
     assert_ne!(
-        first.print(&REQUEST),
-        FingerprintKey::new(b"another").print(&REQUEST)
+        first.fingerprint(&REQUEST),
+        FingerprintKey::new(b"another").fingerprint(&REQUEST)
     );
 }
 
@@ -61,7 +64,7 @@
     ];
     let fingerprints: BTreeSet<String> = requests
         .iter()
-        .map(|request| key.print(request).to_string())
+        .map(|request| key.fingerprint(request).to_string())
         .collect();
     assert_eq!(fingerprints.len(), requests.len());
     assert!(
@@ -84,8 +87,11 @@
         ..REQUEST
     };
     assert_eq!(
-        key.print(&REQUEST).caller(),
-        key.print(&other_body).caller()
+        key.fingerprint(&REQUEST).caller(),
+        key.fingerprint(&other_body).caller()
+    );
+    assert_ne!(
+        key.fingerprint(&REQUEST).caller(),
+        key.fingerprint(&of_tenant).caller()
     );
-    assert_ne!(key.print(&REQUEST).caller(), key.print(&of_tenant).caller());
 }
--- a/crates/firshore-exchange/src/exchange.rs
+++ b/crates/firshore-exchange/src/exchange.rs
@@ -39,7 +39,7 @@
             display("The back end's connection ended: {reason}. The request may have run.")
         }
         /// The connection closed before the end of the body.
-        CutOff {
+        Truncated {
             display("The back end's answer was cut off. The request may have run.")
         }
         /// The body exceeds the reader's limit in bytes.
@@ -136,7 +136,8 @@
         .await
         .map_err(|_| ExchangeError::NotConnected("timed out".to_owned()))?
         .map_err(|error| ExchangeError::NotConnected(error.to_string()))?;
-    keep_alive::set_up(&stream).map_err(|error| ExchangeError::NotConnected(error.to_string()))?;
+    keep_alive::configure(&stream)
+        .map_err(|error| ExchangeError::NotConnected(error.to_string()))?;
     Ok(Connection { endpoint, stream })
 }
 
@@ -316,7 +317,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ExchangeError::CutOff`] if the connection closes before the end of the body.
+    /// Returns [`ExchangeError::Truncated`] if the connection closes before the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         let result = match &mut self.source {
             BodySource::Ended => return Ok(None),
@@ -371,11 +372,11 @@
         match codec.decode(&mut socket.input) {
             Ok(Some(item)) => return Ok(item),
             Ok(None) => {}
-            Err(_) => return Err(ExchangeError::CutOff),
+            Err(_) => return Err(ExchangeError::Truncated),
         }
         match socket.wait_for_activity().await {
             Ok(Activity::Progress) => {}
-            Ok(Activity::End) | Err(_) => return Err(ExchangeError::CutOff),
+            Ok(Activity::End) | Err(_) => return Err(ExchangeError::Truncated),
         }
     }
 }
@@ -385,7 +386,7 @@
         match socket.wait_for_activity().await {
             Ok(Activity::Progress) => {}
             Ok(Activity::End) => return Ok(None),
-            Err(_) => return Err(ExchangeError::CutOff),
+            Err(_) => return Err(ExchangeError::Truncated),
         }
     }
     Ok(Some(socket.input.split().freeze()))
--- a/crates/firshore-exchange/src/keep_alive.rs
+++ b/crates/firshore-exchange/src/keep_alive.rs
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// Fails if the socket refuses an option.
-pub fn set_up(stream: &TcpStream) -> io::Result<()> {
+pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keep_alive = TcpKeepalive::new()
--- a/crates/firshore-exchange/tests/exchange_contract.rs
+++ b/crates/firshore-exchange/tests/exchange_contract.rs
@@ -16,7 +16,7 @@
 enum Outcome {
     Whole(&'static str),
     Unverified(&'static str),
-    CutOff,
+    Truncated,
     Lost,
     NotConnected,
     TooLong,
@@ -109,7 +109,7 @@
     match error {
         ExchangeError::NotConnected(_) => Outcome::NotConnected,
         ExchangeError::Lost(_) => Outcome::Lost,
-        ExchangeError::CutOff => Outcome::CutOff,
+        ExchangeError::Truncated => Outcome::Truncated,
         ExchangeError::TooLong(_) => Outcome::TooLong,
     }
 }
@@ -135,32 +135,32 @@
         case(
             "cut in a body with a length",
             "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhello",
-            Outcome::CutOff,
+            Outcome::Truncated,
         ),
         case(
             "cut before a body with a length",
             "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n",
-            Outcome::CutOff,
+            Outcome::Truncated,
         ),
         case(
             "cut between chunks",
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n",
-            Outcome::CutOff,
+            Outcome::Truncated,
         ),
         case(
             "cut inside a chunk",
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\na\r\nhello",
-            Outcome::CutOff,
+            Outcome::Truncated,
         ),
         case(
             "cut in a chunk's length",
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0",
-            Outcome::CutOff,
+            Outcome::Truncated,
         ),
         case(
             "a chunk's length that is no number",
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n",
-            Outcome::CutOff,
+            Outcome::Truncated,
         ),
         case(
             "cut in the head",
@@ -227,7 +227,7 @@
         case(
             "a chunk longer than its data",
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\nfff\r\n",
-            Outcome::CutOff,
+            Outcome::Truncated,
         ),
     ];
     cases.push(Case {
--- a/crates/firshore-gateway/src/events.rs
+++ b/crates/firshore-gateway/src/events.rs
@@ -82,12 +82,12 @@
     }
 
     /// Whether a part of an event is held.
-    pub fn holds_part(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Drops the part of an event at which the stream broke.
-    pub fn broken_off(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 }
@@ -125,7 +125,7 @@
 
 /// The data of each whole event in `events`; several data lines of one event are joined by line
 /// feeds.
-pub fn data_of(events: &[u8]) -> Vec<String> {
+pub fn event_data(events: &[u8]) -> Vec<String> {
     let mut found = Vec::new();
     let mut rest = events;
     while let Some(length) = event_length(rest) {
--- a/crates/firshore-gateway/src/forward/mod.rs
+++ b/crates/firshore-gateway/src/forward/mod.rs
@@ -26,7 +26,7 @@
 use firshore_adapter::route::Route;
 use firshore_adapter::tenant::Tenant;
 use firshore_admission::admission::ShareStatus;
-use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
+use firshore_crashes::fingerprint::{FingerprintInput, RequestFingerprint};
 use firshore_crashes::report::LostRun;
 use firshore_exchange::exchange::{self, Exchange, ExchangeError, Reuse};
 use firshore_types::ids::ServiceName;
@@ -175,7 +175,7 @@
     tokio::select! {
         biased;
         result = work => Ok(result),
-        () = connection.left() => Err(Interrupted::CallerLeft),
+        () = connection.disconnected() => Err(Interrupted::CallerLeft),
         () = actix_rt::time::sleep_until(deadline.into()) => Err(Interrupted::TimedOut),
     }
 }
@@ -210,7 +210,7 @@
                 "request" => &self.terms.id, "route" => &self.route.name,
                 "backend" => %backend.incarnation, "end" => ?end, "next" => ?next,
                 "sends" => self.attempts.sends(), "age_ms" => self.age(),
-                "backends_age_ms" => self.gateway.beliefs.backends.age_ms());
+                "backends_age_ms" => self.gateway.freshness.backends.age_ms());
             if next != Next::SendAgain {
                 return Ok(self.give_up(next, "sends used up", connection).await);
             }
@@ -249,7 +249,7 @@
             let host = self.request.headers.get(HOST);
             let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
             let target = self.request.uri.path_and_query();
-            self.gateway.fingerprint_key.print(&FingerprintInput {
+            self.gateway.fingerprint_key.fingerprint(&FingerprintInput {
                 tenant: self.tenant.as_deref().map(|tenant| &tenant.name),
                 host,
                 method: self.request.method.as_str(),
@@ -315,7 +315,7 @@
             Ok(to_backend) => to_backend,
             Err(_) => {
                 self.gateway
-                    .observed(&backend.incarnation, BackendOutcome::Unreachable);
+                    .record_outcome(&backend.incarnation, BackendOutcome::Unreachable);
                 return Ok(Sent::Ended(SendEnd::NotSent));
             }
         };
@@ -345,15 +345,15 @@
 
     fn lost(&self, backend: &Backend, error: &ExchangeError) -> Sent {
         self.gateway
-            .observed(&backend.incarnation, BackendOutcome::Broke);
+            .record_outcome(&backend.incarnation, BackendOutcome::Broke);
         warn!(self.gateway.log, "forward: Answer lost."; "request" => &self.terms.id,
             "backend" => %backend.incarnation, "reason" => %error, "print" => %self.print(),
             "age_ms" => self.age());
         let run = LostRun {
-            print: self.print(),
+            fingerprint: self.print(),
             reached: self.progress.received,
         };
-        self.gateway.crashes.broke_off(backend, run);
+        self.gateway.crashes.record_lost_run(backend, run);
         let started = self.progress.events.last().is_some();
         Sent::Ended(match started {
             true => SendEnd::BrokenOff,
@@ -367,7 +367,7 @@
         exchange: Exchange,
         connection: &mut CallerConnection,
     ) -> Result<Sent, Interrupted> {
-        self.gateway.heard(&backend.incarnation);
+        self.gateway.record_activity(&backend.incarnation);
         if let Some(send) = &mut self.last_send {
             let began_after = send.at.elapsed();
             send.began_after = Some(began_after);
@@ -438,13 +438,13 @@
     fn note_answer(&self, backend: &Backend, answer: &AnswerHead) {
         if let Some(load) = answer.load {
             let mut fleet = self.gateway.fleet.borrow_mut();
-            fleet.reported(Instant::now(), &backend.incarnation, load);
+            fleet.record_load(Instant::now(), &backend.incarnation, load);
         }
         let seen = match (answer.misdirected, answer.ran) {
             (true, _) => BackendOutcome::Unreachable,
             (false, Ran::No) => BackendOutcome::Full,
             (false, _) => return,
         };
-        self.gateway.observed(&backend.incarnation, seen);
+        self.gateway.record_outcome(&backend.incarnation, seen);
     }
 }
--- a/crates/firshore-gateway/tests/access.rs
+++ b/crates/firshore-gateway/tests/access.rs
@@ -4,7 +4,7 @@
 
 use firshore_adapter::jobs::{JobId, JobItem, ResultPage};
 use firshore_adapter::route::Route;
-use firshore_gateway::belief::FreshnessSource;
+use firshore_gateway::freshness::FreshnessSource;
 use firshore_gateway::gateway::{JobFuture, JobService};
 use firshore_stand_in::adapter::{KEY, TENANT};
 use firshore_stand_in::backend::Play;
@@ -339,7 +339,7 @@
 fn unknown_routes_and_keys_get_503_while_the_configuration_is_stale() {
     actix_rt::System::new().block_on(async {
         let fixture = fixture(configuration(1, &tenants()), &[&[]], Play::Whole).await;
-        let freshness = &fixture.gateway.beliefs.configuration;
+        let freshness = &fixture.gateway.freshness.configuration;
         let unknown = [("/none/", key("key-a")), ("/own/", key("key-x"))];
         let [unknown_route, unknown_key] = unknown.each_ref();
         assert_eq!(
--- a/crates/firshore-gateway/tests/caller_connection.rs
+++ b/crates/firshore-gateway/tests/caller_connection.rs
@@ -78,7 +78,7 @@
         let mut connection = accept(&listener).await;
         assert!(matches!(read(&mut connection).await, Incoming::Request(_)));
         drop(stream);
-        connection.left().await;
+        connection.disconnected().await;
     });
 }
 
--- a/crates/firshore-gateway/tests/room.rs
+++ b/crates/firshore-gateway/tests/capacity.rs
@@ -6,7 +6,7 @@
 use firshore_adapter::route::Repetition;
 use firshore_admission::admission::CapacityOutlook;
 use firshore_gateway::attempts::Attempts;
-use firshore_gateway::fleet::{Fleet, BackendRequirements};
+use firshore_gateway::fleet::{BackendRequirements, Fleet};
 use firshore_types::ids::ServiceName;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -69,7 +69,7 @@
 fn outlook(fleet: &Fleet, now: Instant) -> CapacityOutlook {
     let service = ServiceName::from("llm");
     let attempts = Attempts::new(Repetition::Idempotent, 1);
-    let wanted = BackendRequirements {
+    let requirements = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -77,7 +77,7 @@
         answer_within: None,
         begin_within: None,
     };
-    fleet.outlook(now, &wanted, BEGIN_WITHIN).unwrap()
+    fleet.outlook(now, &requirements, BEGIN_WITHIN).unwrap()
 }
 
 fn report_load(fleet: &mut Fleet, now: Instant, number: usize, running: u32, waiting: u32) {
@@ -87,7 +87,7 @@
         slots: SLOTS,
         pace: None,
     };
-    fleet.reported(now, &incarnation(number), load);
+    fleet.record_load(now, &incarnation(number), load);
 }
 
 #[test]
@@ -193,10 +193,7 @@
     fleet.started(now, &incarnation(1));
     fleet.ended(now, &incarnation(1));
     let at = outlook(&fleet, now);
-    assert!(
-        at.has_slot,
-        "the slot at the second back end is still free"
-    );
+    assert!(at.has_slot, "the slot at the second back end is still free");
 }
 
 #[test]
@@ -323,7 +320,7 @@
             slots: SLOTS,
             pace: None,
         };
-        fleet.reported(now, &incarnation(0), load);
+        fleet.record_load(now, &incarnation(0), load);
     }
     let unseen = fleet.unseen(now, &service);
     assert!((0.45..=0.5).contains(&unseen), "4 of 8 slots: {unseen}");
@@ -367,7 +364,7 @@
 fn has_backend(fleet: &Fleet, now: Instant) -> bool {
     let service = ServiceName::from("llm");
     let attempts = Attempts::new(Repetition::Idempotent, 1);
-    let wanted = BackendRequirements {
+    let requirements = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -376,5 +373,5 @@
         begin_within: Some(BEGIN_WITHIN),
     };
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    fleet.choose(now, &wanted, &mut random).is_some()
+    fleet.choose(now, &requirements, &mut random).is_some()
 }
--- a/crates/firshore-gateway/tests/crash_monitor.rs
+++ b/crates/firshore-gateway/tests/crash_monitor.rs
@@ -4,7 +4,7 @@
 
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::Incarnation;
-use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
+use firshore_crashes::fingerprint::{FingerprintInput, RequestFingerprint};
 use firshore_crashes::report::{CrashReport, LostRun, ReportedExit};
 use firshore_crashes::sync::CrashSyncRequest;
 use firshore_stand_in::adapter::HOST;
@@ -46,8 +46,8 @@
 
 impl Fixture {
     /// Returns the fingerprint of a request as written by [`send`].
-    fn print(&self, path: &str) -> RequestFingerprint {
-        self.gateway.fingerprint_key.print(&FingerprintInput {
+    fn fingerprint(&self, path: &str) -> RequestFingerprint {
+        self.gateway.fingerprint_key.fingerprint(&FingerprintInput {
             tenant: None,
             host: HOST,
             method: "POST",
@@ -58,12 +58,15 @@
 
     /// Merges a report of another node about exits under a request, 1 s apart.
     fn report_exits(&self, path: &str, backends: &[&str]) {
-        let print = self.print(path);
+        let fingerprint = self.fingerprint(path);
         let exits = backends.iter().enumerate().map(|(idx, name)| ReportedExit {
             backend: (*name).to_owned(),
             started: None,
             age: 1_000 * idx as u64,
-            lost: vec![LostRun { print, reached: 0 }],
+            lost: vec![LostRun {
+                fingerprint,
+                reached: 0,
+            }],
         });
         let report = CrashReport {
             ends: exits.collect(),
@@ -73,11 +76,11 @@
             known: None,
             report,
         };
-        self.gateway.crashes.answer(&request);
+        self.gateway.crashes.handle_request(&request);
     }
 
-    fn suspects(&self) -> usize {
-        self.gateway.crashes.table().suspects()
+    fn suspect_count(&self) -> usize {
+        self.gateway.crashes.table().suspect_count()
     }
 }
 
@@ -130,15 +133,15 @@
         let fixture = fixture(configuration(), &[], Play::Whole).await;
         start_exiting_backend(&fixture, "ends", false).await;
         assert_eq!(status(&request(fixture.address, "/once/").await), 502);
-        while fixture.suspects() == 0 {
+        while fixture.suspect_count() == 0 {
             actix_rt::time::sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(
             fixture
                 .gateway
                 .crashes
-                .suspicion(&fixture.print("/once/"))
-                .ends,
+                .suspicion(&fixture.fingerprint("/once/"))
+                .exits,
             1
         );
     });
@@ -151,7 +154,7 @@
         start_exiting_backend(&fixture, "leaves", true).await;
         assert_eq!(status(&request(fixture.address, "/once/").await), 502);
         actix_rt::time::sleep(Duration::from_millis(300)).await;
-        assert_eq!(fixture.suspects(), 0);
+        assert_eq!(fixture.suspect_count(), 0);
     });
 }
 
@@ -164,7 +167,7 @@
             request(fixture.address, "/once/").await;
         }
         actix_rt::time::sleep(Duration::from_millis(300)).await;
-        assert_eq!(fixture.suspects(), 0);
+        assert_eq!(fixture.suspect_count(), 0);
     });
 }
 
@@ -173,9 +176,9 @@
     run(async {
         let fixture = fixture(configuration(), &[&[]], Play::Whole).await;
         fixture.report_exits("/safe/", &["lost1", "lost2"]);
-        assert_eq!(fixture.suspects(), 1);
+        assert_eq!(fixture.suspect_count(), 1);
         assert_eq!(status(&request(fixture.address, "/safe/").await), 200);
-        assert_eq!(fixture.suspects(), 0);
+        assert_eq!(fixture.suspect_count(), 0);
         fixture.report_exits("/safe/", &["lost3", "lost4", "lost5"]);
         assert_eq!(status(&request(fixture.address, "/safe/").await), 200);
     });
@@ -191,8 +194,11 @@
             start_exiting_backend(&fixture, name, false).await;
         }
         assert_eq!(status(&request(fixture.address, "/safe/").await), 502);
-        let suspicion = fixture.gateway.crashes.suspicion(&fixture.print("/safe/"));
-        assert_eq!((suspicion.ends, suspicion.occasions), (2, 2));
+        let suspicion = fixture
+            .gateway
+            .crashes
+            .suspicion(&fixture.fingerprint("/safe/"));
+        assert_eq!((suspicion.exits, suspicion.occasions), (2, 2));
     });
 }
 
--- a/crates/firshore-gateway/tests/decisions.rs
+++ b/crates/firshore-gateway/tests/decisions.rs
@@ -6,8 +6,8 @@
 use firshore_adapter::route::{Repetition, Route, RouteTable, WeightedService};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
 use firshore_gateway::choice::{Candidate, Placement, affinity_key, choose};
-use firshore_gateway::events::{EventError, EventStream, data_of};
-use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
+use firshore_gateway::events::{EventError, EventStream, event_data};
+use firshore_gateway::fleet::{BackendOutcome, BackendRequirements, Fleet};
 use firshore_gateway::split::Split;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -43,7 +43,7 @@
 ) -> Option<String> {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let service = "llm".into();
-    let wanted = BackendRequirements {
+    let requirements = BackendRequirements {
         service: &service,
         attempts,
         affinity,
@@ -51,7 +51,7 @@
         answer_within: None,
         begin_within: None,
     };
-    let found = fleet.choose(now, &wanted, &mut random);
+    let found = fleet.choose(now, &requirements, &mut random);
     found.map(|backend| backend.incarnation.name.to_string())
 }
 
@@ -244,7 +244,7 @@
     fleet.apply_remote_load(now, &others.collect(), &mut ChaCha8Rng::seed_from_u64(1));
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = BackendRequirements {
+    let requirements = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -255,7 +255,7 @@
     let to_idle_backend = (0..GATEWAYS)
         .filter(|gateway| {
             let mut random = ChaCha8Rng::seed_from_u64(*gateway);
-            let found = fleet.choose(now, &wanted, &mut random).unwrap();
+            let found = fleet.choose(now, &requirements, &mut random).unwrap();
             found.incarnation == incarnation("b0")
         })
         .count();
@@ -294,7 +294,7 @@
         slots: 10,
         pace: None,
     };
-    fleet.reported(now, &incarnation("a"), load);
+    fleet.record_load(now, &incarnation("a"), load);
     assert_eq!(fleet.load(now, &incarnation("a")), Some(0.3));
     assert_eq!(fleet.excess(now, &incarnation("a"), 0.9), None);
     assert_eq!(fleet.excess(now, &incarnation("a"), 0.1), Some(2));
@@ -319,14 +319,14 @@
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b"]);
-    assert!(fleet.observed(now, &incarnation("a"), BackendOutcome::Unreachable));
+    assert!(fleet.record_outcome(now, &incarnation("a"), BackendOutcome::Unreachable));
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
-    assert!(fleet.observed(now, &incarnation("b"), BackendOutcome::Unreachable));
+    assert!(fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Unreachable));
     assert!(
         chosen(&fleet, now, &attempts, None).is_some(),
         "an ejected back end is chosen if there is no other"
     );
-    fleet.observed(now, &incarnation("b"), BackendOutcome::Answered);
+    fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Answered);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
     let later = now + Duration::from_secs(5);
     fleet.started(later, &incarnation("b"));
@@ -344,13 +344,13 @@
         fleet.started(now, &other);
     }
     let later = now + Duration::from_millis(700);
-    fleet.heard(later, &other);
+    fleet.record_activity(later, &other);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("a"));
     assert_eq!(chosen(&fleet, later, &attempts, None).as_deref(), Some("b"));
-    fleet.heard(later, &unresponsive);
+    fleet.record_activity(later, &unresponsive);
     assert_eq!(chosen(&fleet, later, &attempts, None).as_deref(), Some("a"));
     let much_later = later + Duration::from_secs(1);
-    fleet.heard(much_later, &other);
+    fleet.record_activity(much_later, &other);
     fleet.ended(now, &unresponsive);
     let idle = chosen(&fleet, much_later, &attempts, None);
     assert_eq!(idle.as_deref(), Some("a"), "it has no request in flight");
@@ -360,14 +360,14 @@
 fn events_are_forwarded_complete_and_in_order() {
     let mut stream = EventStream::after(None);
     assert!(stream.feed(b"id: 1\ndata: a").unwrap().is_empty());
-    assert!(stream.holds_part());
+    assert!(stream.has_partial());
     let events = stream.feed(b"\n\nid: 2\ndata: b\n\nid: 3").unwrap();
     assert_eq!(&events[..], b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    assert_eq!(data_of(&events), ["a", "b"]);
+    assert_eq!(event_data(&events), ["a", "b"]);
     assert_eq!(stream.last(), Some(2));
-    stream.broken_off();
+    stream.discard_partial();
     let rest = stream.feed(b"id: 3\ndata: c\ndata: d\n\n").unwrap();
-    assert_eq!(data_of(&rest), ["c\nd"]);
+    assert_eq!(event_data(&rest), ["c\nd"]);
     for event in ["id: 3\ndata: c\n\n", "id: 5\ndata: e\n\n"] {
         let mut stream = EventStream::after(Some(3));
         let found = if event.starts_with("id: 3") { 3 } else { 5 };
@@ -379,12 +379,12 @@
 #[test]
 fn online_requests_are_spread_by_free_capacity() {
     const DRAWS: usize = 20_000;
-    let candidate = |identity, load, at_home| Candidate {
+    let candidate = |identity, load, same_zone| Candidate {
         identity,
         load,
         pace: 1.0,
         turnover: 0.0,
-        at_home,
+        same_zone,
     };
     // Free capacity: 0.5 and 0.25 in the local zone; 0.5 in another zone, weighted by 0.4; none at the others.
     let candidates = [
@@ -413,7 +413,7 @@
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = BackendRequirements {
+    let requirements = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -427,7 +427,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for (interval, min, max) in [(100, DRAWS, DRAWS), (400, 100, 240)] {
         fleet.set_view_interval(Duration::from_millis(interval));
-        let chosen = (0..DRAWS).map(|_| fleet.choose(now, &wanted, &mut random).unwrap());
+        let chosen = (0..DRAWS).map(|_| fleet.choose(now, &requirements, &mut random).unwrap());
         let idle = incarnation("c");
         let count = chosen.filter(|backend| backend.incarnation == idle).count();
         assert!((min..=max).contains(&count), "{count} at {interval} ms");
@@ -441,7 +441,7 @@
         load,
         pace: 1.0,
         turnover: 0.0,
-        at_home: true,
+        same_zone: true,
     };
     let candidates = [candidate(1, 1.5), candidate(2, 1.0), candidate(3, 2.0)];
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -465,7 +465,7 @@
                 ..backend("b", "here")
             };
             fleet.replace(vec![backend]);
-            let wanted = BackendRequirements {
+            let requirements = BackendRequirements {
                 service: &service,
                 attempts: &attempts,
                 affinity: None,
@@ -475,7 +475,7 @@
             };
             let mut random = ChaCha8Rng::seed_from_u64(1);
             let mut started = 0;
-            while fleet.choose(now, &wanted, &mut random).is_some() {
+            while fleet.choose(now, &requirements, &mut random).is_some() {
                 fleet.started(now, &incarnation("b"));
                 started += 1;
             }
@@ -493,14 +493,14 @@
         slots: 10,
         pace: Pace::from_hundredths(pace),
     };
-    fleet.reported(now, &incarnation(name), load);
+    fleet.record_load(now, &incarnation(name), load);
 }
 
 /// Returns how often each of two back ends, `a` and `b`, is chosen in 2,000 draws.
 fn count_choices(fleet: &Fleet, now: Instant, answer_within: Option<Duration>) -> [usize; 2] {
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = BackendRequirements {
+    let requirements = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -511,7 +511,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut counts = [0; 2];
     for _ in 0..2_000 {
-        let found = fleet.choose(now, &wanted, &mut random).unwrap();
+        let found = fleet.choose(now, &requirements, &mut random).unwrap();
         counts[usize::from(found.incarnation == incarnation("b"))] += 1;
     }
     counts
@@ -574,7 +574,11 @@
     report_pace(&mut remote, now, "b", 300);
     let paces = remote.take_unreported_paces();
     assert_eq!(paces.len(), 1);
-    assert_eq!(remote.take_unreported_paces(), [], "each pace is reported once");
+    assert_eq!(
+        remote.take_unreported_paces(),
+        [],
+        "each pace is reported once"
+    );
     local.apply_remote_paces(now, paces);
     assert_eq!(local.take_unreported_paces(), []);
     let [_, slow] = count_choices(&local, now, None);
@@ -592,7 +596,7 @@
     report_pace(&mut fleet, now, "a", 100);
     report_pace(&mut fleet, now, "b", 60);
     for _ in 0..20 {
-        fleet.observed(now, &incarnation("b"), BackendOutcome::Failed);
+        fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Failed);
     }
     let [_, failing] = count_choices(&fleet, now, None);
     assert!(failing < 700, "by pace alone it would get 1,250: {failing}");
@@ -610,7 +614,7 @@
         Duration::from_millis(500),
     );
     for _ in 0..20 {
-        fleet.observed(now, &incarnation("b"), BackendOutcome::Failed);
+        fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Failed);
     }
     let others = HashMap::from([("a".into(), 5)]);
     fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
--- a/crates/firshore-gateway/tests/belief.rs
+++ b/crates/firshore-gateway/tests/freshness.rs
@@ -1,6 +1,6 @@
 //! Age and source of a node's copy of the object store.
 
-use firshore_gateway::belief::{Freshness, FreshnessSource};
+use firshore_gateway::freshness::{Freshness, FreshnessSource};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/firshore-gateway/tests/pace.rs
+++ b/crates/firshore-gateway/tests/pace.rs
@@ -1,7 +1,7 @@
 //! Estimate of a back end's pace from its reports, the pauses of streams, and failures.
 
 use firshore_adapter::backend::Pace;
-use firshore_gateway::pace::{ResponseQuality, PaceEstimate, TypicalPause};
+use firshore_gateway::pace::{PaceEstimate, ResponseQuality, TypicalPause};
 use std::time::{Duration, Instant};
 
 /// Length of a temporary slowdown.
@@ -24,7 +24,7 @@
 ) -> Instant {
     let mut now = start;
     while now < start + length {
-        estimate.told(now, pace(hundredths));
+        estimate.record_report(now, pace(hundredths));
         now = after(now, 50);
     }
     now
@@ -42,7 +42,7 @@
     let now = Instant::now();
     let mut estimate = PaceEstimate::default();
     assert_eq!((estimate.pace(now), estimate.factor(now)), (None, 1.0));
-    estimate.answered(now, ResponseQuality::Failed);
+    estimate.record_response(now, ResponseQuality::Failed);
     assert_eq!(estimate.factor(now), 1.0, "no pace was reported");
 }
 
@@ -51,7 +51,7 @@
     let now = Instant::now();
     for hundredths in [60, 100, 160, 400] {
         let mut estimate = PaceEstimate::default();
-        estimate.told(now, pace(hundredths));
+        estimate.record_report(now, pace(hundredths));
         assert_eq!(estimate.factor(now), hundredths as f32 / 100.0);
     }
 }
@@ -77,7 +77,7 @@
     let later = estimate.factor(after(now, 1_500));
     assert!(later > 3.0, "{later}");
     // The first report of a recovery counts at once.
-    estimate.told(after(now, 1_500), pace(100));
+    estimate.record_report(after(now, 1_500), pace(100));
     assert_near(estimate.factor(after(now, 1_500)), 1.0);
 }
 
@@ -86,11 +86,11 @@
     let start = Instant::now();
     let mut estimate = PaceEstimate::default();
     let now = report_for(&mut estimate, start, Duration::from_secs(5), 100);
-    estimate.told(now, pace(90_000));
+    estimate.record_report(now, pace(90_000));
     assert!(estimate.factor(now) <= 10.0);
     assert_near(estimate.factor(after(now, 400)), 1.0);
     let mut first = PaceEstimate::default();
-    first.told(now, pace(90_000));
+    first.record_report(now, pace(90_000));
     let later = first.factor(after(now, 400));
     assert!(later <= 1.5, "no other report: {later}");
 }
@@ -101,7 +101,7 @@
     let mut estimate = PaceEstimate::default();
     let now = report_for(&mut estimate, start, Duration::from_secs(5), 60);
     // A single report after a minute must not count for the whole minute.
-    estimate.told(after(now, 60_000), pace(150));
+    estimate.record_report(after(now, 60_000), pace(150));
     let later = estimate.factor(after(now, 61_000));
     assert!((0.6..0.75).contains(&later), "{later}");
 }
@@ -110,21 +110,21 @@
 fn fast_failures_do_not_count_as_fast() {
     let start = Instant::now();
     let mut estimate = PaceEstimate::default();
-    estimate.told(start, pace(60));
+    estimate.record_report(start, pace(60));
     for _ in 0..20 {
-        estimate.answered(start, ResponseQuality::Failed);
+        estimate.record_response(start, ResponseQuality::Failed);
     }
     assert!(estimate.factor(start) > 2.0);
     assert_near(estimate.pace(start).unwrap(), 0.6);
     let mut now = start;
     for _ in 0..40 {
         now = after(now, 20);
-        estimate.told(now, pace(60));
-        estimate.answered(now, ResponseQuality::Good);
+        estimate.record_report(now, pace(60));
+        estimate.record_response(now, ResponseQuality::Good);
     }
     assert_near(estimate.factor(now), 0.6);
     // Without further failures the penalty expires after some seconds.
-    estimate.answered(now, ResponseQuality::Failed);
+    estimate.record_response(now, ResponseQuality::Failed);
     let later = after(now, 5_000);
     assert_eq!(Some(estimate.factor(later)), estimate.pace(later));
 }
@@ -138,7 +138,7 @@
     for round in 0..200 {
         let now = after(start, round * 100);
         for (estimate, pause) in estimates.iter_mut().zip(pauses) {
-            estimate.paused(now, typical.seen(pause));
+            estimate.record_pause(now, typical.record(pause));
         }
     }
     let now = after(start, 20_000);
@@ -153,7 +153,7 @@
         "the estimate expires"
     );
     // A reported pace has precedence over pauses.
-    estimates[3].told(now, pace(100));
+    estimates[3].record_report(now, pace(100));
     assert_eq!(estimates[3].factor(now), 1.0);
 }
 
@@ -163,14 +163,14 @@
     let mut typical = TypicalPause::default();
     let mut estimate = PaceEstimate::default();
     for _ in 0..10 {
-        estimate.paused(now, typical.seen(Duration::from_millis(40)));
+        estimate.record_pause(now, typical.record(Duration::from_millis(40)));
     }
     assert_eq!(estimate.pace(now), None);
     for _ in 0..10 {
-        estimate.paused(now, typical.seen(Duration::from_millis(40)));
+        estimate.record_pause(now, typical.record(Duration::from_millis(40)));
     }
-    estimate.paused(now, typical.seen(Duration::from_secs(2)));
+    estimate.record_pause(now, typical.record(Duration::from_secs(2)));
     assert_near(estimate.factor(now), 1.05);
-    let next = typical.seen(Duration::from_millis(40));
+    let next = typical.record(Duration::from_millis(40));
     assert_near(next, 1.0);
 }
--- a/crates/firshore-gateway/tests/pressure.rs
+++ b/crates/firshore-gateway/tests/pressure.rs
@@ -23,8 +23,8 @@
         refused: 1,
         ..PressureCounts::default()
     };
-    assert_eq!(reported[0].figure, chat_counts);
-    assert_eq!(reported[1].figure, desk_counts);
+    assert_eq!(reported[0].counts, chat_counts);
+    assert_eq!(reported[1].counts, desk_counts);
     assert_eq!(reported.len(), 2);
     assert_eq!(count.take(), Vec::new());
 }
@@ -44,12 +44,12 @@
     second.late(&"chat".into());
     second.waited(&"desk".into());
     let mut sum = PressureCounter::default();
-    sum.told(&first.take());
-    sum.told(&second.take());
+    sum.add_reported(&first.take());
+    sum.add_reported(&second.take());
     let sums: Vec<(String, u32)> = sum
         .take()
         .into_iter()
-        .map(|pressure| (pressure.service.to_string(), pressure.figure.sum()))
+        .map(|pressure| (pressure.service.to_string(), pressure.counts.sum()))
         .collect();
     assert_eq!(sums, [("chat".to_owned(), 2), ("desk".to_owned(), 1)]);
 }
@@ -58,7 +58,7 @@
 fn zero_counts_are_not_serialized() {
     let pressure = ServicePressure {
         service: "chat".into(),
-        figure: PressureCounts {
+        counts: PressureCounts {
             late: 3,
             ..PressureCounts::default()
         },
--- a/crates/firshore-gateway/tests/successors.rs
+++ b/crates/firshore-gateway/tests/successors.rs
@@ -9,9 +9,9 @@
 use firshore_adapter::decode::Decoder;
 use firshore_adapter::objects::Object;
 use firshore_adapter::route::Repetition;
-use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
+use firshore_crashes::fingerprint::{FingerprintInput, RequestFingerprint};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
-use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
+use firshore_gateway::fleet::{BackendOutcome, BackendRequirements, Fleet};
 use firshore_stand_in::adapter::{HOST, Plain};
 use firshore_stand_in::backend::{EVENTS, Play, ScriptedBackend};
 use rand::SeedableRng;
@@ -82,7 +82,7 @@
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut found: Vec<Backend> = Vec::new();
     for _ in 0..200 {
-        let wanted = BackendRequirements {
+        let requirements = BackendRequirements {
             service: &service,
             attempts: &attempts,
             affinity: None,
@@ -90,7 +90,7 @@
             answer_within: None,
             begin_within: None,
         };
-        let backend = fleet.choose(now, &wanted, &mut random).unwrap();
+        let backend = fleet.choose(now, &requirements, &mut random).unwrap();
         if !found.contains(&backend) {
             found.push(backend);
         }
@@ -107,7 +107,7 @@
         listed("b", 2, 1_000),
     );
     let mut fleet = fleet(&[old.clone(), other]);
-    fleet.observed(now, &old.incarnation, BackendOutcome::Unreachable);
+    fleet.record_outcome(now, &old.incarnation, BackendOutcome::Unreachable);
     assert!(!chosen(&fleet, now).contains(&old), "it is ejected");
     fleet.upsert(new.clone());
     assert!(chosen(&fleet, now).contains(&new));
@@ -127,14 +127,14 @@
         slots: 10,
         pace: None,
     };
-    fleet.reported(now, &old.incarnation, load);
+    fleet.record_load(now, &old.incarnation, load);
     fleet.replace(vec![new.clone()]);
     assert_eq!(fleet.load(now, &new.incarnation), Some(0.0));
     fleet.started(now, &new.incarnation);
     // Late events of the old process must not affect the new one.
     fleet.ended(now, &old.incarnation);
-    fleet.reported(now, &old.incarnation, load);
-    fleet.observed(now, &old.incarnation, BackendOutcome::Unreachable);
+    fleet.record_load(now, &old.incarnation, load);
+    fleet.record_outcome(now, &old.incarnation, BackendOutcome::Unreachable);
     assert_eq!(fleet.load(now, &new.incarnation), Some(0.1));
     assert_eq!(chosen(&fleet, now), [new]);
 }
@@ -213,8 +213,8 @@
         self.gateway.fleet.borrow_mut().upsert(entry.decode());
     }
 
-    fn print(&self, path: &str) -> RequestFingerprint {
-        self.gateway.fingerprint_key.print(&FingerprintInput {
+    fn fingerprint(&self, path: &str) -> RequestFingerprint {
+        self.gateway.fingerprint_key.fingerprint(&FingerprintInput {
             tenant: None,
             host: HOST,
             method: "POST",
@@ -225,10 +225,10 @@
 
     /// Waits up to 1.5 s until `wanted` exits under a request are recorded; returns their number.
     async fn exits_under(&self, path: &str, wanted: usize) -> usize {
-        let print = self.print(path);
+        let fingerprint = self.fingerprint(path);
         let until = Instant::now() + Duration::from_millis(1_500);
         loop {
-            let exits = self.gateway.crashes.suspicion(&print).ends;
+            let exits = self.gateway.crashes.suspicion(&fingerprint).exits;
             if exits >= wanted || Instant::now() > until {
                 return exits;
             }
@@ -409,13 +409,13 @@
     let [first, second, third] = [1_000, 2_000, 3_000].map(|started| listed("a", 1, started));
     let other = listed("b", 2, 1_000);
     let mut fleet = fleet(&[first.clone(), other]);
-    fleet.has_ended(now, &second.incarnation);
+    fleet.record_exit(now, &second.incarnation);
     assert!(
         !chosen(&fleet, now).contains(&first),
         "its next start has exited too"
     );
     fleet.upsert(third.clone());
-    fleet.has_ended(now, &second.incarnation);
+    fleet.record_exit(now, &second.incarnation);
     assert!(chosen(&fleet, now).contains(&third));
 }
 
--- a/crates/firshore-gateway/tests/uneven.rs
+++ b/crates/firshore-gateway/tests/uneven.rs
@@ -5,7 +5,7 @@
 use firshore_adapter::incarnation::Incarnation;
 use firshore_adapter::route::Repetition;
 use firshore_gateway::attempts::Attempts;
-use firshore_gateway::fleet::{Fleet, BackendRequirements};
+use firshore_gateway::fleet::{BackendRequirements, Fleet};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -147,7 +147,10 @@
 
 /// Reports the loads and paces of each gateway to all others.
 fn exchange_loads(fleets: &mut [Fleet], at: Instant, random: &mut impl Rng) {
-    let mut paces: Vec<_> = fleets.iter_mut().map(Fleet::take_unreported_paces).collect();
+    let mut paces: Vec<_> = fleets
+        .iter_mut()
+        .map(Fleet::take_unreported_paces)
+        .collect();
     for reports in &mut paces {
         reports.sort_by_key(|report| report.backend.clone());
     }
@@ -186,7 +189,7 @@
     let (mut world, start) = (World::new(), Instant::now());
     let mut fleets: Vec<Fleet> = (0..GATEWAYS).map(|_| new_fleet()).collect();
     let (service, attempts) = ("llm".into(), Attempts::new(Repetition::Idempotent, 1));
-    let wanted = BackendRequirements {
+    let requirements = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -217,7 +220,7 @@
                     slots: SLOTS as u32,
                     pace: pace.filter(|_| reports_pace),
                 };
-                fleets[arrival.gateway].reported(at, &incarnation(engine), load);
+                fleets[arrival.gateway].record_load(at, &incarnation(engine), load);
             }
         }
         if now.is_multiple_of(VIEW_INTERVAL_MS) {
@@ -225,7 +228,9 @@
         }
         for gateway in arrivals(&mut random) {
             world.arrived += 1;
-            let backend = fleets[gateway].choose(at, &wanted, &mut choices).unwrap();
+            let backend = fleets[gateway]
+                .choose(at, &requirements, &mut choices)
+                .unwrap();
             fleets[gateway].started(at, &backend.incarnation);
             let name = backend.incarnation.name.as_str();
             let engine = &mut world.engines[name[1..].parse::<usize>().unwrap()];
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -7,7 +7,7 @@
 //! A disk that a lone voter left behind needs no such proof. It begins a later history, and the record, which
 //! the lone voter has to write before it promises anything, shuts that one out.
 
-use super::group_keeper::{GroupAction, GroupInput, LeavingNodes, is_superseded, voters_of};
+use super::group_manager::{GroupAction, GroupInput, LeavingNodes, is_superseded, voters_of};
 use super::registry::VoterRecord;
 use firshore_replication::replica::Survivors;
 use firshore_replication::types::{DiskId, ReplicaInfo, ReplicaRole};
@@ -49,12 +49,12 @@
     }
     if !record.possible().iter().any(|voters| voters.contains(&own)) {
         // It was removed, and asks nobody.
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     }
     let present = voters_of(&view.status.membership);
     let superseded = present.iter().any(|disk| is_superseded(view, *disk));
     if !(leaderless.late || superseded) || !record.tells_groups() {
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     }
     let Some(leaving) = view.leaving else {
         return GroupAction::ListLeaving;
@@ -68,11 +68,11 @@
         hold_everything(left, voters, &never_held) && commit_together(&census, voters)
     });
     if !lost_quorum || !certain || !left.contains(&own) {
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     }
     match survivors(view, left) {
         Some(replicas) => go_on_with(view, leaving, record, replicas, possible),
-        None => GroupAction::Rest,
+        None => GroupAction::Idle,
     }
 }
 
@@ -171,14 +171,14 @@
         (_, []) => begin_with(view, record, BTreeSet::from([own]), Vec::new(), None),
         ([], [lone]) => {
             if !unchanged.late {
-                return GroupAction::Rest;
+                return GroupAction::Idle;
             }
             let Some(leaving) = view.leaving else {
                 return GroupAction::ListLeaving;
             };
             let pair = BTreeSet::from([own, *lone]);
             if !unchanged.overdue && !has_replacement(view, leaving, &pair) {
-                return GroupAction::Rest;
+                return GroupAction::Idle;
             }
             begin_with(view, record, BTreeSet::from([own]), Vec::new(), Some(*lone))
         }
@@ -188,7 +188,7 @@
             let before = vec![record.voters.clone()];
             begin_with(view, record, BTreeSet::from([own, *learner]), before, None)
         }
-        _ => GroupAction::Rest,
+        _ => GroupAction::Idle,
     }
 }
 
@@ -216,9 +216,9 @@
 /// Goes on in the history that the record says this disk begins.
 fn begin_history(view: &GroupInput, record: &VoterRecord) -> GroupAction {
     let Some(replicas) = survivors(view, &record.voters) else {
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     };
-    if view.doubtful {
+    if view.write_unconfirmed {
         return GroupAction::Record(record.clone());
     }
     GroupAction::ContinueWith(Survivors {
@@ -247,7 +247,7 @@
 ) -> GroupAction {
     let voters: BTreeSet<DiskId> = replicas.keys().copied().collect();
     let history = view.status.history;
-    if record.voters == voters && !record.settled && !view.doubtful {
+    if record.voters == voters && !record.settled && !view.write_unconfirmed {
         return GroupAction::ContinueWith(Survivors {
             replicas,
             never_held: record.gone.clone(),
--- a/crates/firshore-node/src/pace_table.rs
+++ b/crates/firshore-node/src/pace_table.rs
@@ -60,7 +60,7 @@
 
 impl PaceTable {
     /// Takes in what somebody heard from back ends.
-    pub fn told(&mut self, now: Instant, source: &PaceSource, paces: Vec<BackendPace>) {
+    pub fn record(&mut self, now: Instant, source: &PaceSource, paces: Vec<BackendPace>) {
         for one in paces {
             let Some(pace) = Pace::from_hundredths(one.hundredths) else {
                 continue;
@@ -77,7 +77,7 @@
     }
 
     /// Returns what others told since the same asker was answered last.
-    pub fn news(&mut self, now: Instant, asker: &PaceSource) -> Vec<BackendPace> {
+    pub fn take_updates(&mut self, now: Instant, asker: &PaceSource) -> Vec<BackendPace> {
         self.forget_old(now);
         let state = AskerState {
             number: self.number,
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -1,13 +1,13 @@
 //! The store as a node sees it that asks relays first.
 
-use super::asker::{Asked, RelayAnswer, RelayClient};
 use super::budget::{FreshnessBudget, StoreSchedule};
 use super::cache::{RelayedChanges, RelayedObject, RelayedPage};
+use super::client::{Asked, RelayAnswer, RelayClient};
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use firshore_adapter::objects::{
     Answer, Change, Changes, Object, ObjectError, ObjectStore, Page, Revision,
 };
-use firshore_gateway::belief::{Freshness, FreshnessSource};
+use firshore_gateway::freshness::{Freshness, FreshnessSource};
 use futures_util::FutureExt;
 use serde_json::Value;
 use slog::{info, warn};
@@ -160,17 +160,17 @@
             actix_rt::time::sleep_until(firshore_clock::timer_deadline(self.store_due())).await;
             self.note_direct(kind);
             if !self.reaches_store().await {
-                self.turn.borrow_mut().failed(firshore_clock::now());
+                self.turn.borrow_mut().record_failure(firshore_clock::now());
                 continue;
             }
             let asked_at = firshore_clock::now();
             let limit = self.turn.borrow().timeout();
             let answer = timeout(limit, question()).await;
             if let Ok(Ok(told)) = answer {
-                self.turn.borrow_mut().answered(rand::random());
+                self.turn.borrow_mut().record_success(rand::random());
                 return StoreAnswer { asked_at, told };
             }
-            self.turn.borrow_mut().failed(firshore_clock::now());
+            self.turn.borrow_mut().record_failure(firshore_clock::now());
         }
     }
 
@@ -198,7 +198,7 @@
     fn relayed(&self, as_of: Instant) {
         self.idle_rounds.set(0);
         self.doubted.set(false);
-        self.turn.borrow_mut().relayed(as_of);
+        self.turn.borrow_mut().record_relayed(as_of);
         if self.asks_store.replace(false) {
             info!(self.asker.log, "relay: Relays are asked again.");
         }
@@ -225,7 +225,13 @@
     }
 
     /// Takes in a page: the listing tells the store as of its first one.
-    fn confirm_page(&self, page: &Page, after: Option<&str>, as_of: Instant, source: FreshnessSource) {
+    fn confirm_page(
+        &self,
+        page: &Page,
+        after: Option<&str>,
+        as_of: Instant,
+        source: FreshnessSource,
+    ) {
         if after.is_none() {
             self.listed_as_of.set(Some(as_of));
         }
@@ -279,7 +285,8 @@
                 wait: wait.as_millis() as u64,
             };
             let asking = self.ask_relays(kind, request, wait);
-            let Ok(answer) = timeout_at(firshore_clock::timer_deadline(self.store_due()), asking).await
+            let Ok(answer) =
+                timeout_at(firshore_clock::timer_deadline(self.store_due()), asking).await
             else {
                 return Err(ObjectError::HistoryGone);
             };
--- a/crates/firshore-node/tests/copies_world/machine.rs
+++ b/crates/firshore-node/tests/copies_world/machine.rs
@@ -3,7 +3,7 @@
 use firshore_log::GroupStatus;
 use firshore_log::placement::{Candidate, keeps_promises};
 use firshore_node::journal::SILENCE_FRACTION;
-use firshore_node::journal::group_keeper::{GroupManager, GroupPolicy, GroupInput, LeavingNodes};
+use firshore_node::journal::group_manager::{GroupInput, GroupManager, GroupPolicy, LeavingNodes};
 use firshore_node::journal::registry::VoterRecord;
 use firshore_replication::message::Envelope;
 use firshore_replication::replica::{Replica, Timing};
@@ -208,7 +208,7 @@
             candidates: &self.known.candidates,
             leaving,
             recorded: self.known.voters.as_ref().map(|(_, record)| record),
-            doubtful: self.known.doubtful == Some(self.known.revision()),
+            write_unconfirmed: self.known.doubtful == Some(self.known.revision()),
         }
     }
 
@@ -228,7 +228,7 @@
         let applied = self.applied;
         if let Some(replica) = &mut self.replica
             && replica.log_bytes() > SNAPSHOT_AFTER_BYTES
-            && keeps_promises(&replica.status().membership, self.terms.least)
+            && keeps_promises(&replica.status().membership, self.terms.min_disks)
         {
             // The state is the index that was applied, padded to several parts.
             let mut data = applied.to_be_bytes().to_vec();
--- a/crates/firshore-node/tests/copies_world/mod.rs
+++ b/crates/firshore-node/tests/copies_world/mod.rs
@@ -7,7 +7,7 @@
 mod store;
 
 use firshore_log::placement::{self, Candidate, keeps_promises};
-use firshore_node::journal::group_keeper::{GroupAction, GroupPolicy};
+use firshore_node::journal::group_manager::{GroupAction, GroupPolicy};
 use firshore_replication::message::Envelope;
 use firshore_replication::replica::{Output, ReadToken};
 use firshore_replication::storage::StoredState;
@@ -109,8 +109,8 @@
     pub fn new(sheet: Sheet, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let terms = GroupPolicy {
-            target: placement::voters_for(sheet.losses),
-            least: sheet.losses as usize + 1,
+            target_voters: placement::voters_for(sheet.losses),
+            min_disks: sheet.losses as usize + 1,
             catch_up: Duration::from_millis(CATCH_UP),
         };
         let disks: Vec<DiskId> = (0..sheet.machines)
@@ -149,7 +149,7 @@
 
     fn found(&mut self) {
         let all: Vec<Candidate> = self.machines.iter().map(candidate).collect();
-        let membership = placement::founders(&all, &all[0], self.terms.target);
+        let membership = placement::founders(&all, &all[0], self.terms.target_voters);
         for machine in &mut self.machines {
             self.store
                 .nodes
@@ -614,7 +614,7 @@
         for index in 0..self.machines.len() {
             let command = self.random.next_u64().to_be_bytes().to_vec();
             let machine = &mut self.machines[index];
-            let promises = keeps_promises(&machine.status.membership, self.terms.least);
+            let promises = keeps_promises(&machine.status.membership, self.terms.min_disks);
             if !machine.runs() || !machine.status.leads || !promises {
                 continue;
             }
@@ -703,7 +703,7 @@
         let leaving = machine.leaving().filter(|_| knows_wishes);
         let mut keeper = std::mem::replace(
             &mut machine.keeper,
-            firshore_node::journal::group_keeper::GroupManager::new(machine.terms),
+            firshore_node::journal::group_manager::GroupManager::new(machine.terms),
         );
         let step = keeper.step(now, &machine.view(self.start, leaving.as_ref()));
         machine.keeper = keeper;
@@ -712,7 +712,7 @@
 
     fn carry_out_step(&mut self, index: usize, step: GroupAction) {
         let name = self.machines[index].name.clone();
-        if step != GroupAction::Rest {
+        if step != GroupAction::Idle {
             self.line(format!("{name}: {step:?}"));
         }
         let late = self.random.random_bool(0.05);
@@ -723,7 +723,7 @@
             return;
         };
         match step {
-            GroupAction::Rest | GroupAction::ListLeaving => {}
+            GroupAction::Idle | GroupAction::ListLeaving => {}
             GroupAction::StepAside(heir) => {
                 let _ = replica.transfer_leadership(heir);
             }
@@ -791,7 +791,7 @@
             return Ok(());
         };
         let copies = self.copies(accepted);
-        let wanted = self.terms.least - self.losses.len();
+        let wanted = self.terms.min_disks - self.losses.len();
         if copies >= wanted {
             return Ok(());
         }
@@ -830,11 +830,11 @@
         let (leaving, staying): (Vec<&Machine>, Vec<&Machine>) =
             there.partition(|one| wishes.contains_key(&one.name));
         let voters = leader.status.membership.voters().count();
-        let enough = leaving.len() + staying.len() >= self.terms.least;
-        if enough && !keeps_promises(&leader.status.membership, self.terms.least) {
+        let enough = leaving.len() + staying.len() >= self.terms.min_disks;
+        if enough && !keeps_promises(&leader.status.membership, self.terms.min_disks) {
             return Err(self.broken(format!("{voters} voters after calm, nothing is promised")));
         }
-        if staying.len() >= self.terms.target && !leaving.is_empty() {
+        if staying.len() >= self.terms.target_voters && !leaving.is_empty() {
             return Err(self.broken(format!("{} is not emptied", leaving[0].name)));
         }
         Ok(())
--- a/crates/firshore-node/tests/progress_file.rs
+++ b/crates/firshore-node/tests/progress_file.rs
@@ -2,7 +2,7 @@
 
 use firshore_node::runner::ItemKey;
 use firshore_node::runner::handover::ProgressDelta;
-use firshore_node::runner::progress_keeper::{Leadership, ProgressStore};
+use firshore_node::runner::progress_store::{Leadership, ProgressStore};
 use std::fs::OpenOptions;
 use std::io::{ErrorKind, Write};
 use std::path::Path;
@@ -64,8 +64,8 @@
 fn what_was_told_is_there_after_the_end_of_a_process() {
     let folder = tempfile::tempdir().unwrap();
     let mut keeper = ProgressStore::open(folder.path()).unwrap();
-    keeper.told(leadership(1, 1), vec![delta(0, 0, &["a", "b"])]);
-    keeper.told(
+    keeper.apply(leadership(1, 1), vec![delta(0, 0, &["a", "b"])]);
+    keeper.apply(
         leadership(1, 1),
         vec![delta(0, 2, &["c"]), delta(1, 0, &["x"])],
     );
@@ -79,7 +79,7 @@
 fn a_torn_end_costs_only_itself() {
     let folder = tempfile::tempdir().unwrap();
     let mut keeper = ProgressStore::open(folder.path()).unwrap();
-    keeper.told(leadership(1, 1), vec![delta(0, 0, &["a"])]);
+    keeper.apply(leadership(1, 1), vec![delta(0, 0, &["a"])]);
     drop(keeper);
     drop(reopened(folder.path(), 0, 1));
     let path = folder.path().join(FILE);
@@ -112,14 +112,14 @@
 fn what_an_earlier_leader_tells_late_counts_for_nothing() {
     let folder = tempfile::tempdir().unwrap();
     let mut keeper = ProgressStore::open(folder.path()).unwrap();
-    keeper.told(leadership(2, 1), vec![delta(0, 0, &["b1", "b2", "b3"])]);
+    keeper.apply(leadership(2, 1), vec![delta(0, 0, &["b1", "b2", "b3"])]);
     let late = vec![delta(0, 1, &["a2", "a3", "a4"])];
-    let gaps = keeper.told(leadership(1, 9), late);
+    let gaps = keeper.apply(leadership(1, 9), late);
     assert_eq!(gaps, [key(0)]);
     assert_eq!(events(&keeper, 0), ["b1", "b2", "b3"]);
     // The same process, leading again after a break, begins anew.
-    keeper.told(leadership(2, 2), vec![delta(0, 0, &["b1"])]);
-    keeper.told(leadership(2, 1), vec![delta(0, 3, &["b4"])]);
+    keeper.apply(leadership(2, 2), vec![delta(0, 0, &["b1"])]);
+    keeper.apply(leadership(2, 1), vec![delta(0, 3, &["b4"])]);
     assert_eq!(events(&keeper, 0), ["b1"]);
     drop(keeper);
     assert_eq!(events(&reopened(folder.path(), 0, 1), 0), ["b1"]);
@@ -134,7 +134,7 @@
     let event = "e".repeat(EVENT);
     for round in 0..ROUNDS {
         let deltas = vec![delta(round as u32, 0, &[event.as_str()])];
-        keeper.told(leadership(1, 1), deltas);
+        keeper.apply(leadership(1, 1), deltas);
         keeper.keep(|key| key.1 + 4 > round as u32);
         // Far slower than a disk, so that nothing has to be dropped.
         std::thread::sleep(Duration::from_millis(1));
