--- a/crates/firshore-crashes/src/fingerprint.rs
+++ b/crates/firshore-crashes/src/fingerprint.rs
@@ -77,18 +77,18 @@
     }
 
     /// Returns the fingerprint of a request.
-    pub fn fingerprint(&self, asked: &FingerprintInput<'_>) -> RequestFingerprint {
-        let caller_parts = match asked.tenant {
+    pub fn fingerprint(&self, input: &FingerprintInput<'_>) -> RequestFingerprint {
+        let caller_parts = match input.tenant {
             Some(tenant) => [b"tenant", tenant.as_str().as_bytes()],
-            None => [b"nobody", asked.host.as_bytes()],
+            None => [b"nobody", input.host.as_bytes()],
         };
         let (caller, _) = self.digest(caller_parts);
         let (high, low) = self.digest([
             &caller.to_be_bytes(),
-            asked.host.as_bytes(),
-            asked.method.as_bytes(),
-            asked.target.as_bytes(),
-            asked.body,
+            input.host.as_bytes(),
+            input.method.as_bytes(),
+            input.target.as_bytes(),
+            input.body,
         ]);
         RequestFingerprint { caller, high, low }
     }
--- a/crates/firshore-crashes/src/sync.rs
+++ b/crates/firshore-crashes/src/sync.rs
@@ -34,7 +34,7 @@
     /// Position of the local table up to which changes were reported to the peer.
     reported: u64,
     /// Cursor of the peer's table up to which its changes were received.
-    known: Option<TableCursor>,
+    received: Option<TableCursor>,
 }
 
 /// Synchronization progress with each peer of a node.
@@ -82,7 +82,7 @@
         table: &CrashTable,
     ) -> bool {
         match cursor {
-            Some(cursor) => self.progress(peer).known != Some(cursor),
+            Some(cursor) => self.progress(peer).received != Some(cursor),
             None => !table.is_empty(),
         }
     }
@@ -91,7 +91,7 @@
     pub fn request(&self, now: Instant, peer: &NodeName, table: &CrashTable) -> CrashSyncRequest {
         let progress = self.progress(peer);
         CrashSyncRequest {
-            known: progress.known,
+            known: progress.received,
             report: table.changes_after(now, progress.reported),
         }
     }
@@ -107,8 +107,8 @@
     ) -> Vec<TableChange> {
         let previous = self.progress(peer);
         let is_same_epoch = previous
-            .known
-            .is_none_or(|known| known.epoch == response.cursor.epoch);
+            .received
+            .is_none_or(|received| received.epoch == response.cursor.epoch);
         let was_complete = reported == table.cursor().position;
         let changes = table.merge(now, &response.report);
         let reported = match (is_same_epoch, was_complete) {
@@ -120,7 +120,7 @@
         };
         let progress = PeerProgress {
             reported,
-            known: Some(response.cursor),
+            received: Some(response.cursor),
         };
         self.peers.insert(peer.clone(), progress);
         changes
--- a/crates/firshore-gateway/tests/access.rs
+++ b/crates/firshore-gateway/tests/access.rs
@@ -105,7 +105,7 @@
             if let (Some(forwarded), Some(last)) = (forwarded, seen.last()) {
                 let tenant = last.headers.get(TENANT).map(String::as_str);
                 assert_eq!(tenant, forwarded, "{path} {headers:?}");
-                assert_eq!(last.headers.get(KEY), None, "{path}: the key was passed on");
+                assert_eq!(last.headers.get(KEY), None, "{path}: the key was forwarded");
             }
         }
     });
--- a/crates/firshore-gateway/tests/successors.rs
+++ b/crates/firshore-gateway/tests/successors.rs
@@ -223,13 +223,13 @@
         })
     }
 
-    /// Waits up to 1.5 s until `wanted` exits under a request are recorded; returns their number.
-    async fn exits_under(&self, path: &str, wanted: usize) -> usize {
+    /// Waits up to 1.5 s until `expected` exits under a request are recorded; returns their number.
+    async fn exits_under(&self, path: &str, expected: usize) -> usize {
         let fingerprint = self.fingerprint(path);
         let until = Instant::now() + Duration::from_millis(1_500);
         loop {
             let exits = self.gateway.crashes.suspicion(&fingerprint).exits;
-            if exits >= wanted || Instant::now() > until {
+            if exits >= expected || Instant::now() > until {
                 return exits;
             }
             actix_rt::time::sleep(Duration::from_millis(5)).await;
