--- a/crates/firshore-limits/src/ledger.rs
+++ b/crates/firshore-limits/src/ledger.rs
@@ -1,65 +1,70 @@
-//! What all tenants were admitted of late, on the node that all others tell, directly or through relays.
+//! Counts what all tenants were admitted recently, on the node that all others report to, directly or
+//! through relays.
 
 use crate::demand::DemandTable;
 use crate::report::{Quota, TenantDigest, TenantPicture, TenantUse, UsageNews, UseReport};
 use crate::window::AdmittedWindow;
-use crate::{SHARE_RESERVATION, SILENT_GROWTH};
+use crate::{SHARE_RESERVATION, STALE_GROWTH};
 use firshore_adapter::tenant::RateLimit;
 use firshore_types::ids::NodeName;
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// Part of what a tenant may ask that a new ledger takes to have been admitted evenly over the span before
-/// it, where nobody knows: all processes have just begun, which takes more than a second in which nothing
-/// is admitted, and a tenth may be admitted beyond.
-const ASSUMED_SHARE: f64 = 0.6;
+/// Fraction of a tenant's quota that a new ledger without a predecessor assumes was admitted evenly
+/// over the span before it. All processes have just started, which takes more than a second without
+/// admissions, and 10 % may be admitted beyond the limit.
+const ASSUMED_FRACTION: f64 = 0.6;
 
-/// Time in which nodes tell a new ledger what they have admitted; until then little is taken to be left.
-const HEARING_TIME: Duration = Duration::from_millis(300);
-const LEFT_MEANWHILE: f64 = 0.1;
+/// Time in which nodes report to a new ledger what they have admitted, and the fraction of the quota
+/// that counts as left until then.
+const COLLECTION_TIME: Duration = Duration::from_millis(300);
+const COLLECTION_LEFT_FRACTION: f64 = 0.1;
 
-/// Time after which a ledger has heard of all tenants that ask anything: nodes tell some times a second.
+/// Time after which a ledger has received reports on all active tenants: nodes report several times
+/// per second.
 const COMPLETE_AFTER: Duration = Duration::from_secs(1);
 
-/// Time for which the list of tenants near their limit is used.
+/// Time for which the list of tenants near their limit is cached.
 const NEAR_LIST_LIFETIME: Duration = Duration::from_millis(50);
 
-/// Part of all demand up to which that of silent nodes changes nothing of how the limit is shared.
-const FEW_SILENT: f32 = 0.05;
+/// Fraction of all demand up to which stale demand does not change how the limit is shared.
+const NEGLIGIBLE_STALE_FRACTION: f32 = 0.05;
 
-/// Longest pause between two reports over which silent nodes are taken to go on: a tenant of which nobody
-/// tells for longer asks nothing, or asks where this ledger is not heard.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum time between two reports for which stale nodes are assumed to continue. A tenant without
+/// reports for longer has no requests, or has them where this ledger receives no reports.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time without news after which a tenant is forgotten.
+/// Time without a report after which a tenant is removed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One tenant.
+/// State of one tenant.
 #[derive(Debug)]
 struct TenantAccount {
-    /// Version of the configuration that the limits stand in.
+    /// Version of the configuration that the limits are from.
     version: u64,
     limit: RateLimit,
     quota: Quota,
     admitted: AdmittedWindow,
     counted_at: Instant,
-    told_at: Instant,
+    reported_at: Instant,
     demand: DemandTable,
-    /// Demand of all nodes when hardly any was silent, in requests a second. The part of it that was asked of
-    /// silent nodes is the part of the limit that they go on with, whatever is asked of the others since.
-    demand_in_touch: f32,
-    /// Demand that nodes knew of from the ledger before, in requests a second: some of it may be of nodes
-    /// that do not reach this one.
-    known_before: f32,
-    /// What nodes have admitted before the ledger began, as they tell it themselves and as relays tell it of
-    /// them.
+    /// Demand of all nodes when hardly any report was stale, in requests per second. The fraction of
+    /// it at the stale nodes is the fraction of the limit that these continue to use, however the
+    /// demand at the others changes.
+    fresh_demand: f32,
+    /// Demand that nodes knew of from the previous ledger, in requests per second. Some of it may be
+    /// at nodes that do not reach this ledger.
+    inherited_demand: f32,
+    /// Requests that nodes admitted before the ledger started, as reported by themselves and by
+    /// relays.
     recent: RecentUse,
-    /// Whether what such nodes may have admitted before the ledger began is counted.
-    settled: bool,
+    /// Whether possible admissions before the ledger started, at nodes that have not reported, are
+    /// counted.
+    is_takeover_counted: bool,
 }
 
-/// Requests admitted before a ledger began. Nodes that find no relay tell the ledger what relays tell of
-/// them too, so the greater of both sums counts.
+/// Requests admitted before a ledger started. Nodes that reach no relay report to the ledger what
+/// relays report of them too, so the greater of both sums counts.
 #[derive(Debug, Default)]
 struct RecentUse {
     by_nodes: f64,
@@ -71,8 +76,8 @@
         self.by_nodes.max(self.by_relays)
     }
 
-    /// Takes in what a node or relay tells. Returns by how much more counts by that.
-    fn take_in(&mut self, relayed: bool, recent: f64) -> f64 {
+    /// Adds a report of a node or relay. Returns by how much the counted sum grows.
+    fn add(&mut self, relayed: bool, recent: f64) -> f64 {
         let before = self.counted();
         match relayed {
             true => self.by_relays += recent,
@@ -82,42 +87,42 @@
     }
 }
 
-/// What all tenants were admitted of late.
+/// Counts what all tenants were admitted recently.
 #[derive(Debug)]
 pub struct UsageLedger {
-    /// Tells it from those before it.
+    /// Distinguishes this ledger from its predecessors.
     id: u64,
     began_at: Instant,
-    /// Whether a node has told that it knew of a ledger before this one.
-    heard_of_former: bool,
-    /// Nodes and relays that have told what they admitted before.
-    heard: HashSet<NodeName>,
+    /// Whether a node has reported to an earlier ledger.
+    has_predecessor: bool,
+    /// Nodes and relays that have reported what they admitted before.
+    reporters: HashSet<NodeName>,
     /// Span over which rates are counted.
     span: Duration,
     tenants: HashMap<TenantDigest, TenantAccount>,
-    /// Tenants near their limit, as of a moment ago.
+    /// Tenants near their limit, cached.
     near: Vec<TenantDigest>,
     near_at: Option<Instant>,
 }
 
-fn limit(told: &TenantUse) -> RateLimit {
+fn limit(usage: &TenantUse) -> RateLimit {
     RateLimit {
-        per_second: told.rate.into(),
-        burst: told.burst.into(),
+        per_second: usage.rate.into(),
+        burst: usage.burst.into(),
     }
 }
 
 impl TenantAccount {
-    /// A tenant that is told for the first time. `assumed`: part of its quota that was admitted before the
-    /// ledger began.
+    /// Returns the account of a tenant that is reported for the first time. `assumed` is the fraction
+    /// of its quota that was admitted before the ledger started.
     fn new(
         began_at: Instant,
         now: Instant,
         span: Duration,
-        told: &TenantUse,
+        usage: &TenantUse,
         assumed: f64,
     ) -> Self {
-        let limit = limit(told);
+        let limit = limit(usage);
         let quota = Quota::new(&limit, span);
         let free = quota.requests.min(1.0);
         let assumed = (quota.requests * assumed).min(quota.requests - free);
@@ -129,61 +134,61 @@
             quota,
             admitted,
             counted_at: now,
-            told_at: now,
+            reported_at: now,
             demand: DemandTable::default(),
-            demand_in_touch: 0.0,
-            known_before: 0.0,
+            fresh_demand: 0.0,
+            inherited_demand: 0.0,
             recent: RecentUse::default(),
-            settled: false,
+            is_takeover_counted: false,
         }
     }
 
-    fn set_limit(&mut self, span: Duration, version: u64, told: &TenantUse) {
+    fn set_limit(&mut self, span: Duration, version: u64, usage: &TenantUse) {
         if version < self.version {
             return;
         }
         self.version = version;
-        self.limit = limit(told);
+        self.limit = limit(usage);
         self.quota = Quota::new(&self.limit, span);
     }
 
-    /// Demand of all nodes, and the part of it of nodes whose use is not told.
+    /// Returns the demand of all nodes, and how much of it is at nodes whose use is not reported.
     fn demand(&self, now: Instant) -> (f32, f32) {
         let sum = self.demand.sum(now);
-        let unseen = (self.known_before - sum.all).max(0.0);
-        (sum.all + unseen, sum.silent + unseen)
+        let unreported = (self.inherited_demand - sum.all).max(0.0);
+        (sum.all + unreported, sum.stale + unreported)
     }
 
-    /// Requests a second that silent nodes are likely to admit: what is asked of them, and their part of the
-    /// limit at most.
-    fn silent_rate(&mut self, now: Instant) -> f64 {
-        let (all, silent) = self.demand(now);
-        if silent <= all * FEW_SILENT || self.demand_in_touch <= 0.0 {
-            self.demand_in_touch = all;
+    /// Returns the requests per second that stale nodes are likely to admit: their demand, and at
+    /// most their fraction of the limit.
+    fn stale_rate(&mut self, now: Instant) -> f64 {
+        let (all, stale) = self.demand(now);
+        if stale <= all * NEGLIGIBLE_STALE_FRACTION || self.fresh_demand <= 0.0 {
+            self.fresh_demand = all;
         }
-        if silent <= 0.0 {
+        if stale <= 0.0 {
             return 0.0;
         }
-        // What is asked of the others may have jumped, or gone, since.
-        let before = self.demand_in_touch.min(all).max(silent);
-        let share = self.quota.mean() * f64::from(silent / before);
-        share.min(f64::from(silent) * SILENT_GROWTH)
+        // Demand at the other nodes may have jumped or dropped since.
+        let before = self.fresh_demand.min(all).max(stale);
+        let share = self.quota.mean() * f64::from(stale / before);
+        share.min(f64::from(stale) * STALE_GROWTH)
     }
 
-    /// Counts what silent nodes may admit meanwhile.
-    fn count_silent(&mut self, now: Instant) {
+    /// Counts what stale nodes may have admitted since the last call.
+    fn count_stale(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.counted_at);
-        let elapsed = elapsed.min(LONGEST_PAUSE);
+        let elapsed = elapsed.min(MAX_REPORT_INTERVAL);
         self.counted_at = now;
         self.admitted.advance(now);
-        let admitted = self.silent_rate(now) * elapsed.as_secs_f64();
+        let admitted = self.stale_rate(now) * elapsed.as_secs_f64();
         self.admitted.add(admitted);
     }
 
-    /// Counts what nodes may have admitted over a span that have not told.
-    fn settle(&mut self, now: Instant, span: Duration) {
-        self.settled = true;
-        let admitted = self.silent_rate(now) * span.as_secs_f64();
+    /// Counts what nodes that have not reported may have admitted over a span.
+    fn count_takeover(&mut self, now: Instant, span: Duration) {
+        self.is_takeover_counted = true;
+        let admitted = self.stale_rate(now) * span.as_secs_f64();
         self.admitted.add(admitted);
     }
 
@@ -191,20 +196,20 @@
         self.quota.requests - self.admitted.sum()
     }
 
-    /// Little is left, as far as is known: not all nodes have told yet what they have admitted.
-    fn cap_left(&self, picture: TenantPicture) -> TenantPicture {
-        let most = (self.quota.requests * LEFT_MEANWHILE).max(1.0) as f32;
+    /// Caps what is left, as not all nodes have reported yet what they have admitted.
+    fn cap_left(&self, view: TenantPicture) -> TenantPicture {
+        let max = (self.quota.requests * COLLECTION_LEFT_FRACTION).max(1.0) as f32;
         TenantPicture {
-            left: picture.left.min(most),
-            ..picture
+            left: view.left.min(max),
+            ..view
         }
     }
 
-    fn picture(&self, now: Instant, tenant: TenantDigest) -> TenantPicture {
+    fn view(&self, now: Instant, tenant: TenantDigest) -> TenantPicture {
         TenantPicture {
             tenant,
             left: self.left() as f32,
-            next: self.admitted.next() as f32,
+            next: self.admitted.release_rate() as f32,
             demand: self.demand(now).0,
         }
     }
@@ -216,46 +221,47 @@
 }
 
 impl UsageLedger {
-    /// Nothing was told yet. Rates are counted over `span`; `id` is that of no other ledger, and not 0.
+    /// Returns an empty ledger. Rates are counted over `span`; `id` is unique among ledgers, and not
+    /// 0.
     pub fn new(id: u64, now: Instant, span: Duration) -> Self {
         Self {
             id,
             span,
             began_at: now,
-            heard_of_former: false,
-            heard: HashSet::new(),
+            has_predecessor: false,
+            reporters: HashSet::new(),
             tenants: HashMap::new(),
             near: Vec::new(),
             near_at: None,
         }
     }
 
-    /// Takes in what a node or relay tells. Returns what it is told.
+    /// Applies the report of a node or relay, and returns the response to it.
     pub fn told(&mut self, now: Instant, node: &NodeName, report: &UseReport) -> UsageNews {
-        self.heard_of_former |= report.ledger != 0 && report.ledger != self.id;
-        let is_first = report.ledger != self.id && self.heard.insert(node.clone());
+        self.has_predecessor |= report.ledger != 0 && report.ledger != self.id;
+        let is_first = report.ledger != self.id && self.reporters.insert(node.clone());
         let tenants = report.tenants.iter();
-        let mut pictures: Vec<TenantPicture> = tenants
-            .map(|told| self.told_tenant(now, node, report, told, is_first))
+        let mut views: Vec<TenantPicture> = tenants
+            .map(|usage| self.apply_usage(now, node, report, usage, is_first))
             .collect();
-        let named: HashSet<TenantDigest> = pictures.iter().map(|one| one.tenant).collect();
-        self.find_near(now);
+        let named: HashSet<TenantDigest> = views.iter().map(|one| one.tenant).collect();
+        self.refresh_near(now);
         let others = self.near.iter().filter(|tenant| !named.contains(tenant));
         for tenant in others {
             if let Some(account) = self.tenants.get_mut(tenant) {
-                account.count_silent(now);
-                pictures.push(account.picture(now, *tenant));
+                account.count_stale(now);
+                views.push(account.view(now, *tenant));
             }
         }
         UsageNews {
-            pictures,
+            pictures: views,
             ledger: self.id,
             complete: now.saturating_duration_since(self.began_at) >= COMPLETE_AFTER,
         }
     }
 
-    /// Brings the list of tenants near their limit up to date.
-    fn find_near(&mut self, now: Instant) {
+    /// Refreshes the list of tenants near their limit.
+    fn refresh_near(&mut self, now: Instant) {
         let fresh = |at: Instant| now.saturating_duration_since(at) < NEAR_LIST_LIFETIME;
         if self.near_at.is_some_and(fresh) {
             return;
@@ -263,78 +269,78 @@
         self.near_at = Some(now);
         self.near.clear();
         for (tenant, account) in &mut self.tenants {
-            account.count_silent(now);
+            account.count_stale(now);
             if account.is_near(now) {
                 self.near.push(*tenant);
             }
         }
     }
 
-    fn told_tenant(
+    fn apply_usage(
         &mut self,
         now: Instant,
         node: &NodeName,
         report: &UseReport,
-        told: &TenantUse,
+        usage: &TenantUse,
         is_first: bool,
     ) -> TenantPicture {
         let span = self.span;
         let (began_at, id) = (self.began_at, self.id);
-        let assumed = match self.heard_of_former {
+        let assumed = match self.has_predecessor {
             true => 0.0,
-            false => ASSUMED_SHARE,
+            false => ASSUMED_FRACTION,
         };
         let account = self
             .tenants
-            .entry(told.tenant)
-            .or_insert_with(|| TenantAccount::new(began_at, now, span, told, assumed));
-        account.set_limit(span, report.version, told);
-        account.count_silent(now);
-        account.admitted.add(told.admitted.into());
-        account.told_at = now;
-        account.demand.told(now, node, told.demand, told.silent);
+            .entry(usage.tenant)
+            .or_insert_with(|| TenantAccount::new(began_at, now, span, usage, assumed));
+        account.set_limit(span, report.version, usage);
+        account.count_stale(now);
+        account.admitted.add(usage.admitted.into());
+        account.reported_at = now;
+        account.demand.record(now, node, usage.demand, usage.silent);
         let is_new = now.saturating_duration_since(self.began_at) < SHARE_RESERVATION;
         if !is_new {
-            account.known_before = 0.0;
+            account.inherited_demand = 0.0;
         } else if report.ledger != id {
-            account.known_before = account.known_before.max(told.known);
+            account.inherited_demand = account.inherited_demand.max(usage.known);
         }
         if is_first {
-            // When within the span is not told: it is counted as of now, and so for longest.
-            let recent = account.recent.take_in(report.relayed, told.recent.into());
+            // The time within the span is not reported: counted as of now, it counts for longest.
+            let recent = account.recent.add(report.relayed, usage.recent.into());
             account.admitted.add(recent);
         }
-        if !self.heard_of_former {
-            return account.picture(now, told.tenant);
+        if !self.has_predecessor {
+            return account.view(now, usage.tenant);
         }
-        if now.saturating_duration_since(began_at) < HEARING_TIME {
-            let picture = account.picture(now, told.tenant);
-            return account.cap_left(picture);
+        if now.saturating_duration_since(began_at) < COLLECTION_TIME {
+            let view = account.view(now, usage.tenant);
+            return account.cap_left(view);
         }
-        if !account.settled {
-            account.settle(now, span);
+        if !account.is_takeover_counted {
+            account.count_takeover(now, span);
         }
-        account.picture(now, told.tenant)
+        account.view(now, usage.tenant)
     }
 
-    /// Forgets nodes and tenants that nobody has told of for long.
+    /// Removes nodes and tenants without recent reports.
     pub fn forget_old(&mut self, now: Instant) {
         for account in self.tenants.values_mut() {
-            account.demand.forget_old(now);
+            account.demand.remove_expired(now);
         }
         self.tenants.retain(|_, account| {
-            let idle = now.saturating_duration_since(account.told_at) > IDLE_TIMEOUT;
+            let idle = now.saturating_duration_since(account.reported_at) > IDLE_TIMEOUT;
             !(idle && account.demand.is_empty())
         });
         self.near_at = None;
     }
 
-    /// Number of tenants.
+    /// Returns the number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether nobody has told anything.
+    /// Returns whether no tenant was reported.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
--- a/crates/firshore-limits/src/relay.rs
+++ b/crates/firshore-limits/src/relay.rs
@@ -1,155 +1,156 @@
-//! What the nodes of a zone tell about tenants, passed on as sums by a node that is their relay.
+//! Usage of tenants at the nodes of a zone, forwarded as sums by their relay.
 
 use crate::demand::DemandTable;
-use crate::is_pressing;
+use crate::is_report_urgent;
 use crate::report::{TenantDigest, TenantPicture, TenantUse, UsageNews, UseReport};
 use crate::window::AdmittedWindow;
 use firshore_types::ids::NodeName;
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// What is known of one tenant.
+/// State of one tenant.
 #[derive(Debug)]
 struct RelayedTenant {
     rate: f32,
     burst: f32,
-    /// Admitted by nodes, and not told yet.
+    /// Admitted by nodes, and not reported yet.
     pending: i32,
-    /// Told just now, and not answered yet.
-    telling: i32,
-    /// What nodes have told in the last span.
+    /// Reported, and not confirmed yet.
+    in_flight: i32,
+    /// Admissions that nodes have reported in the last span.
     recent: AdmittedWindow,
     demand: DemandTable,
-    /// What was told of it.
-    picture: Option<TenantPicture>,
+    /// Last view from the ledger.
+    view: Option<TenantPicture>,
 }
 
 impl RelayedTenant {
-    fn new(now: Instant, span: Duration, told: &TenantUse) -> Self {
+    fn new(now: Instant, span: Duration, usage: &TenantUse) -> Self {
         Self {
-            rate: told.rate,
-            burst: told.burst,
+            rate: usage.rate,
+            burst: usage.burst,
             pending: 0,
-            telling: 0,
+            in_flight: 0,
             recent: AdmittedWindow::new(now, span, 0.0),
             demand: DemandTable::default(),
-            picture: None,
+            view: None,
         }
     }
 
-    fn is_wanted(&self) -> bool {
+    fn is_active(&self) -> bool {
         self.pending != 0 || !self.demand.is_empty() || self.recent.sum() >= 1.0
     }
 
-    /// The last picture, less what is not in it yet.
-    fn picture(&self) -> Option<TenantPicture> {
-        let picture = self.picture?;
+    /// Returns the last view, less the admissions that it does not include yet.
+    fn view(&self) -> Option<TenantPicture> {
+        let view = self.view?;
         Some(TenantPicture {
-            left: picture.left - (self.pending + self.telling) as f32,
-            ..picture
+            left: view.left - (self.pending + self.in_flight) as f32,
+            ..view
         })
     }
 }
 
-/// Sums of what nodes tell.
+/// Sums of the nodes' reports.
 #[derive(Debug)]
 pub struct UsageRelay {
     version: u64,
-    /// Ledger that was heard of last; 0: none.
+    /// Ledger of the last response; 0: none.
     ledger: u64,
     tenants: HashMap<TenantDigest, RelayedTenant>,
-    /// What was told of tenants of which no node here has told anything.
+    /// Views of tenants that no node here has reported.
     others: HashMap<TenantDigest, TenantPicture>,
-    /// Nodes that have told this relay.
-    met: HashSet<NodeName>,
+    /// Nodes that have reported to this relay.
+    seen_nodes: HashSet<NodeName>,
     /// Span over which rates are counted.
     span: Duration,
-    /// Whether a tenant of which nothing was told is known not to be near its limit.
+    /// Whether tenants without a view are known not to be near their limit.
     complete: bool,
 }
 
 impl UsageRelay {
-    /// Nothing was told yet. Rates are counted over `span`.
+    /// Returns an empty relay. Rates are counted over `span`.
     pub fn new(span: Duration) -> Self {
         Self {
             version: 0,
             ledger: 0,
             tenants: HashMap::new(),
             others: HashMap::new(),
-            met: HashSet::new(),
+            seen_nodes: HashSet::new(),
             span,
             complete: false,
         }
     }
 
-    /// Takes in what a node tells. Returns what it is told.
+    /// Applies the report of a node, and returns the response to it.
     pub fn told(&mut self, now: Instant, node: &NodeName, report: &UseReport) -> UsageNews {
-        self.take_in(now, node, report);
-        let known = self.tenants.values().filter_map(RelayedTenant::picture);
+        self.add_report(now, node, report);
+        let views = self.tenants.values().filter_map(RelayedTenant::view);
         UsageNews {
-            pictures: known.chain(self.others.values().copied()).collect(),
+            pictures: views.chain(self.others.values().copied()).collect(),
             ledger: self.ledger,
             complete: self.complete,
         }
     }
 
-    fn take_in(&mut self, now: Instant, node: &NodeName, report: &UseReport) {
-        // A relay that has just begun knows what its nodes know.
+    fn add_report(&mut self, now: Instant, node: &NodeName, report: &UseReport) {
+        // A relay that has just started takes over what its nodes know.
         if self.ledger == 0 {
             self.ledger = report.ledger;
         }
-        let stranger = self.met.insert(node.clone());
+        let is_new = self.seen_nodes.insert(node.clone());
         let span = self.span;
         let newest = report.version >= self.version;
         self.version = self.version.max(report.version);
-        for told in &report.tenants {
+        for usage in &report.tenants {
             let tenant = self
                 .tenants
-                .entry(told.tenant)
-                .or_insert_with(|| RelayedTenant::new(now, span, told));
+                .entry(usage.tenant)
+                .or_insert_with(|| RelayedTenant::new(now, span, usage));
             if newest {
-                tenant.rate = told.rate;
-                tenant.burst = told.burst;
+                tenant.rate = usage.rate;
+                tenant.burst = usage.burst;
             }
-            tenant.pending += told.admitted;
+            tenant.pending += usage.admitted;
             tenant.recent.advance(now);
-            tenant.recent.add(told.admitted.into());
-            if stranger {
-                tenant.recent.add_spread(told.recent.into());
+            tenant.recent.add(usage.admitted.into());
+            if is_new {
+                tenant.recent.add_spread(usage.recent.into());
             }
-            tenant.demand.told(now, node, told.demand, told.silent);
+            tenant.demand.record(now, node, usage.demand, usage.silent);
         }
     }
 
-    /// Whether nodes have admitted so much of a tenant's requests that it has to be told at once.
+    /// Returns whether nodes have admitted so many requests of a tenant that a report must not wait
+    /// for the next interval.
     pub fn has_to_tell(&self) -> bool {
         let mut tenants = self.tenants.values();
         tenants.any(|tenant| {
-            let left = tenant.picture.map_or(0.0, |picture| picture.left.into());
-            left > 0.0 && is_pressing(tenant.pending, left)
+            let left = tenant.view.map_or(0.0, |view| view.left.into());
+            left > 0.0 && is_report_urgent(tenant.pending, left)
         })
     }
 
-    /// Whether there is nothing to tell.
+    /// Returns whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// What is to be told now. [`Self::answered`] or [`Self::unanswered`] follows.
+    /// Returns the report to send now. [`Self::answered`] or [`Self::unanswered`] follows.
     pub fn report(&mut self, now: Instant) -> UseReport {
         let mut tenants = Vec::new();
         for (digest, tenant) in &mut self.tenants {
-            tenant.demand.forget_old(now);
+            tenant.demand.remove_expired(now);
             tenant.recent.advance(now);
             let sum = tenant.demand.sum(now);
-            tenant.telling += std::mem::take(&mut tenant.pending);
+            tenant.in_flight += std::mem::take(&mut tenant.pending);
             tenants.push(TenantUse {
                 tenant: *digest,
-                admitted: tenant.telling,
+                admitted: tenant.in_flight,
                 demand: sum.all,
-                silent: sum.silent,
+                silent: sum.stale,
                 recent: tenant.recent.sum() as f32,
-                known: tenant.picture.map_or(0.0, |picture| picture.demand),
+                known: tenant.view.map_or(0.0, |view| view.demand),
                 rate: tenant.rate,
                 burst: tenant.burst,
             });
@@ -162,29 +163,30 @@
         }
     }
 
-    /// Takes in the answer to the last report. Tenants that nobody asks for any more are forgotten.
+    /// Applies the response to the last report, and removes tenants without recent requests.
     pub fn answered(&mut self, news: &UsageNews) {
         self.ledger = news.ledger;
         self.complete = news.complete;
         self.others.clear();
         for tenant in self.tenants.values_mut() {
-            tenant.telling = 0;
+            tenant.in_flight = 0;
         }
-        for picture in &news.pictures {
-            match self.tenants.get_mut(&picture.tenant) {
-                Some(tenant) => tenant.picture = Some(*picture),
+        for view in &news.pictures {
+            match self.tenants.get_mut(&view.tenant) {
+                Some(tenant) => tenant.view = Some(*view),
                 None => {
-                    self.others.insert(picture.tenant, *picture);
+                    self.others.insert(view.tenant, *view);
                 }
             }
         }
-        self.tenants.retain(|_, tenant| tenant.is_wanted());
+        self.tenants.retain(|_, tenant| tenant.is_active());
     }
 
-    /// The last report was not answered: it is told again, though it may have been taken in.
+    /// Restores the last report's admissions after a failed exchange. They are reported again, though
+    /// they may have been applied.
     pub fn unanswered(&mut self) {
         for tenant in self.tenants.values_mut() {
-            tenant.pending += std::mem::take(&mut tenant.telling);
+            tenant.pending += std::mem::take(&mut tenant.in_flight);
         }
     }
 }
--- a/crates/firshore-limits/src/report.rs
+++ b/crates/firshore-limits/src/report.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about tenants.
+//! Reports of nodes about tenants, and the responses to them.
 
 use firshore_adapter::tenant::RateLimit;
 use firshore_types::ids::TenantName;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A tenant, by a hash of its name, as tables and messages hold it.
+/// A tenant, as a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TenantDigest(pub u64);
@@ -17,45 +17,45 @@
     }
 }
 
-/// What a node tells of one tenant.
+/// Usage of one tenant, as a node reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantUse {
     /// Tenant.
     #[serde(rename = "t")]
     pub tenant: TenantDigest,
-    /// Requests admitted since the node told last, less those that came to nothing.
+    /// Requests admitted since the node's last report, less those that no back end ran.
     #[serde(rename = "a")]
     pub admitted: i32,
-    /// Requests a second that are asked of the node, refused ones included.
+    /// Requests per second that arrive at the node, including refused ones.
     #[serde(rename = "d")]
     pub demand: f32,
-    /// Part of that which is asked of nodes that have fallen silent, as a relay tells it.
+    /// Of these, requests per second at nodes whose reports are stale, as a relay reports it.
     #[serde(rename = "s", default)]
     pub silent: f32,
-    /// Requests admitted in the last span, of which only a ledger takes note that began meanwhile.
+    /// Requests admitted in the last span. Only a ledger that started since the last report uses it.
     #[serde(rename = "h", default)]
     pub recent: f32,
-    /// Requests a second that are asked of all nodes, as the node was told last.
+    /// Requests per second at all nodes, as the node received it last.
     #[serde(rename = "k")]
     pub known: f32,
-    /// Rate that the node's configuration allows, in requests a second.
+    /// Rate that the node's configuration allows, in requests per second.
     #[serde(rename = "r")]
     pub rate: f32,
-    /// Requests beyond that which it allows to be saved up.
+    /// Requests beyond the rate that the configuration allows to be saved up.
     #[serde(rename = "b")]
     pub burst: f32,
 }
 
-/// What a node tells of all tenants that asked it a while ago.
+/// Usage of all tenants with recent requests at a node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UseReport {
-    /// Version of the configuration that the limits stand in.
+    /// Version of the configuration that the limits are from.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Ledger that the sender heard of last; 0: none.
+    /// Ledger that the sender last received a response from; 0: none.
     #[serde(rename = "l")]
     pub ledger: u64,
-    /// Whether a relay tells it, of several nodes.
+    /// Whether a relay sends it, for several nodes.
     #[serde(rename = "r", default)]
     pub relayed: bool,
     /// Tenants.
@@ -64,14 +64,14 @@
 }
 
 impl UseReport {
-    /// The report with which a node takes back what it told another before: that one is told no more, and
-    /// must not keep the node's share as that of a silent one.
+    /// Returns the report with which a node withdraws its reports to another: that one receives no
+    /// more, and must not reserve the node's share as that of a stale node.
     pub fn retraction(&self) -> Self {
-        let tenants = self.tenants.iter().map(|told| TenantUse {
+        let tenants = self.tenants.iter().map(|usage| TenantUse {
             admitted: 0,
             demand: 0.0,
             recent: 0.0,
-            ..*told
+            ..*usage
         });
         Self {
             tenants: tenants.collect(),
@@ -80,58 +80,58 @@
     }
 }
 
-/// What a node is told of one tenant.
+/// State of one tenant over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantPicture {
     /// Tenant.
     #[serde(rename = "t")]
     pub tenant: TenantDigest,
-    /// Requests that may still be admitted at once; negative where more were than may.
+    /// Requests that may still be admitted at once; negative where the limit is exceeded.
     #[serde(rename = "l")]
     pub left: f32,
-    /// Requests a second that become free next, as those before them are a span old.
+    /// Requests per second that become free next, as those before them become older than the span.
     #[serde(rename = "n")]
     pub next: f32,
-    /// Requests a second that are asked of all nodes.
+    /// Requests per second at all nodes.
     #[serde(rename = "d")]
     pub demand: f32,
 }
 
-/// What one tenant asks of all nodes, as far as its limit lets it.
+/// Demand of one tenant over all nodes, up to its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantDemand {
     /// Tenant.
     pub tenant: TenantDigest,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
 }
 
-/// What a node is told of all tenants.
+/// Response to a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsageNews {
-    /// The tenants that the node has told of, and all that are near their limit.
+    /// The reported tenants, and all that are near their limit.
     #[serde(rename = "p")]
     pub pictures: Vec<TenantPicture>,
-    /// The ledger that it comes from; never 0.
+    /// Ledger that the response comes from; never 0.
     #[serde(rename = "l")]
     pub ledger: u64,
-    /// Whether a tenant that is not named is known not to be near its limit.
+    /// Whether tenants that are not named are known not to be near their limit.
     #[serde(rename = "c")]
     pub complete: bool,
 }
 
-/// Part of what a tenant may ask in a span below which what is left is near its end.
+/// Fraction of the quota below which what is left is near 0.
 const NEAR_LEFT: f64 = 0.2;
 
-/// Part of what a tenant may ask beyond which what it asks is near its limit.
+/// Fraction of the quota above which demand is near the limit.
 const NEAR_DEMAND: f64 = 0.8;
 
-/// Part of what a tenant may ask that is kept back, and requests less that: where what it asks jumps, nodes
-/// admit too much until they hear of it, by about a second of its rate.
-const KEPT_BACK: f64 = 0.09;
-const SMALL_ERROR: f64 = 5.0;
+/// Fraction of a quota that is reserved, and requests that are deducted from the reserve: when demand
+/// jumps, nodes admit up to a second of the tenant's rate too much before they receive a new view.
+const RESERVED_FRACTION: f64 = 0.09;
+const RESERVE_DEDUCTION: f64 = 5.0;
 
-/// What a tenant may ask, and the span in which.
+/// Requests that a tenant may have admitted in a span.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Quota {
     /// Requests in each span.
@@ -141,31 +141,32 @@
 
 impl Quota {
     pub(crate) fn new(limit: &RateLimit, span: Duration) -> Self {
-        let whole = limit.per_second * span.as_secs_f64() + limit.burst;
-        let kept_back = (whole * KEPT_BACK - SMALL_ERROR).max(0.0);
+        let total = limit.per_second * span.as_secs_f64() + limit.burst;
+        let reserve = (total * RESERVED_FRACTION - RESERVE_DEDUCTION).max(0.0);
         Self {
-            requests: whole - kept_back,
+            requests: total - reserve,
             span,
         }
     }
 
-    /// Requests a second, on average.
+    /// Returns the mean rate, in requests per second.
     pub(crate) fn mean(&self) -> f64 {
         self.requests / self.span.as_secs_f64()
     }
 
-    /// What may be taken to be left where it is not near its end: a whole request, where it holds one.
-    pub(crate) fn least_left(&self) -> f64 {
+    /// Returns the least that is left where a tenant is not near its limit: at least one request, if
+    /// the quota holds one.
+    pub(crate) fn min_left(&self) -> f64 {
         (self.requests * NEAR_LEFT).max(self.requests.min(1.0))
     }
 
-    /// What may be taken to be asked at most where that is not near the limit, in requests a second.
-    pub(crate) fn most_demand(&self) -> f64 {
+    /// Returns the highest demand of a tenant that is not near its limit, in requests per second.
+    pub(crate) fn max_demand(&self) -> f64 {
         self.mean() * NEAR_DEMAND
     }
 
     /// Returns whether a tenant has to be named to all nodes.
     pub(crate) fn is_near(&self, left: f64, demand: f64) -> bool {
-        left < self.least_left() || demand > self.most_demand()
+        left < self.min_left() || demand > self.max_demand()
     }
 }
--- a/crates/firshore-limits/src/window.rs
+++ b/crates/firshore-limits/src/window.rs
@@ -1,70 +1,71 @@
-//! How many of a tenant's requests were admitted in the span over which its rate is counted.
+//! Sliding window over a tenant's admitted requests.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Parts that the span is divided into; the oldest is let go as a whole.
-const PARTS: u32 = 50;
+/// Buckets that the span is divided into; the oldest is dropped as a whole.
+const BUCKETS: u32 = 50;
 
-/// Parts over which it is averaged what becomes free next.
-const NEXT_PARTS: usize = 3;
+/// Buckets over which the release rate is averaged.
+const RELEASE_BUCKETS: usize = 3;
 
-/// Requests of the last span, by when they were admitted.
+/// Requests admitted in the last span, by time.
 #[derive(Debug)]
 pub(crate) struct AdmittedWindow {
-    /// Length of a part.
-    part: Duration,
-    /// Requests by part, the oldest first; as many parts as the span has and the one that is under way.
-    parts: VecDeque<f64>,
+    /// Length of a bucket.
+    bucket_length: Duration,
+    /// Requests by bucket, the oldest first: those of the span and the current one.
+    buckets: VecDeque<f64>,
     sum: f64,
-    /// Beginning of the part that is under way.
+    /// Start of the current bucket.
     began_at: Instant,
 }
 
 impl AdmittedWindow {
-    /// A span of this length, over which `admitted` requests are spread evenly.
+    /// Returns a window over `span` with `admitted` requests spread evenly over it.
     pub(crate) fn new(now: Instant, span: Duration, admitted: f64) -> Self {
-        let each = admitted / f64::from(PARTS);
-        let mut parts: VecDeque<f64> = (0..PARTS).map(|_| each).collect();
-        parts.push_back(0.0);
+        let each = admitted / f64::from(BUCKETS);
+        let mut buckets: VecDeque<f64> = (0..BUCKETS).map(|_| each).collect();
+        buckets.push_back(0.0);
         Self {
-            part: span / PARTS,
-            parts,
+            bucket_length: span / BUCKETS,
+            buckets,
             sum: admitted,
             began_at: now,
         }
     }
 
-    /// Lets go what is older than the span.
+    /// Drops what is older than the span.
     pub(crate) fn advance(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.began_at);
-        let passed = (elapsed.as_nanos() / self.part.as_nanos().max(1)).min(u128::from(PARTS) + 1);
+        let passed = (elapsed.as_nanos() / self.bucket_length.as_nanos().max(1))
+            .min(u128::from(BUCKETS) + 1);
         for _ in 0..passed {
-            self.parts.pop_front();
-            self.parts.push_back(0.0);
-            self.began_at += self.part;
+            self.buckets.pop_front();
+            self.buckets.push_back(0.0);
+            self.began_at += self.bucket_length;
         }
-        if passed > u128::from(PARTS) {
+        if passed > u128::from(BUCKETS) {
             self.began_at = now;
         }
         if passed > 0 {
-            self.sum = self.parts.iter().sum();
+            self.sum = self.buckets.iter().sum();
         }
     }
 
-    /// Takes in requests, or takes some back.
+    /// Adds requests, or takes some back.
     pub(crate) fn add(&mut self, admitted: f64) {
-        if let Some(last) = self.parts.back_mut() {
+        if let Some(last) = self.buckets.back_mut() {
             *last += admitted;
             self.sum += admitted;
         }
     }
 
-    /// Takes in requests of which it is only known that they were admitted within the span.
+    /// Adds requests of which it is only known that they were admitted within the span.
     pub(crate) fn add_spread(&mut self, admitted: f64) {
-        let each = admitted / self.parts.len() as f64;
-        for part in &mut self.parts {
-            *part += each;
+        let each = admitted / self.buckets.len() as f64;
+        for bucket in &mut self.buckets {
+            *bucket += each;
         }
         self.sum += admitted;
     }
@@ -73,23 +74,24 @@
         self.sum
     }
 
-    /// Time until no more than `most` of these requests are within the span; `None`: that takes longer than the
-    /// span.
-    pub(crate) fn wait_for(&self, now: Instant, most: f64) -> Option<Duration> {
+    /// Returns the time until at most `max` of these requests are within the span; `None` if that
+    /// takes longer than the span.
+    pub(crate) fn wait_until_at_most(&self, now: Instant, max: f64) -> Option<Duration> {
         let passed = now.saturating_duration_since(self.began_at);
         let mut sum = self.sum;
-        for (before, requests) in self.parts.iter().enumerate() {
-            if sum <= most {
-                return Some((self.part * before as u32).saturating_sub(passed));
+        for (before, requests) in self.buckets.iter().enumerate() {
+            if sum <= max {
+                return Some((self.bucket_length * before as u32).saturating_sub(passed));
             }
             sum -= requests;
         }
         None
     }
 
-    /// Requests a second that are about to leave the span, and so may be admitted anew.
-    pub(crate) fn next(&self) -> f64 {
-        let next: f64 = self.parts.iter().take(NEXT_PARTS).sum();
-        (next / (self.part.as_secs_f64() * NEXT_PARTS as f64)).max(0.0)
+    /// Returns the requests per second that are about to leave the span, and so may be admitted
+    /// again.
+    pub(crate) fn release_rate(&self) -> f64 {
+        let requests: f64 = self.buckets.iter().take(RELEASE_BUCKETS).sum();
+        (requests / (self.bucket_length.as_secs_f64() * RELEASE_BUCKETS as f64)).max(0.0)
     }
 }
--- a/crates/firshore-limits/tests/ledger.rs
+++ b/crates/firshore-limits/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What a ledger tells nodes that move, fall silent, or come from the ledger before.
+//! The ledger's responses to nodes that change relays, become stale, or come from an earlier ledger.
 
 use firshore_limits::ledger::UsageLedger;
 use firshore_limits::report::{TenantDigest, TenantUse, UseReport};
@@ -7,7 +7,7 @@
 const SPAN: Duration = Duration::from_secs(5);
 const TENANT: TenantDigest = TenantDigest(7);
 
-/// A report of a node that is asked `demand` requests a second, and admitted some.
+/// Returns the report of a node with a demand of `demand` requests per second.
 fn report(ledger: u64, demand: f32, admitted: i32, recent: f32) -> UseReport {
     UseReport {
         version: 1,
@@ -27,80 +27,83 @@
 }
 
 #[test]
-fn a_node_that_tells_another_is_counted_once() {
+fn node_that_changes_its_relay_is_counted_once() {
     let start = Instant::now();
     let mut ledger = UsageLedger::new(1, start, SPAN);
     let later = start + SPAN;
-    let told = report(1, 40.0, 0, 0.0);
-    ledger.told(later, &"n".into(), &told);
-    // The node tells a relay from now on, and takes back what it told the ledger itself.
-    let news = ledger.told(later, &"relay".into(), &told);
-    assert_eq!(news.pictures[0].demand, 80.0);
-    ledger.told(later, &"n".into(), &told.retraction());
-    let mut news = news;
+    let usage_report = report(1, 40.0, 0, 0.0);
+    ledger.told(later, &"n".into(), &usage_report);
+    // From now on the node reports to a relay, and withdraws its reports to the ledger.
+    let response = ledger.told(later, &"relay".into(), &usage_report);
+    assert_eq!(response.pictures[0].demand, 80.0);
+    ledger.told(later, &"n".into(), &usage_report.retraction());
+    let mut response = response;
     for tenth in 0..100 {
         let now = later + Duration::from_millis(100 * tenth);
-        news = ledger.told(now, &"relay".into(), &told);
+        response = ledger.told(now, &"relay".into(), &usage_report);
     }
-    assert_eq!(news.pictures[0].demand, 40.0);
+    assert_eq!(response.pictures[0].demand, 40.0);
     assert!(
-        news.pictures[0].left > 500.0,
-        "a share is kept for a node that is not silent"
+        response.pictures[0].left > 500.0,
+        "a share is reserved for a node that is not stale"
     );
 }
 
 #[test]
-fn the_share_of_a_silent_node_is_kept_for_it() {
+fn share_of_stale_node_is_reserved() {
     let start = Instant::now();
     let mut ledger = UsageLedger::new(1, start, SPAN);
     let later = start + SPAN;
-    ledger.told(later, &"silent".into(), &report(1, 60.0, 0, 0.0));
-    let told = report(1, 60.0, 0, 0.0);
+    ledger.told(later, &"stale".into(), &report(1, 60.0, 0, 0.0));
+    let usage_report = report(1, 60.0, 0, 0.0);
     let mut left_after = |seconds: u64| {
         let mut left = 0.0;
         for tenth in 0..10 * seconds {
             let now = later + Duration::from_millis(100 * tenth);
             ledger.forget_old(now);
-            let news = ledger.told(now, &"other".into(), &told);
-            left = news.pictures[0].left;
+            let response = ledger.told(now, &"other".into(), &usage_report);
+            left = response.pictures[0].left;
         }
         left
     };
-    // Half of the demand is the silent node's: it may admit half of the rate meanwhile.
+    // Half of the demand is at the stale node, which may admit half of the rate.
     let left = left_after(10);
     assert!((200.0..400.0).contains(&left), "{left}");
-    // It has given its share up by itself long before.
+    // The stale node has given up its share before.
     let left = left_after(30);
     assert!(left > 500.0, "{left}");
 }
 
 #[test]
-fn a_new_ledger_takes_in_what_was_admitted_before_it() {
+fn new_ledger_counts_earlier_admissions() {
     let start = Instant::now();
     let mut ledger = UsageLedger::new(2, start, SPAN);
     let first = ledger.told(start, &"n".into(), &report(1, 40.0, 0, 300.0));
-    assert!(first.pictures[0].left < 100.0, "before all have told");
+    assert!(
+        first.pictures[0].left < 100.0,
+        "before all nodes have reported"
+    );
     let later = start + Duration::from_millis(400);
-    let news = ledger.told(later, &"n".into(), &report(2, 40.0, 0, 300.0));
-    let left = news.pictures[0].left;
+    let response = ledger.told(later, &"n".into(), &report(2, 40.0, 0, 300.0));
+    let left = response.pictures[0].left;
     assert!((200.0..300.0).contains(&left), "{left}");
 }
 
 #[test]
-fn what_a_relay_tells_of_a_node_is_not_counted_with_what_the_node_tells() {
+fn admissions_reported_by_node_and_relay_are_counted_once() {
     let start = Instant::now();
     let mut ledger = UsageLedger::new(2, start, SPAN);
-    let own = report(1, 40.0, 0, 200.0);
+    let direct = report(1, 40.0, 0, 200.0);
     let relayed = UseReport {
         relayed: true,
         ..report(1, 40.0, 0, 300.0)
     };
     ledger.told(start, &"relay".into(), &relayed);
-    ledger.told(start, &"n".into(), &own);
-    // A report that was not answered is told once more.
-    ledger.told(start, &"n".into(), &own);
+    ledger.told(start, &"n".into(), &direct);
+    // A report without a response is sent again.
+    ledger.told(start, &"n".into(), &direct);
     let later = start + Duration::from_millis(400);
-    let news = ledger.told(later, &"relay".into(), &report(2, 40.0, 0, 300.0));
-    let left = news.pictures[0].left;
+    let response = ledger.told(later, &"relay".into(), &report(2, 40.0, 0, 300.0));
+    let left = response.pictures[0].left;
     assert!((200.0..300.0).contains(&left), "{left}");
 }
--- a/crates/firshore-limits/tests/support/mod.rs
+++ b/crates/firshore-limits/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of limiters before one ledger, with relays between them or without, in simulated time.
+//! A fleet of limiters with one ledger, with or without relays in between, in simulated time.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use firshore_adapter::tenant::{RateLimit, Tenant};
@@ -12,71 +12,71 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Span over which the limit is looked at.
+/// Span over which the limit is checked.
 pub const WINDOW: Duration = Duration::from_secs(5);
 
 /// Step of simulated time.
 const STEP: Duration = Duration::from_millis(5);
 
-/// Time that is played.
+/// Simulated time.
 const LENGTH: Duration = Duration::from_secs(36);
 
 /// Time between two reports of a node.
 const INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same where it has to be told at once.
-const FIRST_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between two reports when the next is urgent.
+const URGENT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Age up to which a relay passes on what it was told.
-const RELAY_LIFETIME: Duration = Duration::from_millis(800);
+/// Age up to which a relay forwards views.
+const RELAY_VIEW_LIFETIME: Duration = Duration::from_millis(800);
 
-/// Time for which nothing is asked at first: nodes start before their callers.
+/// Time without requests at the start: nodes start before their callers.
 const QUIET: Duration = Duration::from_secs(2);
 
 const ZONES: usize = 3;
 
-/// When many ask at once, in seconds, and how many times the usual demand that is.
+/// Time of the crowd, in seconds, and the factor by which demand grows.
 const CROWD_FROM: f64 = 14.5;
 const CROWD_TO: f64 = 14.9;
 const CROWD: f64 = 8.0;
 
-/// What happens.
+/// Demand, failures and changes during the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// Nothing.
+    /// Steady demand without failures.
     Calm,
-    /// What is asked goes up and down each six seconds.
+    /// Demand goes up and down every six seconds.
     Waves,
-    /// What is asked jumps from a tenth to all.
+    /// Demand jumps from a tenth to all.
     Jump,
-    /// What is asked moves from some nodes to others each two seconds.
+    /// Demand moves from some nodes to others every two seconds.
     Moving,
-    /// A third of the nodes is cut off.
-    Cut,
-    /// Half of the nodes are killed and come back with nothing.
+    /// A third of the nodes is isolated.
+    Isolated,
+    /// Half of the nodes are killed and restart without state.
     Killed,
-    /// The ledger is lost twice; the second time while a third of the nodes is cut off.
+    /// The ledger is lost twice; the second time while a third of the nodes is isolated.
     LeaderLost,
-    /// Nodes are stopped and started in turn.
+    /// Nodes are restarted one after another.
     Rolling,
     /// The limit is lowered to a quarter.
     Lowered,
-    /// All nodes are cut off.
-    AllCut,
-    /// A third of the nodes is cut off; what is asked jumps from a fifth to all meanwhile.
-    JumpInCut,
-    /// As much as the limit allows is asked for a while, then a fifth of it, then many ask at once.
+    /// All nodes are isolated.
+    AllIsolated,
+    /// A third of the nodes is isolated; meanwhile the demand jumps from a fifth to all.
+    JumpWhileIsolated,
+    /// Demand at the limit for a while, then a fifth of it, then a crowd.
     Crowd,
 }
 
 impl Shape {
-    /// What the bound of all rates and demands is tried with.
+    /// Shapes that the bound is checked with at all rates and demands.
     pub const ALL: [Self; 9] = [
         Self::Calm,
         Self::Waves,
         Self::Jump,
         Self::Moving,
-        Self::Cut,
+        Self::Isolated,
         Self::Killed,
         Self::LeaderLost,
         Self::Rolling,
@@ -84,22 +84,22 @@
     ];
 }
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct Scenario {
     pub seed: u64,
     pub nodes: usize,
     pub relays: bool,
     pub rate: f64,
     pub burst: f64,
-    /// Requests a second, on average.
+    /// Mean demand, in requests per second.
     pub demand: f64,
     pub shape: Shape,
-    /// Longest time after which refused callers come back once; none does without it.
-    pub patience: Option<Duration>,
+    /// Longest time after which refused callers retry once; `None`: no retries.
+    pub max_wait: Option<Duration>,
 }
 
-impl Default for Scene {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             seed: 0,
@@ -109,32 +109,32 @@
             burst: 10.0,
             demand: 10.0,
             shape: Shape::Calm,
-            patience: None,
+            max_wait: None,
         }
     }
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Debug)]
-pub struct Played {
-    /// Requests admitted in the span of five seconds with most of them.
-    pub most_in_window: f64,
+pub struct Outcome {
+    /// Most requests admitted in any span of five seconds.
+    pub max_in_window: f64,
     /// Requests admitted.
     pub admitted: f64,
-    /// Requests that one node would have admitted that knows of all.
+    /// Requests that a single node would have admitted.
     pub ideal: f64,
-    /// Callers that were refused and came back.
-    pub returned: Vec<ReturnedCaller>,
+    /// Refused callers that retried.
+    pub retries: Vec<RetryingCaller>,
 }
 
-/// A caller that was refused and came back.
+/// A refused caller that retried.
 #[derive(Clone, Copy, Debug)]
-pub struct ReturnedCaller {
-    /// When it was refused, since the beginning.
+pub struct RetryingCaller {
+    /// When it was refused, since the start.
     pub refused_at: Duration,
-    /// What it was told.
+    /// Wait that it was given.
     pub wait: Duration,
-    /// Whether it was admitted then.
+    /// Whether the retry was admitted.
     pub admitted: bool,
 }
 
@@ -142,71 +142,71 @@
     name: NodeName,
     limiter: TenantLimiter,
     next_report: Instant,
-    /// When the answer to the last report comes, and what it says.
-    answer: Option<(Instant, Option<(Instant, UsageNews)>)>,
+    /// When the response to the last report arrives, and its content.
+    response: Option<(Instant, Option<(Instant, UsageNews)>)>,
     weight: f64,
-    dark_until: Instant,
+    isolated_until: Instant,
 }
 
 struct Relay {
     name: NodeName,
     relay: UsageRelay,
     next_report: Instant,
-    answered_at: Option<Instant>,
+    response_at: Option<Instant>,
 }
 
-/// The fleet.
+/// Simulated nodes, relays and ledger.
 pub struct Fleet {
-    scene: Scene,
+    scenario: Scenario,
     start: Instant,
     random: ChaCha8Rng,
     nodes: Vec<Node>,
     relays: Vec<Relay>,
     ledger: UsageLedger,
-    /// Ledgers so far.
+    /// Number of ledgers so far.
     ledgers: u64,
-    /// Until when nobody keeps a ledger.
+    /// Until when there is no ledger.
     leaderless_until: Instant,
     tenant: Tenant,
-    /// Refused callers, and when they come back.
-    coming: Vec<(Duration, ReturnedCaller)>,
-    returned: Vec<ReturnedCaller>,
+    /// Refused callers, and when they retry.
+    waiting: Vec<(Duration, RetryingCaller)>,
+    retries: Vec<RetryingCaller>,
 }
 
-fn limit(scene: &Scene, share: f64) -> RateLimit {
+fn limit(scenario: &Scenario, share: f64) -> RateLimit {
     RateLimit {
-        per_second: scene.rate * share,
-        burst: scene.burst * share,
+        per_second: scenario.rate * share,
+        burst: scenario.burst * share,
     }
 }
 
 impl Fleet {
-    /// Plays a scene.
-    pub fn play(scene: &Scene) -> Played {
-        Self::new(scene).run()
+    /// Runs a scenario.
+    pub fn run(scenario: &Scenario) -> Outcome {
+        Self::new(scenario).run_steps()
     }
 
-    fn new(scene: &Scene) -> Self {
+    fn new(scenario: &Scenario) -> Self {
         let start = Instant::now();
-        let mut random = ChaCha8Rng::seed_from_u64(scene.seed);
-        let nodes = (0..scene.nodes).map(|number| Node {
+        let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
+        let nodes = (0..scenario.nodes).map(|number| Node {
             name: NodeName(format!("n{number}")),
             limiter: TenantLimiter::new(random.random(), WINDOW),
             next_report: start + INTERVAL.mul_f64(random.random()),
-            answer: None,
+            response: None,
             weight: random.random_range(0.1..1.0),
-            dark_until: start,
+            isolated_until: start,
         });
         let nodes: Vec<Node> = nodes.collect();
         let relays = (0..ZONES).map(|number| Relay {
             name: NodeName(format!("r{number}")),
             relay: UsageRelay::new(WINDOW),
             next_report: start + INTERVAL.mul_f64(random.random()),
-            answered_at: None,
+            response_at: None,
         });
         let relays: Vec<Relay> = relays.collect();
         Self {
-            scene: scene.clone(),
+            scenario: scenario.clone(),
             start,
             random,
             nodes,
@@ -217,39 +217,39 @@
             tenant: Tenant {
                 name: "t".into(),
                 priority: None,
-                limit: Some(limit(scene, 1.0)),
+                limit: Some(limit(scenario, 1.0)),
             },
-            coming: Vec::new(),
-            returned: Vec::new(),
+            waiting: Vec::new(),
+            retries: Vec::new(),
         }
     }
 
-    fn run(mut self) -> Played {
+    fn run_steps(mut self) -> Outcome {
         let mut admitted_at: VecDeque<(Duration, u32)> = VecDeque::new();
-        let (mut in_window, mut most_in_window, mut admitted, mut ideal) = (0, 0, 0, 0.0);
+        let (mut in_window, mut max_in_window, mut admitted, mut ideal) = (0, 0, 0, 0.0);
         let mut ideal_at: VecDeque<(Duration, f64)> = VecDeque::new();
         let mut ideal_in_window = 0.0;
         let mut elapsed = Duration::ZERO;
         while elapsed < LENGTH {
             let now = self.start + elapsed;
-            self.happen(now, elapsed);
-            self.tell(now);
-            let (asked, taken) = self.ask(now, elapsed);
-            admitted += taken;
+            self.apply_shape(now, elapsed);
+            self.exchange_reports(now);
+            let (requested, admitted_count) = self.send_requests(now, elapsed);
+            admitted += admitted_count;
             let limit = self.tenant.limit.unwrap();
-            let most = limit.per_second * WINDOW.as_secs_f64() + limit.burst;
+            let max = limit.per_second * WINDOW.as_secs_f64() + limit.burst;
             while ideal_at
                 .front()
                 .is_some_and(|(at, _)| elapsed - *at >= WINDOW)
             {
                 ideal_in_window -= ideal_at.pop_front().unwrap().1;
             }
-            let passed = f64::from(asked).min((most - ideal_in_window).max(0.0).floor());
-            ideal_in_window += passed;
-            ideal_at.push_back((elapsed, passed));
-            ideal += passed;
-            in_window += taken;
-            admitted_at.push_back((elapsed, taken));
+            let ideal_admitted = f64::from(requested).min((max - ideal_in_window).max(0.0).floor());
+            ideal_in_window += ideal_admitted;
+            ideal_at.push_back((elapsed, ideal_admitted));
+            ideal += ideal_admitted;
+            in_window += admitted_count;
+            admitted_at.push_back((elapsed, admitted_count));
             while admitted_at
                 .front()
                 .is_some_and(|(at, _)| elapsed - *at >= WINDOW)
@@ -257,38 +257,41 @@
                 in_window -= admitted_at.pop_front().unwrap().1;
             }
             // A lowered limit counts from one span after it holds everywhere.
-            if self.scene.shape != Shape::Lowered || elapsed > Duration::from_secs(18) {
-                most_in_window = most_in_window.max(in_window);
+            if self.scenario.shape != Shape::Lowered || elapsed > Duration::from_secs(18) {
+                max_in_window = max_in_window.max(in_window);
             }
             elapsed += STEP;
         }
-        let scale = match self.scene.shape {
+        let scale = match self.scenario.shape {
             Shape::Lowered => 0.25,
             _ => 1.0,
         };
-        let beyond = f64::from(most_in_window);
-        Played {
-            // The bound is that of the whole limit: what is admitted beyond a lowered one is put on it.
-            most_in_window: match scale < 1.0 {
-                true => beyond + (1.0 - scale) * 1.1 * (self.scene.rate * 5.0 + self.scene.burst),
+        let beyond = f64::from(max_in_window);
+        Outcome {
+            // The bound is that of the original limit: what is admitted beyond a lowered one is added
+            // to it.
+            max_in_window: match scale < 1.0 {
+                true => {
+                    beyond + (1.0 - scale) * 1.1 * (self.scenario.rate * 5.0 + self.scenario.burst)
+                }
                 false => beyond,
             },
             admitted: f64::from(admitted),
             ideal,
-            returned: self.returned,
+            retries: self.retries,
         }
     }
 
-    fn happen(&mut self, now: Instant, elapsed: Duration) {
+    fn apply_shape(&mut self, now: Instant, elapsed: Duration) {
         let is_at = |second: f64| {
             let at = Duration::from_secs_f64(second);
             elapsed <= at && at < elapsed + STEP
         };
         let third = self.nodes.len() / 3;
-        let dark = now + Duration::from_secs(12);
-        match self.scene.shape {
-            Shape::Cut | Shape::JumpInCut if is_at(9.0) => self.darken(third, dark),
-            Shape::AllCut if is_at(9.0) => self.darken(self.nodes.len(), dark),
+        let until = now + Duration::from_secs(12);
+        match self.scenario.shape {
+            Shape::Isolated | Shape::JumpWhileIsolated if is_at(9.0) => self.isolate(third, until),
+            Shape::AllIsolated if is_at(9.0) => self.isolate(self.nodes.len(), until),
             Shape::Killed if is_at(9.0) || is_at(13.0) || is_at(14.0) => {
                 let half = self.nodes.len() / 2;
                 for number in 0..half {
@@ -296,7 +299,7 @@
                 }
             }
             Shape::LeaderLost if is_at(8.0) => self.lose_leader(now),
-            Shape::LeaderLost if is_at(12.0) => self.darken(third, dark),
+            Shape::LeaderLost if is_at(12.0) => self.isolate(third, until),
             Shape::LeaderLost if is_at(15.0) => self.lose_leader(now),
             Shape::Rolling => {
                 for number in 0..self.nodes.len() {
@@ -306,7 +309,7 @@
                 }
             }
             Shape::Lowered if is_at(10.0) => {
-                self.tenant.limit = Some(limit(&self.scene, 0.25));
+                self.tenant.limit = Some(limit(&self.scenario, 0.25));
                 for node in &mut self.nodes {
                     node.limiter.configure([&self.tenant]);
                 }
@@ -315,10 +318,10 @@
         }
     }
 
-    fn darken(&mut self, count: usize, until: Instant) {
+    fn isolate(&mut self, count: usize, until: Instant) {
         for node in &mut self.nodes[..count] {
-            node.dark_until = until;
-            node.answer = None;
+            node.isolated_until = until;
+            node.response = None;
             node.limiter.unanswered();
         }
     }
@@ -327,7 +330,7 @@
         let seed = self.random.random();
         let node = &mut self.nodes[number];
         node.limiter = TenantLimiter::new(seed, WINDOW);
-        node.answer = None;
+        node.response = None;
     }
 
     fn lose_leader(&mut self, now: Instant) {
@@ -341,13 +344,13 @@
         Duration::from_millis(self.random.random_range(2..30))
     }
 
-    /// Takes in answers, and sends reports that are due.
-    fn tell(&mut self, now: Instant) {
+    /// Delivers responses, and sends reports that are due.
+    fn exchange_reports(&mut self, now: Instant) {
         let leads = now >= self.leaderless_until;
         for number in 0..self.relays.len() {
             let relay = &mut self.relays[number];
             let due = match relay.relay.has_to_tell() {
-                true => relay.next_report - INTERVAL + FIRST_INTERVAL,
+                true => relay.next_report - INTERVAL + URGENT_INTERVAL,
                 false => relay.next_report,
             };
             if now >= due {
@@ -355,9 +358,9 @@
                 let report = relay.relay.report(now);
                 match leads {
                     true => {
-                        let pictures = self.ledger.told(now, &relay.name, &report);
-                        relay.relay.answered(&pictures);
-                        relay.answered_at = Some(now);
+                        let response = self.ledger.told(now, &relay.name, &report);
+                        relay.relay.answered(&response);
+                        relay.response_at = Some(now);
                     }
                     false => relay.relay.unanswered(),
                 }
@@ -365,39 +368,39 @@
         }
         self.ledger.forget_old(now);
         for number in 0..self.nodes.len() {
-            self.tell_one(now, number);
+            self.exchange_report(now, number);
         }
     }
 
-    fn tell_one(&mut self, now: Instant, number: usize) {
+    fn exchange_report(&mut self, now: Instant, number: usize) {
         let trips = (self.trip(), self.trip());
         let node = &mut self.nodes[number];
-        if let Some((at, _)) = &node.answer
+        if let Some((at, _)) = &node.response
             && now >= *at
         {
-            match node.answer.take().unwrap().1 {
-                Some((told_at, pictures)) => node.limiter.answered(told_at, &pictures),
+            match node.response.take().unwrap().1 {
+                Some((as_of, response)) => node.limiter.answered(as_of, &response),
                 None => node.limiter.unanswered(),
             }
         }
         let due = match node.limiter.has_to_tell(&self.tenant) {
-            true => node.next_report - INTERVAL + FIRST_INTERVAL,
+            true => node.next_report - INTERVAL + URGENT_INTERVAL,
             false => node.next_report,
         };
-        if node.answer.is_some() || now < due {
+        if node.response.is_some() || now < due {
             return;
         }
         node.next_report = now + INTERVAL;
         let report = node.limiter.report(now, 1);
         let name = node.name.clone();
-        let told = match now < node.dark_until {
+        let response = match now < node.isolated_until {
             true => None,
             false => self.deliver(now, number, &name, &report),
         };
-        self.nodes[number].answer = Some((now + trips.0 + trips.1, told));
+        self.nodes[number].response = Some((now + trips.0 + trips.1, response));
     }
 
-    /// What a node is told, by its relay or the ledger itself: as of when, and what.
+    /// Returns the response of the relay or the ledger itself, and as of when it holds.
     fn deliver(
         &mut self,
         now: Instant,
@@ -405,12 +408,14 @@
         name: &NodeName,
         report: &UseReport,
     ) -> Option<(Instant, UsageNews)> {
-        if !self.scene.relays {
+        if !self.scenario.relays {
             let leads = now >= self.leaderless_until;
             return leads.then(|| (now, self.ledger.told(now, name, report)));
         }
         let relay = &mut self.relays[number % ZONES];
-        let fresh = relay.answered_at.filter(|at| now - *at <= RELAY_LIFETIME)?;
+        let fresh = relay
+            .response_at
+            .filter(|at| now - *at <= RELAY_VIEW_LIFETIME)?;
         Some((fresh, relay.relay.told(now, name, report)))
     }
 
@@ -419,31 +424,31 @@
         if elapsed < QUIET {
             return 0.0;
         }
-        let factor = match self.scene.shape {
+        let factor = match self.scenario.shape {
             Shape::Waves | Shape::Killed | Shape::LeaderLost if seconds % 6.0 < 3.6 => 0.39,
             Shape::Waves | Shape::Killed | Shape::LeaderLost => 1.91,
             Shape::Jump if seconds < 12.0 => 0.1,
-            Shape::JumpInCut if seconds < 12.0 => 0.2,
+            Shape::JumpWhileIsolated if seconds < 12.0 => 0.2,
             Shape::Crowd if (CROWD_FROM..CROWD_TO).contains(&seconds) => CROWD,
             Shape::Crowd if seconds > 12.0 => 0.2,
             _ => 1.0,
         };
-        self.scene.demand * factor
+        self.scenario.demand * factor
     }
 
-    /// Which part of the nodes is asked.
-    fn asked(&self, number: usize, elapsed: Duration) -> bool {
+    /// Returns whether a node receives requests.
+    fn receives_requests(&self, number: usize, elapsed: Duration) -> bool {
         let group = number % 5;
-        match self.scene.shape {
+        match self.scenario.shape {
             Shape::Moving => group as u64 == (elapsed.as_secs() / 2) % 5,
             _ => true,
         }
     }
 
-    /// Sends the step's requests. Returns how many there were, and how many were admitted.
-    fn ask(&mut self, now: Instant, elapsed: Duration) -> (u32, u32) {
+    /// Sends the step's requests. Returns the number of requests and of admissions.
+    fn send_requests(&mut self, now: Instant, elapsed: Duration) -> (u32, u32) {
         let weights: Vec<f64> = (0..self.nodes.len())
-            .map(|number| match self.asked(number, elapsed) {
+            .map(|number| match self.receives_requests(number, elapsed) {
                 true => self.nodes[number].weight,
                 false => 0.0,
             })
@@ -451,7 +456,7 @@
         let all: f64 = weights.iter().sum();
         let expected = self.demand(elapsed) * STEP.as_secs_f64();
         let count = self.poisson(expected);
-        let mut taken = 0;
+        let mut admitted_count = 0;
         for _ in 0..count {
             let mut drawn = self.random.random_range(0.0..all);
             let number = weights.iter().position(|weight| {
@@ -460,41 +465,41 @@
             });
             let node = &mut self.nodes[number.unwrap_or(0)];
             match node.limiter.admit(now, &self.tenant) {
-                Ok(()) => taken += 1,
-                Err(over) => self.refused(elapsed, over.wait),
+                Ok(()) => admitted_count += 1,
+                Err(over) => self.schedule_retry(elapsed, over.wait),
             }
         }
-        (count, taken + self.come_back(now, elapsed))
+        (count, admitted_count + self.retry_due(now, elapsed))
     }
 
-    fn refused(&mut self, elapsed: Duration, wait: Duration) {
-        let Some(patience) = self.scene.patience else {
+    fn schedule_retry(&mut self, elapsed: Duration, wait: Duration) {
+        let Some(max_wait) = self.scenario.max_wait else {
             return;
         };
-        let caller = ReturnedCaller {
+        let caller = RetryingCaller {
             refused_at: elapsed,
             wait,
             admitted: false,
         };
-        self.coming.push((elapsed + wait.min(patience), caller));
+        self.waiting.push((elapsed + wait.min(max_wait), caller));
     }
 
-    /// Callers whose time has come ask another node. Returns how many were admitted.
-    fn come_back(&mut self, now: Instant, elapsed: Duration) -> u32 {
-        let due = self.coming.extract_if(.., |(at, _)| *at <= elapsed);
-        let due: Vec<ReturnedCaller> = due.map(|(_, caller)| caller).collect();
-        let mut taken = 0;
+    /// Retries the refused callers that are due at a random node. Returns the number of admissions.
+    fn retry_due(&mut self, now: Instant, elapsed: Duration) -> u32 {
+        let due = self.waiting.extract_if(.., |(at, _)| *at <= elapsed);
+        let due: Vec<RetryingCaller> = due.map(|(_, caller)| caller).collect();
+        let mut admitted_count = 0;
         for mut caller in due {
             let number = self.random.random_range(0..self.nodes.len());
             let limiter = &mut self.nodes[number].limiter;
             caller.admitted = limiter.admit(now, &self.tenant).is_ok();
-            taken += u32::from(caller.admitted);
-            self.returned.push(caller);
+            admitted_count += u32::from(caller.admitted);
+            self.retries.push(caller);
         }
-        taken
+        admitted_count
     }
 
-    /// A Poisson draw (Knuth).
+    /// Returns a Poisson draw (Knuth).
     fn poisson(&mut self, mean: f64) -> u32 {
         let limit = (-mean).exp();
         let mut product: f64 = self.random.random();
