--- a/crates/firshore-jobs/src/command.rs
+++ b/crates/firshore-jobs/src/command.rs
@@ -1,4 +1,4 @@
-//! What is committed about jobs, and what comes of it.
+//! Commands on the table of jobs, and their outcomes.
 
 use firshore_adapter::jobs::{ItemOutcome, JobItem};
 use firshore_types::ids::TenantName;
@@ -7,27 +7,27 @@
 /// Position of an item in its job, as submitted.
 pub type ItemIndex = u32;
 
-/// What is known of a job beside its items.
+/// Properties of a job apart from its items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobHeader {
-    /// Key, among the jobs of all tenants.
+    /// Key, unique among the jobs of all tenants.
     pub job: String,
-    /// Tenant that it belongs to, by name; none where its caller needed no key.
+    /// Name of the tenant that it belongs to; `None` if its caller needed no key.
     #[serde(default)]
     pub tenant: Option<TenantName>,
-    /// Route that it was submitted on, by name.
+    /// Name of the route that it was submitted on.
     #[serde(default)]
     pub route: String,
     /// Host of the route that it was submitted on.
     pub host: String,
-    /// Most back ends that may fail on one of its items.
+    /// Maximum number of back ends that may fail on one of its items.
     pub attempts: u32,
     /// Time from the submission after which an item may be given up, in milliseconds.
     pub give_up_after: u64,
-    /// Time from the submission in which all results are wanted, in milliseconds.
+    /// Time from the submission by which all results are due, in milliseconds.
     #[serde(default)]
     pub due_after: Option<u64>,
-    /// Tokens that its tenant's items without a result may have together on the route.
+    /// Maximum number of tokens that its tenant's items without a result may have on the route.
     #[serde(default)]
     pub most_waiting_tokens: Option<u64>,
 }
@@ -35,43 +35,44 @@
 /// The result of one item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
-    /// Job.
+    /// Key of the job.
     pub job: String,
-    /// Item.
+    /// Position of the item.
     pub item: ItemIndex,
-    /// What became of it.
+    /// Outcome of the item.
     pub outcome: ItemOutcome,
 }
 
-/// What is to be done.
+/// A change of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Takes a job in; one that is known already stays as it is.
+    /// Adds a job. A known job stays unchanged.
     Submit {
-        /// What is known of it.
+        /// Properties of the job.
         header: JobHeader,
         /// Its items.
         items: Vec<JobItem>,
     },
-    /// Lists results; only the first of an item counts, and none of a job that has ended.
+    /// Adds results. Only the first result of an item counts, and none of a job that was ended.
     Complete(Vec<Completion>),
-    /// A back end ran an item and failed.
+    /// Records that a back end ran an item and failed.
     Failed {
-        /// Job.
+        /// Key of the job.
         job: String,
-        /// Item.
+        /// Position of the item.
         item: ItemIndex,
-        /// Random number of the run: proposed again after a lost answer, it counts once.
+        /// Random number of the run. A failure that is proposed again after a lost response counts
+        /// once.
         run: u64,
     },
-    /// Ends a job: what is listed stays, the rest is not owed.
+    /// Ends a job: its results stay, the other items are not run.
     End {
-        /// Job.
+        /// Key of the job.
         job: String,
     },
-    /// Forgets jobs that have nothing left to run and were submitted before a time.
+    /// Removes jobs without open items that were submitted before a time.
     Forget {
-        /// Unix milliseconds.
+        /// Time in Unix milliseconds.
         before: u64,
     },
 }
@@ -81,7 +82,7 @@
 pub struct Command {
     /// Clock of the leader, in Unix milliseconds.
     pub at: u64,
-    /// What is to be done.
+    /// The change of the table.
     pub action: Action,
 }
 
@@ -91,13 +92,13 @@
     }
 }
 
-/// What came of a command.
+/// Outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It took effect, or had before.
+    /// The command took effect, now or before.
     Done,
     /// There is no such job.
     UnknownJob,
-    /// The tenant's items that wait are as many as it may have: the job was not taken in.
+    /// The job was not added: its tenant's waiting items would exceed their maximum.
     TooMuchWaiting,
 }
--- a/crates/firshore-jobs/src/job.rs
+++ b/crates/firshore-jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! One job.
+//! One job with its items and results.
 
 use crate::command::{ItemIndex, JobHeader};
 use crate::listing::{ListedPage, ListedResult, ResultPlace};
@@ -34,7 +34,7 @@
     results: Vec<StoredResult>,
 }
 
-fn size(outcome: &ItemOutcome) -> usize {
+fn text_bytes(outcome: &ItemOutcome) -> usize {
     match outcome {
         ItemOutcome::Done(events) => events.iter().map(String::len).sum(),
         ItemOutcome::GivenUp => 0,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Memory that it takes in bytes, about.
+    /// Returns the approximate memory use in bytes.
     pub(crate) fn held_bytes(&self) -> usize {
         let items = self.items.iter().map(|item| item.item.held_bytes());
         items.sum::<usize>() + self.results.len() * size_of::<StoredResult>()
@@ -76,12 +76,12 @@
         self.results.len() as u64
     }
 
-    /// Entries of the log that hold results.
+    /// Returns the log entries that hold results.
     pub(crate) fn referenced(&self) -> impl Iterator<Item = LogIndex> + '_ {
         self.results.iter().map(|result| result.place.entry)
     }
 
-    /// Takes in a result that lies at `place`.
+    /// Adds a result that is stored at `place`.
     pub(crate) fn complete(&mut self, index: ItemIndex, outcome: &ItemOutcome, place: ResultPlace) {
         if self.ended {
             return;
@@ -93,19 +93,19 @@
             return;
         }
         item.finished = true;
-        // From here on only the result is read.
+        // Only the result is needed from now on.
         item.item.body = Vec::new().into();
         item.item.headers = Vec::new();
         item.item.path = String::new();
         self.results.push(StoredResult {
             item: index,
             place,
-            bytes: size(outcome) as u32,
+            bytes: text_bytes(outcome) as u32,
         });
     }
 
-    /// Takes in that a back end failed on an item.
-    pub(crate) fn failed(&mut self, index: ItemIndex, run: u64) {
+    /// Records that a back end failed on an item.
+    pub(crate) fn record_failure(&mut self, index: ItemIndex, run: u64) {
         let Some(item) = self.items.get_mut(index as usize) else {
             return;
         };
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Back ends that failed on an item.
+    /// Returns the number of back ends that failed on an item.
     pub(crate) fn failures(&self, index: ItemIndex) -> u32 {
         self.items
             .get(index as usize)
@@ -138,7 +138,7 @@
             .map(|(index, item)| (index as ItemIndex, &item.item))
     }
 
-    /// Tokens of its items that are still to be run.
+    /// Returns the tokens of its open items.
     pub(crate) fn unfinished_tokens(&self) -> u64 {
         self.unfinished().map(|(_, item)| item.tokens).sum()
     }
@@ -156,14 +156,15 @@
         (!item.finished).then(|| item.item.body.clone())
     }
 
-    /// Results from a position on, of about `bytes` at most, but one at least if there is one.
+    /// Returns the results from a position on, of about `bytes` at most, but at least one if there is
+    /// one.
     pub(crate) fn page(&self, from: u64, bytes: usize) -> ListedPage {
-        let mut held = 0;
-        let wanted = self.results.iter().skip(from as usize);
-        let results = wanted.take_while(|result| {
-            let first = held == 0;
-            held += result.bytes as usize + 1;
-            first || held <= bytes
+        let mut page_bytes = 0;
+        let remaining = self.results.iter().skip(from as usize);
+        let results = remaining.take_while(|result| {
+            let is_first = page_bytes == 0;
+            page_bytes += result.bytes as usize + 1;
+            is_first || page_bytes <= bytes
         });
         let results = results.map(|result| ListedResult {
             item: self.items[result.item as usize].item.id.clone(),
--- a/crates/firshore-jobs/src/lib.rs
+++ b/crates/firshore-jobs/src/lib.rs
@@ -1,8 +1,8 @@
-//! Batch jobs as a deterministic state machine, applied from a replicated log: which jobs there
-//! are, which items they hold, and which result stands at which position.
+//! Batch jobs as a deterministic state machine that is applied from a replicated log: the jobs, their
+//! items, and the result at each position.
 //!
-//! Who runs an item is not recorded: the leader of the log runs them, and the first result that is
-//! committed for an item is the one that counts. What a reader has seen at a position stays there.
+//! The table does not record who runs an item: the leader of the log runs items, and the first
+//! committed result of an item counts. A result that was read at a position stays there.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod command;
--- a/crates/firshore-jobs/src/listing.rs
+++ b/crates/firshore-jobs/src/listing.rs
@@ -1,7 +1,7 @@
-//! Results as the table lists them: which item stands at which position, and where its text lies.
+//! Results as the table lists them: the item at each position, and where its text is stored.
 //!
-//! Texts stay in the entries of the log that brought them. The table names the entry, so that
-//! neither memory nor snapshots hold them.
+//! Texts stay in the log entries that brought them. The table refers to these entries, so that
+//! neither memory nor snapshots hold the texts.
 
 use crate::command::{Action, Command};
 use firshore_adapter::jobs::{ItemOutcome, ItemResult, ResultPage};
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a result lies.
+/// Place at which a result is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultPlace {
-    /// Entry of the log.
+    /// Log entry.
     #[serde(rename = "e")]
     pub entry: LogIndex,
     /// Position among the results of that entry.
@@ -23,26 +23,26 @@
 /// A result at its position in the job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedResult {
-    /// Item.
+    /// Identifier of the item.
     pub item: String,
-    /// Where what became of it lies.
+    /// Place at which its outcome is stored.
     pub place: ResultPlace,
     /// Size of its text in bytes.
     pub bytes: u32,
 }
 
-/// A part of a job's results.
+/// A page of a job's results.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedPage {
-    /// Items of the job.
+    /// Number of the job's items.
     pub total: u64,
-    /// Position of the first result here.
+    /// Position of the first result on this page.
     pub from: u64,
     /// Results.
     pub results: Vec<ListedResult>,
 }
 
-/// Takes a result out of the entry that holds it: texts are long, so they are moved.
+/// Moves a result out of the entry that holds it, as copying texts is expensive.
 fn take_outcome(
     commands: &mut BTreeMap<LogIndex, Command>,
     place: ResultPlace,
@@ -56,18 +56,19 @@
 }
 
 impl ListedPage {
-    /// Size of the texts of its results in bytes.
+    /// Returns the total size of the results' texts in bytes.
     pub fn bytes(&self) -> usize {
         self.results.iter().map(|one| one.bytes as usize).sum()
     }
 
-    /// Entries that hold its results.
+    /// Returns the log entries that hold its results.
     pub fn entries(&self) -> BTreeSet<LogIndex> {
         let places = self.results.iter().map(|result| result.place);
         places.map(|place| place.entry).collect()
     }
 
-    /// The page with its results, from the commands of [`Self::entries`]; `None` if one is missing.
+    /// Returns the page with its outcomes, from the commands of [`Self::entries`]; `None` if one is
+    /// missing.
     pub fn filled(self, mut commands: BTreeMap<LogIndex, Command>) -> Option<ResultPage> {
         let results = self.results.into_iter().map(|listed| {
             Some(ItemResult {
--- a/crates/firshore-jobs/src/table.rs
+++ b/crates/firshore-jobs/src/table.rs
@@ -1,4 +1,4 @@
-//! All jobs.
+//! Table of all jobs.
 
 use crate::command::{Action, Command, ItemIndex, JobHeader, Outcome};
 use crate::job::Job;
@@ -13,9 +13,9 @@
 /// An item that has no result yet.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenItem<'a> {
-    /// What is known of its job.
+    /// Properties of its job.
     pub header: &'a JobHeader,
-    /// Clock of the leader that took the job in, in Unix milliseconds.
+    /// Clock of the leader that added the job, in Unix milliseconds.
     pub submitted_at: u64,
     /// Position in the job.
     pub index: ItemIndex,
@@ -23,15 +23,15 @@
     pub item: &'a JobItem,
 }
 
-/// The table of jobs.
+/// State of all jobs.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct JobTable {
     jobs: BTreeMap<String, Job>,
 }
 
 impl JobTable {
-    /// The key under which a job lies that a caller may ask for by `key`: its own, or one that belongs to
-    /// nobody. Jobs that were taken in before there were tenants belong to nobody.
+    /// Returns the stored key of the job that a caller may address by `key`: the caller's own key, or
+    /// that of a job without a tenant, which was added before there were tenants.
     fn known_key<'a>(&self, key: &'a str) -> Option<&'a str> {
         let keys = [key, caller_id(key)];
         keys.into_iter().find(|key| self.jobs.contains_key(*key))
@@ -46,23 +46,24 @@
         self.jobs.get_mut(known)
     }
 
-    /// Results of a job from a position on, of about `bytes` at most; `None`: no such job.
+    /// Returns the results of a job from a position on, of about `bytes` at most; `None` if there is
+    /// no such job.
     pub fn results(&self, job: &str, from: u64, bytes: usize) -> Option<ListedPage> {
         self.find(job).map(|job| job.page(from, bytes))
     }
 
-    /// Whether a reader at this position has something to wait for.
+    /// Returns whether a reader at this position may wait for more results.
     pub fn may_grow_beyond(&self, job: &str, position: u64) -> bool {
         let job = self.find(job);
         job.is_some_and(|job| job.is_open() && job.result_count() <= position)
     }
 
-    /// Body of an item without a result.
+    /// Returns the body of an item without a result.
     pub fn body(&self, job: &str, item: &str) -> Option<Payload> {
         self.find(job)?.body(item)
     }
 
-    /// Items without a result, job by job in the order of submission.
+    /// Returns the items without a result, by job in the order of submission.
     pub fn open_items(&self) -> Vec<OpenItem<'_>> {
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| job.is_open()).collect();
         jobs.sort_by_key(|job| job.submitted_at);
@@ -78,30 +79,31 @@
         items.collect()
     }
 
-    /// Whether an item is still to be run.
+    /// Returns whether an item is still to be run.
     pub fn is_open(&self, job: &str, item: ItemIndex) -> bool {
         let job = self.jobs.get(job);
         job.is_some_and(|job| job.is_unfinished(item))
     }
 
-    /// Whether items of a job are still to be run.
+    /// Returns whether items of a job are still to be run.
     pub fn is_job_open(&self, job: &str) -> bool {
         self.jobs.get(job).is_some_and(Job::is_open)
     }
 
-    /// Back ends that ran an item and failed.
+    /// Returns the number of back ends that ran an item and failed.
     pub fn failures(&self, job: &str, item: ItemIndex) -> u32 {
         self.jobs.get(job).map_or(0, |job| job.failures(item))
     }
 
-    /// Memory that the jobs take in bytes, about: bodies of items without a result for the most part.
+    /// Returns the approximate memory use of the jobs in bytes, mostly bodies of open items.
     pub fn held_bytes(&self) -> usize {
         self.jobs.values().map(Job::held_bytes).sum()
     }
 
-    /// Returns whether the items of a new job are more than its tenant may have waiting on its route.
+    /// Returns whether the items of a new job exceed its tenant's maximum of waiting tokens on its
+    /// route.
     fn exceeds_waiting(&self, header: &JobHeader, items: &[JobItem]) -> bool {
-        let Some(most) = header.most_waiting_tokens else {
+        let Some(max) = header.most_waiting_tokens else {
             return false;
         };
         let jobs = self.jobs.values().filter(|job| {
@@ -110,30 +112,30 @@
         });
         let waiting: u64 = jobs.map(Job::unfinished_tokens).sum();
         let new: u64 = items.iter().map(|item| item.tokens).sum();
-        waiting + new > most
+        waiting + new > max
     }
 
-    /// Whether a job was taken in.
+    /// Returns whether there is such a job.
     pub fn holds(&self, job: &str) -> bool {
         self.known_key(job).is_some()
     }
 
-    /// Number of jobs.
+    /// Returns the number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    fn forget(&mut self, before: u64) {
+    fn remove_finished(&mut self, before: u64) {
         self.jobs
             .retain(|_, job| job.is_open() || job.submitted_at >= before);
     }
 
-    fn has_forgettable(&self, before: u64) -> bool {
+    fn has_removable(&self, before: u64) -> bool {
         let mut jobs = self.jobs.values();
         jobs.any(|job| !job.is_open() && job.submitted_at < before)
     }
@@ -158,8 +160,8 @@
             },
             Action::Complete(_) | Action::Failed { .. } => None,
             Action::Forget { before } => {
-                let nothing = !self.has_forgettable(*before);
-                nothing.then_some(Outcome::Done)
+                let is_empty = !self.has_removable(*before);
+                is_empty.then_some(Outcome::Done)
             }
         }
     }
@@ -182,7 +184,7 @@
                 if self.holds(&header.job) {
                     return Outcome::Done;
                 }
-                // Jobs that were proposed together are each looked at before any is applied.
+                // Jobs that were proposed together are each checked before any is applied.
                 if self.exceeds_waiting(&header, &items) {
                     return Outcome::TooMuchWaiting;
                 }
@@ -202,14 +204,14 @@
             }
             Action::Failed { job, item, run } => {
                 if let Some(job) = self.jobs.get_mut(&job) {
-                    job.failed(item, run);
+                    job.record_failure(item, run);
                 }
             }
             Action::End { job } => match self.find_mut(&job) {
                 Some(job) => job.end(),
                 None => return Outcome::UnknownJob,
             },
-            Action::Forget { before } => self.forget(before),
+            Action::Forget { before } => self.remove_finished(before),
         }
         Outcome::Done
     }
--- a/crates/firshore-jobs/tests/table.rs
+++ b/crates/firshore-jobs/tests/table.rs
@@ -1,4 +1,4 @@
-//! What the table of jobs promises, whatever order commands come in.
+//! Tests of the table of jobs, for any order of commands.
 
 use firshore_adapter::jobs::{ItemOutcome, JobId, JobItem};
 use firshore_jobs::command::{Action, Command, Completion, JobHeader, Outcome};
@@ -52,14 +52,14 @@
     }])
 }
 
-/// The log that a table is applied from: entry 1 is its first command.
+/// A table with the log that it was applied from: entry 1 is its first command.
 #[derive(Default)]
-struct Applied {
+struct TableLog {
     table: JobTable,
     commands: BTreeMap<LogIndex, Command>,
 }
 
-impl Applied {
+impl TableLog {
     fn apply(&mut self, command: Command) -> Outcome {
         let at = self.commands.len() as LogIndex + 1;
         self.commands.insert(at, command.clone());
@@ -74,17 +74,17 @@
     }
 }
 
-fn applied(actions: Vec<Action>) -> Applied {
-    let mut applied = Applied::default();
+fn table_log(actions: Vec<Action>) -> TableLog {
+    let mut log = TableLog::default();
     for action in actions {
-        applied.apply(Command { at: 1_000, action });
+        log.apply(Command { at: 1_000, action });
     }
-    applied
+    log
 }
 
 #[test]
-fn a_position_keeps_its_first_result() {
-    let table = applied(vec![
+fn position_keeps_its_first_result() {
+    let log = table_log(vec![
         submit("job", &["a", "b"]),
         complete("job", 1, done("first of b")),
         complete("job", 1, done("second of b")),
@@ -95,24 +95,24 @@
         ("b".to_owned(), done("first of b")),
         ("a".to_owned(), ItemOutcome::GivenUp),
     ];
-    assert_eq!(table.listed("job"), expected);
-    assert!(table.table.open_items().is_empty());
+    assert_eq!(log.listed("job"), expected);
+    assert!(log.table.open_items().is_empty());
 }
 
 #[test]
-fn a_job_submitted_again_stays_as_it_is() {
-    let table = applied(vec![
+fn job_submitted_again_is_unchanged() {
+    let log = table_log(vec![
         submit("job", &["a", "b"]),
         complete("job", 0, done("a")),
         submit("job", &["c"]),
     ]);
-    let page = table.table.results("job", 0, PAGE_BYTES).unwrap();
+    let page = log.table.results("job", 0, PAGE_BYTES).unwrap();
     assert_eq!((page.total, page.results.len()), (2, 1));
 }
 
 #[test]
-fn an_ended_job_keeps_its_results_and_owes_no_more() {
-    let table = applied(vec![
+fn ended_job_keeps_its_results_and_gets_no_more() {
+    let log = table_log(vec![
         submit("job", &["a", "b"]),
         complete("job", 0, done("a")),
         Action::End {
@@ -120,25 +120,25 @@
         },
         complete("job", 1, done("b")),
     ]);
-    assert_eq!(table.listed("job"), vec![("a".to_owned(), done("a"))]);
-    assert!(!table.table.is_open("job", 1));
-    assert_eq!(table.table.body("job", "b"), None);
+    assert_eq!(log.listed("job"), vec![("a".to_owned(), done("a"))]);
+    assert!(!log.table.is_open("job", 1));
+    assert_eq!(log.table.body("job", "b"), None);
 }
 
 #[test]
-fn bodies_are_read_until_the_result_is_listed() {
-    let mut table = applied(vec![submit("job", &["a"])]);
-    let body = table.table.body("job", "a").unwrap();
+fn bodies_are_readable_until_the_result_is_listed() {
+    let mut log = table_log(vec![submit("job", &["a"])]);
+    let body = log.table.body("job", "a").unwrap();
     assert_eq!(&*body.0, b"body of a");
-    assert_eq!(table.table.body("job", "b"), None);
-    table.apply(complete("job", 0, done("a")).into());
-    assert_eq!(table.table.body("job", "a"), None);
+    assert_eq!(log.table.body("job", "b"), None);
+    log.apply(complete("job", 0, done("a")).into());
+    assert_eq!(log.table.body("job", "a"), None);
 }
 
 #[test]
-fn a_page_holds_one_result_however_long() {
+fn page_holds_at_least_one_result() {
     let long = "x".repeat(3 * PAGE_BYTES);
-    let table = applied(vec![
+    let log = table_log(vec![
         submit("job", &["a", "b", "c"]),
         complete("job", 0, done(&long)),
         complete("job", 1, done("b")),
@@ -146,8 +146,7 @@
     ]);
     let counts: Vec<usize> = (0..4)
         .map(|from| {
-            table
-                .table
+            log.table
                 .results("job", from, PAGE_BYTES)
                 .unwrap()
                 .results
@@ -159,104 +158,104 @@
 
 #[test]
 fn commands_about_unknown_jobs_change_nothing() {
-    let mut table = Applied::default();
-    table.apply(complete("job", 0, done("a")).into());
+    let mut log = TableLog::default();
+    log.apply(complete("job", 0, done("a")).into());
     let end = Action::End {
         job: "job".to_owned(),
     };
-    assert_eq!(table.apply(end.into()), Outcome::UnknownJob);
-    assert!(table.table.is_empty());
+    assert_eq!(log.apply(end.into()), Outcome::UnknownJob);
+    assert!(log.table.is_empty());
 }
 
 #[test]
-fn only_jobs_with_nothing_left_to_run_are_forgotten() {
-    let mut table = applied(vec![
+fn only_finished_jobs_are_removed() {
+    let mut log = table_log(vec![
         submit("open", &["a"]),
         submit("whole", &["a"]),
         complete("whole", 0, done("a")),
     ]);
     let forget = |before| Command::from(Action::Forget { before });
     assert_eq!(
-        table.table.without_effect(&forget(1_000), 0),
+        log.table.without_effect(&forget(1_000), 0),
         Some(Outcome::Done),
         "nothing is older"
     );
-    assert_eq!(table.table.without_effect(&forget(1_001), 0), None);
-    table.apply(forget(1_001));
-    assert!(table.table.results("open", 0, PAGE_BYTES).is_some());
-    assert!(table.table.results("whole", 0, PAGE_BYTES).is_none());
+    assert_eq!(log.table.without_effect(&forget(1_001), 0), None);
+    log.apply(forget(1_001));
+    assert!(log.table.results("open", 0, PAGE_BYTES).is_some());
+    assert!(log.table.results("whole", 0, PAGE_BYTES).is_none());
 }
 
 #[test]
-fn a_snapshot_restores_the_same_table() {
-    let applied = applied(vec![
+fn snapshot_restores_the_same_table() {
+    let log = table_log(vec![
         submit("job", &["a", "b"]),
         complete("job", 1, done("b")),
     ]);
     let mut bytes = Vec::new();
-    ciborium::into_writer(&applied.table, &mut bytes).unwrap();
-    let restored = Applied {
+    ciborium::into_writer(&log.table, &mut bytes).unwrap();
+    let restored = TableLog {
         table: ciborium::from_reader(bytes.as_slice()).unwrap(),
-        commands: applied.commands.clone(),
+        commands: log.commands.clone(),
     };
-    assert_eq!(restored.listed("job"), applied.listed("job"));
+    assert_eq!(restored.listed("job"), log.listed("job"));
     assert_eq!(restored.table.open_items().len(), 1);
     let body = restored.table.body("job", "a");
-    assert_eq!(body, applied.table.body("job", "a"));
+    assert_eq!(body, log.table.body("job", "a"));
 }
 
 #[test]
-fn texts_stay_in_the_log_and_out_of_the_table() {
+fn texts_are_stored_in_the_log_only() {
     const ITEMS: u32 = 200;
     const TEXT_BYTES: usize = 10_000;
     let ids: Vec<String> = (0..ITEMS).map(|number| format!("item-{number}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let mut applied = applied(vec![submit("job", &ids)]);
+    let mut log = table_log(vec![submit("job", &ids)]);
     let text = "x".repeat(TEXT_BYTES);
     for item in 0..ITEMS {
-        applied.apply(complete("job", item, done(&text)).into());
+        log.apply(complete("job", item, done(&text)).into());
     }
     let mut snapshot = Vec::new();
-    ciborium::into_writer(&applied.table, &mut snapshot).unwrap();
+    ciborium::into_writer(&log.table, &mut snapshot).unwrap();
     let per_item = snapshot.len() / ITEMS as usize;
     assert!(
         per_item < 250,
         "{per_item} bytes of the table for each item"
     );
-    let referenced = applied.table.referenced();
+    let referenced = log.table.referenced();
     assert_eq!(referenced.len(), ITEMS as usize);
     let forget = Action::Forget { before: u64::MAX };
-    applied.apply(forget.into());
-    assert!(applied.table.referenced().is_empty());
+    log.apply(forget.into());
+    assert!(log.table.referenced().is_empty());
 }
 
 #[test]
-fn a_result_whose_entry_is_missing_is_not_shown_as_absent() {
-    let applied = applied(vec![submit("job", &["a"]), complete("job", 0, done("a"))]);
-    let page = applied.table.results("job", 0, PAGE_BYTES).unwrap();
+fn page_with_a_missing_entry_is_not_returned() {
+    let log = table_log(vec![submit("job", &["a"]), complete("job", 0, done("a"))]);
+    let page = log.table.results("job", 0, PAGE_BYTES).unwrap();
     assert_eq!(page.entries(), BTreeSet::from([2]));
     assert_eq!(page.filled(BTreeMap::new()), None);
 }
 
 #[test]
-fn failures_of_back_ends_are_counted_for_each_item() {
+fn failures_are_counted_per_item() {
     let failed = |item, run| Action::Failed {
         job: "job".to_owned(),
         item,
         run,
     };
-    let applied = applied(vec![
+    let log = table_log(vec![
         submit("job", &["a", "b"]),
         failed(1, 11),
         failed(1, 12),
         failed(1, 12),
         failed(7, 13),
     ]);
-    let failures = |item| applied.table.failures("job", item);
+    let failures = |item| log.table.failures("job", item);
     assert_eq!((failures(0), failures(1), failures(7)), (0, 2, 0));
 }
 
-fn owned(tenant: Option<&str>, id: &str, most: Option<u64>) -> JobHeader {
+fn tenant_header(tenant: Option<&str>, id: &str, max_tokens: Option<u64>) -> JobHeader {
     let job = JobId {
         tenant: tenant.map(TenantName::from),
         id: id.to_owned(),
@@ -264,16 +263,16 @@
     JobHeader {
         job: job.journal_key(),
         tenant: job.tenant,
-        most_waiting_tokens: most,
+        most_waiting_tokens: max_tokens,
         ..header(id)
     }
 }
 
 fn key(tenant: &str, id: &str) -> String {
-    owned(Some(tenant), id, None).job
+    tenant_header(Some(tenant), id, None).job
 }
 
-fn taken(table: &mut JobTable, header: JobHeader, items: &[&str]) -> Outcome {
+fn submit_checked(table: &mut JobTable, header: JobHeader, items: &[&str]) -> Outcome {
     let items = items.iter().map(|id| item(id)).collect();
     let command: Command = Action::Submit { header, items }.into();
     if let Some(outcome) = table.without_effect(&command, 0) {
@@ -283,10 +282,14 @@
 }
 
 #[test]
-fn jobs_of_one_tenant_do_not_exist_for_another() {
+fn tenants_cannot_access_each_others_jobs() {
     let mut table = JobTable::default();
-    taken(&mut table, owned(Some("ann"), "j", None), &["a", "b"]);
-    taken(&mut table, owned(Some("bob"), "j", None), &["c"]);
+    submit_checked(
+        &mut table,
+        tenant_header(Some("ann"), "j", None),
+        &["a", "b"],
+    );
+    submit_checked(&mut table, tenant_header(Some("bob"), "j", None), &["c"]);
     let total =
         |table: &JobTable, key: &str| table.results(key, 0, PAGE_BYTES).map(|page| page.total);
     assert_eq!(total(&table, &key("ann", "j")), Some(2));
@@ -314,49 +317,56 @@
 }
 
 #[test]
-fn a_job_of_nobody_stays_known_once_there_are_tenants() {
+fn job_without_tenant_remains_accessible() {
     let mut table = JobTable::default();
-    taken(&mut table, owned(None, "old", None), &["a"]);
-    let asked = key("ann", "old");
-    assert!(table.results(&asked, 0, PAGE_BYTES).is_some());
-    assert!(table.body(&asked, "a").is_some());
-    // Sent once more, it is the same job.
+    submit_checked(&mut table, tenant_header(None, "old", None), &["a"]);
+    let key_of_ann = key("ann", "old");
+    assert!(table.results(&key_of_ann, 0, PAGE_BYTES).is_some());
+    assert!(table.body(&key_of_ann, "a").is_some());
+    // Submitted again, it is the same job.
     assert_eq!(
-        taken(&mut table, owned(Some("ann"), "old", None), &["a"]),
+        submit_checked(&mut table, tenant_header(Some("ann"), "old", None), &["a"]),
         Outcome::Done
     );
     assert_eq!(table.len(), 1);
-    let end = Action::End { job: asked };
+    let end = Action::End { job: key_of_ann };
     assert_eq!(table.apply(2, end.into()), Outcome::Done);
     assert!(!table.is_job_open("old"));
 }
 
 #[test]
-fn a_job_that_does_not_fit_among_what_its_tenant_has_waiting_is_not_taken_in() {
+fn job_beyond_its_tenants_waiting_tokens_is_refused() {
     // Each item has 10 tokens.
-    let most = Some(30);
+    let max_tokens = Some(30);
     let mut table = JobTable::default();
-    let ann = |id: &str| owned(Some("ann"), id, most);
-    assert_eq!(taken(&mut table, ann("1"), &["a", "b"]), Outcome::Done);
+    let ann = |id: &str| tenant_header(Some("ann"), id, max_tokens);
+    assert_eq!(
+        submit_checked(&mut table, ann("1"), &["a", "b"]),
+        Outcome::Done
+    );
     assert_eq!(
-        taken(&mut table, ann("2"), &["c", "d"]),
+        submit_checked(&mut table, ann("2"), &["c", "d"]),
         Outcome::TooMuchWaiting
     );
     assert!(!table.holds(&key("ann", "2")));
     assert_eq!(
-        taken(&mut table, ann("1"), &["a", "b"]),
+        submit_checked(&mut table, ann("1"), &["a", "b"]),
         Outcome::Done,
-        "sent again"
+        "submitted again"
     );
     assert_eq!(
-        taken(&mut table, owned(Some("bob"), "2", most), &["c", "d"]),
+        submit_checked(
+            &mut table,
+            tenant_header(Some("bob"), "2", max_tokens),
+            &["c", "d"]
+        ),
         Outcome::Done
     );
     assert_eq!(
-        taken(&mut table, owned(Some("eve"), "3", None), &["c"; 9]),
+        submit_checked(&mut table, tenant_header(Some("eve"), "3", None), &["c"; 9]),
         Outcome::Done
     );
-    // Applied without having been looked at alone: two were proposed together.
+    // Applied without a check before, as two jobs may be proposed together.
     let items = vec![item("c"), item("d")];
     let command: Command = Action::Submit {
         header: ann("2"),
@@ -371,15 +381,15 @@
     };
     table.apply(6, Action::Complete(vec![completion]).into());
     assert_eq!(
-        taken(&mut table, ann("2"), &["c", "d"]),
+        submit_checked(&mut table, ann("2"), &["c", "d"]),
         Outcome::Done,
-        "there is room now"
+        "enough tokens are free now"
     );
 }
 
-/// What was known of a job before there were tenants.
+/// Job header as stored before there were tenants.
 #[derive(serde::Serialize)]
-struct FormerHeader {
+struct LegacyHeader {
     job: &'static str,
     host: &'static str,
     attempts: u32,
@@ -388,8 +398,8 @@
 }
 
 #[test]
-fn what_was_written_before_there_were_tenants_is_read() {
-    let former = FormerHeader {
+fn header_stored_before_tenants_is_readable() {
+    let legacy = LegacyHeader {
         job: "j",
         host: "batch.example",
         attempts: 3,
@@ -397,7 +407,7 @@
         due_after: Some(20_000),
     };
     let mut written = Vec::new();
-    ciborium::into_writer(&former, &mut written).unwrap();
+    ciborium::into_writer(&legacy, &mut written).unwrap();
     let read: JobHeader = ciborium::from_reader(written.as_slice()).unwrap();
     let expected = JobHeader {
         route: String::new(),
