--- a/crates/firshore-limits/tests/cut_off.rs
+++ b/crates/firshore-limits/tests/cut_off.rs
@@ -153,7 +153,7 @@
     assert!((30..=34).contains(&admitted), "{admitted}");
     assert_eq!(refused.basis, Basis::OldShare);
     assert!(refused.wait < Duration::from_secs(4), "{refused:?}");
-    // A caller that waits as long as it was told is admitted.
+    // A caller that waits for the returned time is admitted.
     let then = now + refused.wait;
     assert!(limiter.admit(then, &tenant).is_ok(), "{refused:?}");
 }
