--- a/crates/firshore-admission/src/admission.rs
+++ b/crates/firshore-admission/src/admission.rs
@@ -24,7 +24,7 @@
 
 /// Whether a caller is within its share of a service's capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShareStanding {
+pub enum ShareStatus {
     /// It uses less than its share, or the service is not full.
     Within,
     /// It uses its whole share already, and others wait for theirs.
@@ -33,7 +33,7 @@
 
 /// A request to be admitted.
 #[derive(Clone, Copy, Debug)]
-pub struct AdmissionAsk {
+pub struct AdmissionRequest {
     /// Time to the first event that its caller aims for.
     pub objective: Duration,
     /// Longest time that the route allows.
@@ -43,14 +43,14 @@
     /// Time since it arrived.
     pub age: Duration,
     /// Whether its caller is within its share.
-    pub standing: ShareStanding,
+    pub standing: ShareStatus,
     /// Whether requests that go first wait at the node.
     pub behind_others: bool,
     /// Whether the node is draining: a queued request may not end before the node stops.
-    pub node_leaves: bool,
+    pub node_is_draining: bool,
 }
 
-impl AdmissionAsk {
+impl AdmissionRequest {
     /// Returns whether its caller was refused before, as it has used up some of its time.
     pub fn has_returned(&self) -> bool {
         self.time_left < self.timeout.mul_f64(RETRY_TIME_LEFT)
@@ -75,9 +75,9 @@
 
 /// Capacity that is available for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RoomOutlook {
+pub struct CapacityOutlook {
     /// Whether the node may take a slot for it at any back end.
-    pub has_place: bool,
+    pub has_slot: bool,
     /// Whether slots are so few that each node takes only its own.
     pub is_scarce: bool,
     /// Estimated time until it would begin at the least loaded back end.
@@ -98,15 +98,15 @@
 }
 
 /// Decides what to do with a request.
-pub fn decide(request: &AdmissionAsk, outlook: &RoomOutlook) -> Admission {
-    let beyond_share = outlook.is_scarce && request.standing == ShareStanding::Beyond;
-    let may_be_aborted = outlook.is_scarce && request.node_leaves;
-    if outlook.has_place && !request.behind_others && !beyond_share && !may_be_aborted {
+pub fn decide(request: &AdmissionRequest, outlook: &CapacityOutlook) -> Admission {
+    let beyond_share = outlook.is_scarce && request.standing == ShareStatus::Beyond;
+    let may_be_aborted = outlook.is_scarce && request.node_is_draining;
+    if outlook.has_slot && !request.behind_others && !beyond_share && !may_be_aborted {
         return Admission::Send;
     }
     let wait = request.remaining_wait();
     // A caller beyond its share must not be queued before those within theirs.
-    match wait.is_zero() || request.node_leaves || beyond_share {
+    match wait.is_zero() || request.node_is_draining || beyond_share {
         true => Admission::Refuse,
         false => Admission::Wait(wait),
     }
--- a/crates/firshore-admission/src/lib.rs
+++ b/crates/firshore-admission/src/lib.rs
@@ -3,7 +3,7 @@
 //! the time and random numbers are passed in.
 //!
 //! A node decides from the delay until a request would begin at the best back end
-//! ([`admission::RoomOutlook`], from the node's view of the back ends) and whether its caller is
+//! ([`admission::CapacityOutlook`], from the node's view of the back ends) and whether its caller is
 //! within its share of the capacity ([`shares`]). From both follows what is done with the request
 //! ([`admission`]), and when a refused caller is to retry ([`returns`], from the load recorded by
 //! [`demand`]).
--- a/crates/firshore-admission/src/returns.rs
+++ b/crates/firshore-admission/src/returns.rs
@@ -34,7 +34,7 @@
 
 /// A refused request whose retry is planned.
 #[derive(Clone, Copy, Debug)]
-pub struct ReturnAsk {
+pub struct RetryRequest {
     /// Time that the caller has left.
     pub time_left: Duration,
     /// This node's fraction of the service's capacity in requests per second; `None`: unknown.
@@ -43,7 +43,7 @@
 
 /// Time after which a caller is to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReturnTime {
+pub enum RetryTime {
     /// There is capacity for it then, beyond the expected demand.
     Free(Duration),
     /// It competes then with new arrivals.
@@ -52,7 +52,7 @@
     Beyond(Duration),
 }
 
-impl ReturnTime {
+impl RetryTime {
     /// Returns the wait.
     pub fn wait(&self) -> Duration {
         match *self {
@@ -75,7 +75,7 @@
 
 /// Retries of one service's refused callers that this node has planned.
 #[derive(Debug)]
-pub struct ReturnPlan {
+pub struct RetryPlan {
     began_at: Instant,
     /// Planned retries by bucket; the first bucket is the current one.
     booked: VecDeque<u32>,
@@ -86,7 +86,7 @@
     phase: f64,
 }
 
-impl ReturnPlan {
+impl RetryPlan {
     /// Returns an empty plan. `phase` is a random number from 0 to 1, different at each node.
     pub fn new(now: Instant, phase: f64) -> Self {
         let len = MAX_WAIT.as_nanos() / BUCKET.as_nanos() + 2;
@@ -103,35 +103,35 @@
     pub fn plan(
         &mut self,
         now: Instant,
-        request: &ReturnAsk,
+        request: &RetryRequest,
         mut forecast: impl FnMut(Duration) -> f64,
         random: f64,
-    ) -> ReturnTime {
+    ) -> RetryTime {
         self.advance(now);
         let max_wait = request.time_left.mul_f64(SPENT_FRACTION);
         let max_wait = max_wait.clamp(MIN_WAIT, MAX_WAIT);
         let Some(capacity) = request.room else {
             let wait = spread(MIN_WAIT, max_wait, random);
             self.book_wait(now, wait);
-            return ReturnTime::Contended(wait);
+            return RetryTime::Contended(wait);
         };
         let outlook = self.outlook(now, capacity, &mut forecast);
         let reachable = outlook.iter().filter(|one| one.begin < max_wait);
         let reachable: Vec<BucketOutlook> = reachable.copied().collect();
         if let Some(free) = reachable.iter().find(|one| one.is_free) {
             let wait = self.book_bucket(free, max_wait, random);
-            return ReturnTime::Free(wait);
+            return RetryTime::Free(wait);
         }
         let contended: Vec<BucketOutlook> = latest_contended(&reachable, max_wait);
         if !contended.is_empty() {
             let drawn = random * contended.len() as f64;
             let bucket = &contended[(drawn as usize).min(contended.len() - 1)];
             let wait = self.book_bucket(bucket, max_wait, drawn.fract());
-            return ReturnTime::Contended(wait);
+            return RetryTime::Contended(wait);
         }
         let beyond = outlook.iter().find(|one| one.is_free);
         let wait = beyond.map(|one| spread(one.begin, one.begin + BUCKET, random));
-        ReturnTime::Beyond(wait.unwrap_or(MAX_WAIT).min(MAX_WAIT))
+        RetryTime::Beyond(wait.unwrap_or(MAX_WAIT).min(MAX_WAIT))
     }
 
     fn advance(&mut self, now: Instant) {
--- a/crates/firshore-admission/src/shares.rs
+++ b/crates/firshore-admission/src/shares.rs
@@ -11,7 +11,7 @@
 //! The demand over all nodes comes with the exchange of limits. An isolated node continues with the
 //! demand that it received last, and scales it by the change of a tenant's arrivals at this node.
 
-use crate::admission::ShareStanding;
+use crate::admission::ShareStatus;
 use firshore_limits::SHARE_LIFETIME;
 use firshore_limits::report::{TenantDemand, TenantDigest};
 use firshore_types::ids::ServiceName;
@@ -67,7 +67,7 @@
 
 /// A tenant's request to a service.
 #[derive(Clone, Copy, Debug)]
-pub struct ShareAsk<'a> {
+pub struct ShareRequest<'a> {
     /// Service that is to run it.
     pub service: &'a ServiceName,
     /// Tenant that sent it.
@@ -76,7 +76,7 @@
     pub rank: CallerRank,
 }
 
-impl ShareAsk<'_> {
+impl ShareRequest<'_> {
     fn key(&self) -> AccountKey {
         AccountKey {
             tenant: self.tenant,
@@ -272,7 +272,7 @@
     }
 
     /// Records the arrival of a request that is within its tenant's limit.
-    pub fn arrived(&mut self, now: Instant, request: &ShareAsk<'_>) {
+    pub fn arrived(&mut self, now: Instant, request: &ShareRequest<'_>) {
         let saved = self.next_phase();
         let new = || DecayedCount::new(now);
         self.tenants
@@ -308,30 +308,30 @@
     pub fn standing(
         &mut self,
         now: Instant,
-        request: &ShareAsk<'_>,
+        request: &ShareRequest<'_>,
         capacity: f64,
-    ) -> ShareStanding {
+    ) -> ShareStatus {
         let Some(fraction) = self.fraction_within(now, request, capacity) else {
-            return ShareStanding::Within;
+            return ShareStatus::Within;
         };
         let shares = self.services.get_mut(request.service);
         let account = shares.and_then(|shares| shares.accounts.get_mut(&request.key()));
         let Some(account) = account else {
-            return ShareStanding::Within;
+            return ShareStatus::Within;
         };
         account.saved += fraction;
         if account.saved < 1.0 {
-            return ShareStanding::Beyond;
+            return ShareStatus::Beyond;
         }
         account.saved -= 1.0;
-        ShareStanding::Within
+        ShareStatus::Within
     }
 
     /// Returns the fraction of a tenant's requests that is within its share; `None`: all are.
     fn fraction_within(
         &mut self,
         now: Instant,
-        request: &ShareAsk<'_>,
+        request: &ShareRequest<'_>,
         capacity: f64,
     ) -> Option<f64> {
         self.refresh_levels(now, request.service, capacity);
--- a/crates/firshore-admission/tests/admission.rs
+++ b/crates/firshore-admission/tests/admission.rs
@@ -1,26 +1,26 @@
 //! Decisions to send a request, let it wait at the node, or refuse it.
 
-use firshore_admission::admission::{Admission, AdmissionAsk, RoomOutlook, ShareStanding, decide};
+use firshore_admission::admission::{Admission, AdmissionRequest, CapacityOutlook, ShareStatus, decide};
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn request() -> AdmissionAsk {
-    AdmissionAsk {
+fn request() -> AdmissionRequest {
+    AdmissionRequest {
         objective: OBJECTIVE,
         timeout: TIMEOUT,
         time_left: TIMEOUT,
         age: Duration::ZERO,
-        standing: ShareStanding::Within,
+        standing: ShareStatus::Within,
         behind_others: false,
-        node_leaves: false,
+        node_is_draining: false,
     }
 }
 
-fn outlook(has_place: bool, is_scarce: bool) -> RoomOutlook {
-    RoomOutlook {
-        has_place,
+fn outlook(has_slot: bool, is_scarce: bool) -> CapacityOutlook {
+    CapacityOutlook {
+        has_slot,
         is_scarce,
         begin_delay: Duration::ZERO,
         age: None,
@@ -39,7 +39,7 @@
     let full = outlook(false, true);
     let waits = decide(&request(), &full);
     assert!(matches!(waits, Admission::Wait(wait) if wait <= OBJECTIVE / 4));
-    let old = AdmissionAsk {
+    let old = AdmissionRequest {
         age: OBJECTIVE / 4,
         ..request()
     };
@@ -48,8 +48,8 @@
 
 #[test]
 fn caller_beyond_its_share_gets_no_scarce_slot() {
-    let beyond = AdmissionAsk {
-        standing: ShareStanding::Beyond,
+    let beyond = AdmissionRequest {
+        standing: ShareStatus::Beyond,
         ..request()
     };
     assert_eq!(decide(&beyond, &outlook(true, true)), Admission::Refuse);
@@ -58,7 +58,7 @@
 
 #[test]
 fn waiting_requests_go_first() {
-    let behind = AdmissionAsk {
+    let behind = AdmissionRequest {
         behind_others: true,
         ..request()
     };
@@ -69,8 +69,8 @@
 /// A queued request is aborted when the node stops.
 #[test]
 fn draining_node_queues_no_requests() {
-    let draining = AdmissionAsk {
-        node_leaves: true,
+    let draining = AdmissionRequest {
+        node_is_draining: true,
         ..request()
     };
     assert_eq!(decide(&draining, &outlook(true, false)), Admission::Send);
@@ -81,7 +81,7 @@
 #[test]
 fn retry_is_detected_by_its_time_left() {
     assert!(!request().has_returned());
-    let retry = AdmissionAsk {
+    let retry = AdmissionRequest {
         time_left: TIMEOUT - Duration::from_millis(1_500),
         ..request()
     };
--- a/crates/firshore-admission/tests/returns.rs
+++ b/crates/firshore-admission/tests/returns.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use firshore_admission::returns::{ReturnAsk, ReturnPlan, ReturnTime};
+use firshore_admission::returns::{RetryRequest, RetryPlan, RetryTime};
 use std::time::{Duration, Instant};
 use support::{CAPACITY, Outcome, RetryPolicy, Scenario, highest_tenth, run, served_fraction};
 
@@ -94,7 +94,7 @@
     let fraction = served_fraction(outcome.free());
     assert!(fraction >= MIN_SERVED, "{fraction}");
     let has_capacity =
-        |one: &&support::RefusedCaller| !matches!(one.retry_time, ReturnTime::Beyond(_));
+        |one: &&support::RefusedCaller| !matches!(one.retry_time, RetryTime::Beyond(_));
     let highest = highest_tenth(outcome.callers.iter().filter(has_capacity));
     assert!(highest <= MAX_IN_TENTH, "{highest}");
 }
@@ -165,7 +165,7 @@
         assert!(free as f64 <= 0.02 * refused as f64, "{free} of {refused}");
         let has_capacity = |one: &&support::RefusedCaller| {
             one.refused_at > CAPACITY_KNOWN_AFTER
-                && !matches!(one.retry_time, ReturnTime::Beyond(_))
+                && !matches!(one.retry_time, RetryTime::Beyond(_))
         };
         let highest = highest_tenth(planned.callers.iter().filter(has_capacity));
         assert!(highest <= MAX_IN_TENTH, "{name}: {highest}");
@@ -192,7 +192,7 @@
     // The capacity of a tenth of a second, as a node cannot know that the crowd will end.
     assert!(planned.lost() as f64 <= spread.lost() as f64 + CAPACITY / 10.0);
     let has_capacity =
-        |one: &&support::RefusedCaller| !matches!(one.retry_time, ReturnTime::Beyond(_));
+        |one: &&support::RefusedCaller| !matches!(one.retry_time, RetryTime::Beyond(_));
     let highest = highest_tenth(planned.callers.iter().filter(has_capacity));
     assert!(highest <= MAX_IN_TENTH, "{highest}");
 }
@@ -200,32 +200,32 @@
 #[test]
 fn each_bucket_is_booked_once() {
     let now = Instant::now();
-    let mut plan = ReturnPlan::new(now, 0.5);
-    let request = ReturnAsk {
+    let mut plan = RetryPlan::new(now, 0.5);
+    let request = RetryRequest {
         time_left: TIMEOUT,
         room: Some(20.0),
     };
     // Eight of eighteen per second are free: about thirteen within the maximum wait.
     let retry_times = (0..40).map(|idx| plan.plan(now, &request, |_| 10.0, f64::from(idx) / 40.0));
-    let retry_times: Vec<ReturnTime> = retry_times.collect();
-    let is_free = |one: &&ReturnTime| matches!(one, ReturnTime::Free(_));
+    let retry_times: Vec<RetryTime> = retry_times.collect();
+    let is_free = |one: &&RetryTime| matches!(one, RetryTime::Free(_));
     let free: Vec<Duration> = retry_times
         .iter()
         .filter(is_free)
-        .map(ReturnTime::wait)
+        .map(RetryTime::wait)
         .collect();
     assert!((11..=14).contains(&free.len()), "{}", free.len());
     assert!(free.is_sorted(), "{free:?}");
     assert!(free.iter().all(|wait| wait.as_secs_f64() <= MAX_WAIT));
     let beyond = retry_times.last().expect("each caller gets a time");
-    assert!(matches!(beyond, ReturnTime::Beyond(wait) if wait.as_secs_f64() > MAX_WAIT));
+    assert!(matches!(beyond, RetryTime::Beyond(wait) if wait.as_secs_f64() > MAX_WAIT));
 }
 
 #[test]
 fn retries_are_spread_without_known_capacity() {
     let now = Instant::now();
-    let mut plan = ReturnPlan::new(now, 0.0);
-    let request = ReturnAsk {
+    let mut plan = RetryPlan::new(now, 0.0);
+    let request = RetryRequest {
         time_left: TIMEOUT,
         room: None,
     };
@@ -242,14 +242,14 @@
 #[test]
 fn wait_is_within_the_callers_time_left() {
     let now = Instant::now();
-    let mut plan = ReturnPlan::new(now, 0.0);
-    let request = ReturnAsk {
+    let mut plan = RetryPlan::new(now, 0.0);
+    let request = RetryRequest {
         time_left: Duration::from_millis(450),
         room: Some(100.0),
     };
     let retry_time = plan.plan(now, &request, |_| 10.0, 0.999);
     assert!(
-        matches!(retry_time, ReturnTime::Free(wait) if wait <= Duration::from_millis(150)),
+        matches!(retry_time, RetryTime::Free(wait) if wait <= Duration::from_millis(150)),
         "{retry_time:?}"
     );
 }
--- a/crates/firshore-admission/tests/shares.rs
+++ b/crates/firshore-admission/tests/shares.rs
@@ -3,8 +3,8 @@
 
 mod sharing;
 
-use firshore_admission::admission::ShareStanding;
-use firshore_admission::shares::{CallerRank, ShareAsk, ShareTable};
+use firshore_admission::admission::ShareStatus;
+use firshore_admission::shares::{CallerRank, ShareRequest, ShareTable};
 use firshore_limits::report::{TenantDemand, TenantDigest};
 use firshore_types::ids::ServiceName;
 use sharing::{Outcome, Policy, Scenario, TenantOutcome, run};
@@ -168,8 +168,8 @@
     }
 
     /// Sends one request of a tenant and returns its share status.
-    fn send(&mut self, tenant: u64, priority: u32, capacity: f64) -> ShareStanding {
-        let request = ShareAsk {
+    fn send(&mut self, tenant: u64, priority: u32, capacity: f64) -> ShareStatus {
+        let request = ShareRequest {
             service: &self.service,
             tenant: TenantDigest(tenant),
             rank: CallerRank::new(Some(priority), 0),
@@ -191,7 +191,7 @@
             for (number, (tenant, priority)) in senders.into_iter().enumerate() {
                 let status = self.send(tenant, priority, capacity);
                 within[number] +=
-                    usize::from(round >= WARM_UP_ROUNDS && status == ShareStanding::Within);
+                    usize::from(round >= WARM_UP_ROUNDS && status == ShareStatus::Within);
             }
         }
         within.map(|within| within as f64 / COUNTED_ROUNDS as f64)
@@ -259,9 +259,9 @@
     let mut within = [0, 0];
     for _ in 0..80 {
         client.advance(Duration::from_millis(100));
-        within[0] += u32::from(client.send(0, 0, 30.0) == ShareStanding::Within);
+        within[0] += u32::from(client.send(0, 0, 30.0) == ShareStatus::Within);
         for _ in 0..12 {
-            within[1] += u32::from(client.send(1, 0, 30.0) == ShareStanding::Within);
+            within[1] += u32::from(client.send(1, 0, 30.0) == ShareStatus::Within);
         }
     }
     let [small, hot] = within;
@@ -273,9 +273,9 @@
 fn all_requests_are_within_their_share_without_a_view() {
     let mut client = TableClient::new(&[400.0]);
     client.advance(Duration::from_secs(20));
-    assert_eq!(client.send(0, 0, 1.0), ShareStanding::Within);
+    assert_eq!(client.send(0, 0, 1.0), ShareStatus::Within);
     let mut client = TableClient::new(&[]);
-    assert_eq!(client.send(0, 0, 1.0), ShareStanding::Within);
+    assert_eq!(client.send(0, 0, 1.0), ShareStatus::Within);
 }
 
 #[test]
@@ -285,9 +285,9 @@
     let mut within = [0, 0];
     for _ in 0..100 {
         client.advance(Duration::from_millis(10));
-        within[0] += u32::from(client.send(0, 0, 200.0) == ShareStanding::Within);
+        within[0] += u32::from(client.send(0, 0, 200.0) == ShareStatus::Within);
         for _ in 0..5 {
-            within[1] += u32::from(client.send(1, 0, 200.0) == ShareStanding::Within);
+            within[1] += u32::from(client.send(1, 0, 200.0) == ShareStatus::Within);
         }
     }
     let [typical, hot] = within;
--- a/crates/firshore-admission/tests/sharing/mod.rs
+++ b/crates/firshore-admission/tests/sharing/mod.rs
@@ -1,8 +1,8 @@
 //! Nodes with one full service, in simulated time: tenants of skewed size, one of which has several
 //! times its typical demand, a queue that all nodes observe, and isolated nodes.
 
-use firshore_admission::admission::ShareStanding;
-use firshore_admission::shares::{CallerRank, ShareAsk, ShareTable};
+use firshore_admission::admission::ShareStatus;
+use firshore_admission::shares::{CallerRank, ShareRequest, ShareTable};
 use firshore_limits::report::{TenantDemand, TenantDigest};
 use firshore_types::ids::ServiceName;
 use rand::{RngExt, SeedableRng};
@@ -298,7 +298,7 @@
         let node = clients[self.random.random_range(0..clients.len())];
         let node = &mut self.nodes[node];
         node.arrivals[tenant] += 1.0;
-        let request = ShareAsk {
+        let request = ShareRequest {
             service: &self.service,
             tenant: TenantDigest(tenant as u64),
             rank: CallerRank::new(None, 0),
@@ -312,11 +312,11 @@
         };
         let status = match is_full && self.scenario.policy != Policy::None {
             true => node.table.standing(now, &request, capacity),
-            false => ShareStanding::Within,
+            false => ShareStatus::Within,
         };
         let admitted = match status {
-            ShareStanding::Within => delay <= MAX_WITHIN_WAIT,
-            ShareStanding::Beyond => !is_full,
+            ShareStatus::Within => delay <= MAX_WITHIN_WAIT,
+            ShareStatus::Beyond => !is_full,
         };
         if elapsed >= COUNTED_FROM {
             let demand = self.demand(elapsed, tenant);
@@ -324,7 +324,7 @@
             tenant_outcome.demand = demand;
             tenant_outcome.requested += 1;
             tenant_outcome.admitted += u32::from(admitted);
-            tenant_outcome.within += u32::from(admitted && status == ShareStanding::Within);
+            tenant_outcome.within += u32::from(admitted && status == ShareStatus::Within);
         }
         admitted
     }
--- a/crates/firshore-admission/tests/support/mod.rs
+++ b/crates/firshore-admission/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Many nodes, each with its own history and plan, with one shared capacity, in simulated time.
 
 use firshore_admission::demand::{ArrivalKind, DemandHistory};
-use firshore_admission::returns::{ReturnAsk, ReturnPlan, ReturnTime};
+use firshore_admission::returns::{RetryRequest, RetryPlan, RetryTime};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
     pub node: usize,
     /// When it was refused, in seconds.
     pub refused_at: f64,
-    pub retry_time: ReturnTime,
+    pub retry_time: RetryTime,
     /// When it retried, in seconds.
     pub retry_at: f64,
     pub served: bool,
@@ -70,7 +70,7 @@
 
 impl Outcome {
     pub fn free(&self) -> impl Iterator<Item = &RefusedCaller> {
-        let is_free = |one: &&RefusedCaller| matches!(one.retry_time, ReturnTime::Free(_));
+        let is_free = |one: &&RefusedCaller| matches!(one.retry_time, RetryTime::Free(_));
         self.callers.iter().filter(is_free)
     }
 
@@ -104,7 +104,7 @@
 
 struct Node {
     history: DemandHistory,
-    plan: ReturnPlan,
+    plan: RetryPlan,
 }
 
 struct Simulation<'a> {
@@ -125,7 +125,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
     let nodes = (0..scenario.nodes).map(|_| Node {
         history: DemandHistory::new(start),
-        plan: ReturnPlan::new(start, random.random()),
+        plan: RetryPlan::new(start, random.random()),
     });
     let nodes = nodes.collect();
     let mut simulation = Simulation {
@@ -192,12 +192,12 @@
         self.retries.entry(retry_step).or_default().push(idx);
     }
 
-    fn plan_retry(&mut self, now: Instant, at: usize) -> ReturnTime {
+    fn plan_retry(&mut self, now: Instant, at: usize) -> RetryTime {
         let random: f64 = self.random.random();
         let Node { history, plan } = &mut self.nodes[at];
         match self.scenario.policy {
             RetryPolicy::Planned => {
-                let request = ReturnAsk {
+                let request = RetryRequest {
                     time_left: TIMEOUT - NETWORK_DELAY,
                     room: history.room(now),
                 };
@@ -205,13 +205,13 @@
             }
             RetryPolicy::Spread => {
                 let max_wait = TIMEOUT.mul_f64(SPENT_FRACTION);
-                ReturnTime::Contended(max_wait.mul_f64(random))
+                RetryTime::Contended(max_wait.mul_f64(random))
             }
             RetryPolicy::Late => {
                 let max_wait = TIMEOUT.mul_f64(SPENT_FRACTION);
-                ReturnTime::Contended(max_wait.mul_f64(0.5 + random / 2.0))
+                RetryTime::Contended(max_wait.mul_f64(0.5 + random / 2.0))
             }
-            RetryPolicy::Constant => ReturnTime::Contended(Duration::from_millis(250)),
+            RetryPolicy::Constant => RetryTime::Contended(Duration::from_millis(250)),
         }
     }
 
--- a/crates/firshore-limits/src/ledger.rs
+++ b/crates/firshore-limits/src/ledger.rs
@@ -2,7 +2,7 @@
 //! through relays.
 
 use crate::demand::DemandTable;
-use crate::report::{Quota, TenantDigest, TenantPicture, TenantUse, UsageNews, UseReport};
+use crate::report::{Quota, TenantDigest, TenantView, TenantUsage, UsageResponse, UsageReport};
 use crate::window::AdmittedWindow;
 use crate::{SHARE_RESERVATION, STALE_GROWTH};
 use firshore_adapter::tenant::RateLimit;
@@ -105,7 +105,7 @@
     near_at: Option<Instant>,
 }
 
-fn limit(usage: &TenantUse) -> RateLimit {
+fn limit(usage: &TenantUsage) -> RateLimit {
     RateLimit {
         per_second: usage.rate.into(),
         burst: usage.burst.into(),
@@ -119,7 +119,7 @@
         began_at: Instant,
         now: Instant,
         span: Duration,
-        usage: &TenantUse,
+        usage: &TenantUsage,
         assumed: f64,
     ) -> Self {
         let limit = limit(usage);
@@ -143,7 +143,7 @@
         }
     }
 
-    fn set_limit(&mut self, span: Duration, version: u64, usage: &TenantUse) {
+    fn set_limit(&mut self, span: Duration, version: u64, usage: &TenantUsage) {
         if version < self.version {
             return;
         }
@@ -197,16 +197,16 @@
     }
 
     /// Caps what is left, as not all nodes have reported yet what they have admitted.
-    fn cap_left(&self, view: TenantPicture) -> TenantPicture {
+    fn cap_left(&self, view: TenantView) -> TenantView {
         let max = (self.quota.requests * COLLECTION_LEFT_FRACTION).max(1.0) as f32;
-        TenantPicture {
+        TenantView {
             left: view.left.min(max),
             ..view
         }
     }
 
-    fn view(&self, now: Instant, tenant: TenantDigest) -> TenantPicture {
-        TenantPicture {
+    fn view(&self, now: Instant, tenant: TenantDigest) -> TenantView {
+        TenantView {
             tenant,
             left: self.left() as f32,
             next: self.admitted.release_rate() as f32,
@@ -237,11 +237,11 @@
     }
 
     /// Applies the report of a node or relay, and returns the response to it.
-    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UseReport) -> UsageNews {
+    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UsageReport) -> UsageResponse {
         self.has_predecessor |= report.ledger != 0 && report.ledger != self.id;
         let is_first = report.ledger != self.id && self.reporters.insert(node.clone());
         let tenants = report.tenants.iter();
-        let mut views: Vec<TenantPicture> = tenants
+        let mut views: Vec<TenantView> = tenants
             .map(|usage| self.apply_usage(now, node, report, usage, is_first))
             .collect();
         let named: HashSet<TenantDigest> = views.iter().map(|one| one.tenant).collect();
@@ -253,7 +253,7 @@
                 views.push(account.view(now, *tenant));
             }
         }
-        UsageNews {
+        UsageResponse {
             pictures: views,
             ledger: self.id,
             complete: now.saturating_duration_since(self.began_at) >= COMPLETE_AFTER,
@@ -280,10 +280,10 @@
         &mut self,
         now: Instant,
         node: &NodeName,
-        report: &UseReport,
-        usage: &TenantUse,
+        report: &UsageReport,
+        usage: &TenantUsage,
         is_first: bool,
-    ) -> TenantPicture {
+    ) -> TenantView {
         let span = self.span;
         let (began_at, id) = (self.began_at, self.id);
         let assumed = match self.has_predecessor {
--- a/crates/firshore-limits/src/limiter.rs
+++ b/crates/firshore-limits/src/limiter.rs
@@ -1,7 +1,7 @@
 //! A node's decision on each request of a tenant with a limit.
 
 use crate::report::{
-    Quota, TenantDemand, TenantDigest, TenantPicture, TenantUse, UsageNews, UseReport,
+    Quota, TenantDemand, TenantDigest, TenantView, TenantUsage, UsageResponse, UsageReport,
 };
 use crate::window::AdmittedWindow;
 use crate::{SHARE_LIFETIME, STALE_GROWTH, is_report_urgent};
@@ -150,7 +150,7 @@
 /// The last response, on all tenants.
 #[derive(Debug)]
 struct ReceivedViews {
-    named: HashMap<TenantDigest, TenantPicture>,
+    named: HashMap<TenantDigest, TenantView>,
     /// Whether tenants that are not named are known not to be near their limit.
     complete: bool,
     /// Ledger that the response comes from.
@@ -583,7 +583,7 @@
 
     /// Returns the report to send now, with the version of the node's configuration.
     /// [`Self::answered`] or [`Self::unanswered`] follows.
-    pub fn report(&mut self, now: Instant, version: u64) -> UseReport {
+    pub fn report(&mut self, now: Instant, version: u64) -> UsageReport {
         self.tenants.retain(|_, state| !state.is_idle(now));
         let tenants = self.tenants.iter_mut().map(|(tenant, state)| {
             state.average(now);
@@ -593,7 +593,7 @@
             // isolated, they would make all nodes refuse requests that are within the limit.
             let max = state.recent.sum().ceil() as i32;
             state.in_flight = state.in_flight.min(max);
-            TenantUse {
+            TenantUsage {
                 tenant: *tenant,
                 admitted: state.in_flight,
                 demand: state.demand,
@@ -604,7 +604,7 @@
                 burst: state.limit.burst as f32,
             }
         });
-        UseReport {
+        UsageReport {
             version,
             ledger: self.received.as_ref().map_or(0, |received| received.ledger),
             relayed: false,
@@ -613,7 +613,7 @@
     }
 
     /// Applies the response to the last report, as of `at`.
-    pub fn answered(&mut self, at: Instant, news: &UsageNews) {
+    pub fn answered(&mut self, at: Instant, news: &UsageResponse) {
         let named = news.pictures.iter().map(|one| (one.tenant, *one));
         let received = ReceivedViews {
             named: named.collect(),
@@ -634,7 +634,7 @@
 
     /// Returns the last known demand of tenants over all nodes, and as of when; `None` without a
     /// response. Demand beyond the limit is left out for tenants with recent requests at this node.
-    pub fn known_demand(&self) -> Option<(Instant, impl Iterator<Item = TenantDemand> + '_)> {
+    pub fn reported_demand(&self) -> Option<(Instant, impl Iterator<Item = TenantDemand> + '_)> {
         let received = self.received.as_ref()?;
         let demands = received.named.iter().map(|(tenant, view)| {
             let state = self.tenants.get(tenant);
--- a/crates/firshore-limits/src/relay.rs
+++ b/crates/firshore-limits/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::demand::DemandTable;
 use crate::is_report_urgent;
-use crate::report::{TenantDigest, TenantPicture, TenantUse, UsageNews, UseReport};
+use crate::report::{TenantDigest, TenantView, TenantUsage, UsageResponse, UsageReport};
 use crate::window::AdmittedWindow;
 use firshore_types::ids::NodeName;
 use std::collections::{HashMap, HashSet};
@@ -21,11 +21,11 @@
     recent: AdmittedWindow,
     demand: DemandTable,
     /// Last view from the ledger.
-    view: Option<TenantPicture>,
+    view: Option<TenantView>,
 }
 
 impl RelayedTenant {
-    fn new(now: Instant, span: Duration, usage: &TenantUse) -> Self {
+    fn new(now: Instant, span: Duration, usage: &TenantUsage) -> Self {
         Self {
             rate: usage.rate,
             burst: usage.burst,
@@ -42,9 +42,9 @@
     }
 
     /// Returns the last view, less the admissions that it does not include yet.
-    fn view(&self) -> Option<TenantPicture> {
+    fn view(&self) -> Option<TenantView> {
         let view = self.view?;
-        Some(TenantPicture {
+        Some(TenantView {
             left: view.left - (self.pending + self.in_flight) as f32,
             ..view
         })
@@ -59,7 +59,7 @@
     ledger: u64,
     tenants: HashMap<TenantDigest, RelayedTenant>,
     /// Views of tenants that no node here has reported.
-    others: HashMap<TenantDigest, TenantPicture>,
+    others: HashMap<TenantDigest, TenantView>,
     /// Nodes that have reported to this relay.
     seen_nodes: HashSet<NodeName>,
     /// Span over which rates are counted.
@@ -83,17 +83,17 @@
     }
 
     /// Applies the report of a node, and returns the response to it.
-    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UseReport) -> UsageNews {
+    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UsageReport) -> UsageResponse {
         self.add_report(now, node, report);
         let views = self.tenants.values().filter_map(RelayedTenant::view);
-        UsageNews {
+        UsageResponse {
             pictures: views.chain(self.others.values().copied()).collect(),
             ledger: self.ledger,
             complete: self.complete,
         }
     }
 
-    fn add_report(&mut self, now: Instant, node: &NodeName, report: &UseReport) {
+    fn add_report(&mut self, now: Instant, node: &NodeName, report: &UsageReport) {
         // A relay that has just started takes over what its nodes know.
         if self.ledger == 0 {
             self.ledger = report.ledger;
@@ -137,14 +137,14 @@
     }
 
     /// Returns the report to send now. [`Self::answered`] or [`Self::unanswered`] follows.
-    pub fn report(&mut self, now: Instant) -> UseReport {
+    pub fn report(&mut self, now: Instant) -> UsageReport {
         let mut tenants = Vec::new();
         for (digest, tenant) in &mut self.tenants {
             tenant.demand.remove_expired(now);
             tenant.recent.advance(now);
             let sum = tenant.demand.sum(now);
             tenant.in_flight += std::mem::take(&mut tenant.pending);
-            tenants.push(TenantUse {
+            tenants.push(TenantUsage {
                 tenant: *digest,
                 admitted: tenant.in_flight,
                 demand: sum.all,
@@ -155,7 +155,7 @@
                 burst: tenant.burst,
             });
         }
-        UseReport {
+        UsageReport {
             version: self.version,
             ledger: self.ledger,
             relayed: true,
@@ -164,7 +164,7 @@
     }
 
     /// Applies the response to the last report, and removes tenants without recent requests.
-    pub fn answered(&mut self, news: &UsageNews) {
+    pub fn answered(&mut self, news: &UsageResponse) {
         self.ledger = news.ledger;
         self.complete = news.complete;
         self.others.clear();
--- a/crates/firshore-limits/src/report.rs
+++ b/crates/firshore-limits/src/report.rs
@@ -19,7 +19,7 @@
 
 /// Usage of one tenant, as a node reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TenantUse {
+pub struct TenantUsage {
     /// Tenant.
     #[serde(rename = "t")]
     pub tenant: TenantDigest,
@@ -48,7 +48,7 @@
 
 /// Usage of all tenants with recent requests at a node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct UseReport {
+pub struct UsageReport {
     /// Version of the configuration that the limits are from.
     #[serde(rename = "v")]
     pub version: u64,
@@ -60,14 +60,14 @@
     pub relayed: bool,
     /// Tenants.
     #[serde(rename = "t")]
-    pub tenants: Vec<TenantUse>,
+    pub tenants: Vec<TenantUsage>,
 }
 
-impl UseReport {
+impl UsageReport {
     /// Returns the report with which a node withdraws its reports to another: that one receives no
     /// more, and must not reserve the node's share as that of a stale node.
     pub fn retraction(&self) -> Self {
-        let tenants = self.tenants.iter().map(|usage| TenantUse {
+        let tenants = self.tenants.iter().map(|usage| TenantUsage {
             admitted: 0,
             demand: 0.0,
             recent: 0.0,
@@ -82,7 +82,7 @@
 
 /// State of one tenant over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TenantPicture {
+pub struct TenantView {
     /// Tenant.
     #[serde(rename = "t")]
     pub tenant: TenantDigest,
@@ -108,10 +108,10 @@
 
 /// Response to a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct UsageNews {
+pub struct UsageResponse {
     /// The reported tenants, and all that are near their limit.
     #[serde(rename = "p")]
-    pub pictures: Vec<TenantPicture>,
+    pub pictures: Vec<TenantView>,
     /// Ledger that the response comes from; never 0.
     #[serde(rename = "l")]
     pub ledger: u64,
--- a/crates/firshore-limits/tests/cut_off.rs
+++ b/crates/firshore-limits/tests/cut_off.rs
@@ -4,7 +4,7 @@
 
 use firshore_adapter::tenant::{RateLimit, Tenant};
 use firshore_limits::limiter::{Basis, TenantLimiter};
-use firshore_limits::report::{TenantDigest, TenantPicture, UsageNews};
+use firshore_limits::report::{TenantDigest, TenantView, UsageResponse};
 use std::time::{Duration, Instant};
 use support::{Fleet, Scenario, Shape};
 
@@ -103,14 +103,14 @@
 }
 
 /// Returns a response about one tenant.
-fn response(tenant: &Tenant, left: f32, demand: f32) -> UsageNews {
-    let view = TenantPicture {
+fn response(tenant: &Tenant, left: f32, demand: f32) -> UsageResponse {
+    let view = TenantView {
         tenant: TenantDigest::from(&tenant.name),
         left,
         next: 0.0,
         demand,
     };
-    UsageNews {
+    UsageResponse {
         pictures: vec![view],
         ledger: 1,
         complete: true,
@@ -180,12 +180,12 @@
     let start = Instant::now();
     let tenant = tenant(100.0);
     let mut limiter = TenantLimiter::new(7, SPAN);
-    assert!(limiter.known_demand().is_none());
+    assert!(limiter.reported_demand().is_none());
     limiter.admit(start, &tenant).expect("a first request");
     limiter.report(start, 1);
     for (demand, known) in [(30.0, 30.0), (700.0, 100.0)] {
         limiter.answered(start, &response(&tenant, 400.0, demand));
-        let (at, mut demands) = limiter.known_demand().expect("a response was received");
+        let (at, mut demands) = limiter.reported_demand().expect("a response was received");
         assert_eq!(at, start);
         let demand = demands.next().expect("one tenant");
         assert_eq!(demand.tenant, TenantDigest::from(&tenant.name));
--- a/crates/firshore-limits/tests/ledger.rs
+++ b/crates/firshore-limits/tests/ledger.rs
@@ -1,19 +1,19 @@
 //! The ledger's responses to nodes that change relays, become stale, or come from an earlier ledger.
 
 use firshore_limits::ledger::UsageLedger;
-use firshore_limits::report::{TenantDigest, TenantUse, UseReport};
+use firshore_limits::report::{TenantDigest, TenantUsage, UsageReport};
 use std::time::{Duration, Instant};
 
 const SPAN: Duration = Duration::from_secs(5);
 const TENANT: TenantDigest = TenantDigest(7);
 
 /// Returns the report of a node with a demand of `demand` requests per second.
-fn report(ledger: u64, demand: f32, admitted: i32, recent: f32) -> UseReport {
-    UseReport {
+fn report(ledger: u64, demand: f32, admitted: i32, recent: f32) -> UsageReport {
+    UsageReport {
         version: 1,
         ledger,
         relayed: false,
-        tenants: vec![TenantUse {
+        tenants: vec![TenantUsage {
             tenant: TENANT,
             admitted,
             demand,
@@ -94,7 +94,7 @@
     let start = Instant::now();
     let mut ledger = UsageLedger::new(2, start, SPAN);
     let direct = report(1, 40.0, 0, 200.0);
-    let relayed = UseReport {
+    let relayed = UsageReport {
         relayed: true,
         ..report(1, 40.0, 0, 300.0)
     };
--- a/crates/firshore-limits/tests/support/mod.rs
+++ b/crates/firshore-limits/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use firshore_limits::ledger::UsageLedger;
 use firshore_limits::limiter::TenantLimiter;
 use firshore_limits::relay::UsageRelay;
-use firshore_limits::report::{UsageNews, UseReport};
+use firshore_limits::report::{UsageResponse, UsageReport};
 use firshore_types::ids::NodeName;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -143,7 +143,7 @@
     limiter: TenantLimiter,
     next_report: Instant,
     /// When the response to the last report arrives, and its content.
-    response: Option<(Instant, Option<(Instant, UsageNews)>)>,
+    response: Option<(Instant, Option<(Instant, UsageResponse)>)>,
     weight: f64,
     isolated_until: Instant,
 }
@@ -406,8 +406,8 @@
         now: Instant,
         number: usize,
         name: &NodeName,
-        report: &UseReport,
-    ) -> Option<(Instant, UsageNews)> {
+        report: &UsageReport,
+    ) -> Option<(Instant, UsageResponse)> {
         if !self.scenario.relays {
             let leads = now >= self.leaderless_until;
             return leads.then(|| (now, self.ledger.told(now, name, report)));
