--- a/crates/firshore-admission/src/admission.rs
+++ b/crates/firshore-admission/src/admission.rs
@@ -52,13 +52,13 @@
 
 impl AdmissionRequest {
     /// Returns whether its caller was refused before, as it has used up some of its time.
-    pub fn has_returned(&self) -> bool {
+    pub fn is_retry(&self) -> bool {
         self.time_left < self.timeout.mul_f64(RETRY_TIME_LEFT)
     }
 
     /// Returns the time from now within which it must be expected to begin.
     pub fn begin_within(&self) -> Duration {
-        let fraction = match self.has_returned() {
+        let fraction = match self.is_retry() {
             true => RETRY_BEGIN_FRACTION,
             false => BEGIN_FRACTION,
         };
--- a/crates/firshore-admission/tests/admission.rs
+++ b/crates/firshore-admission/tests/admission.rs
@@ -82,12 +82,12 @@
 
 #[test]
 fn retry_is_detected_by_its_time_left() {
-    assert!(!request().has_returned());
+    assert!(!request().is_retry());
     let retry = AdmissionRequest {
         time_left: TIMEOUT - Duration::from_millis(1_500),
         ..request()
     };
-    assert!(retry.has_returned());
+    assert!(retry.is_retry());
     assert!(retry.begin_within() > request().begin_within());
     assert!(retry.begin_within() < OBJECTIVE);
 }
