--- a/crates/firshore-admission/src/retry.rs
+++ b/crates/firshore-admission/src/retry.rs
@@ -182,10 +182,10 @@
         (rate * BUCKET.as_secs_f64() + draw) as u32
     }
 
-    /// Books a caller in a bucket and returns its wait, at most `longest`.
-    fn book_bucket(&mut self, bucket: &BucketOutlook, max: Duration, random: f64) -> Duration {
+    /// Books a caller in a bucket and returns its wait, at most `max_wait`.
+    fn book_bucket(&mut self, bucket: &BucketOutlook, max_wait: Duration, random: f64) -> Duration {
         self.booked[bucket.idx] += 1;
-        let end = (bucket.begin + BUCKET).min(max);
+        let end = (bucket.begin + BUCKET).min(max_wait);
         spread(bucket.begin, end, random)
     }
 
--- a/crates/firshore-limits/src/ledger.rs
+++ b/crates/firshore-limits/src/ledger.rs
@@ -93,7 +93,7 @@
     /// Distinguishes this ledger from its predecessors.
     id: u64,
     began_at: Instant,
-    /// Whether a node has reported to an earlier ledger.
+    /// Whether a reporting node has received a response from an earlier ledger.
     has_predecessor: bool,
     /// Nodes and relays that have reported what they admitted before.
     reporters: HashSet<NodeName>,
--- a/crates/firshore-limits/src/limiter.rs
+++ b/crates/firshore-limits/src/limiter.rs
@@ -35,7 +35,7 @@
 /// Standard deviations by which a node's admissions in a span may exceed those before by chance.
 const CHANCE_DEVIATIONS: f64 = 0.7;
 
-/// Fraction of its share that a node continues to use once its view has expired. All such fractions
+/// Fraction of its share that a node continues to use once the share has expired. All such fractions
 /// together stay within the 10 % that may be admitted beyond a limit.
 const EXPIRED_SHARE_FRACTION: f64 = 0.1;
 
@@ -60,10 +60,10 @@
 /// Demand below which nothing is reported, in requests per second.
 const MIN_DEMAND: f32 = 0.01;
 
-/// Maximum wait that is returned to a refused caller.
+/// Maximum wait that a refused caller is given.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// Minimum wait that is returned to a refused caller.
+/// Minimum wait that a refused caller is given.
 const MIN_WAIT: Duration = Duration::from_millis(50);
 
 /// Time over which the mean demand is averaged: as long as a refused caller can wait, as demand that
