--- a/crates/firshore-limits/tests/fleet.rs
+++ b/crates/firshore-limits/tests/fleet.rs
@@ -14,9 +14,9 @@
 /// Minimum fraction of the callers refused in the crowd that have to be admitted when they return.
 const MIN_ADMITTED: f64 = 0.9;
 
-/// Longest time that a caller with a timeout of five seconds waits, and the longest wait that is
-/// returned.
-const CALLER_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Longest time that a caller with a timeout of five seconds waits, and the longest wait that it is
+/// given.
+const CALLER_MAX_WAIT: Duration = Duration::from_millis(1_600);
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
 /// Time of the crowd, in seconds.
@@ -124,7 +124,7 @@
 
 #[test]
 fn crowd_above_the_limit_is_admitted_on_retry() {
-    for max_wait in [CALLER_TIMEOUT, MAX_WAIT] {
+    for max_wait in [CALLER_MAX_WAIT, MAX_WAIT] {
         for rate in [41.0, 100.0, 226.0] {
             let callers = (0..3).flat_map(|seed| refused_in_crowd(seed, rate, max_wait));
             let callers: Vec<RetryingCaller> = callers.collect();
@@ -157,7 +157,7 @@
             rate,
             burst: 0.0,
             demand: rate * 1.05,
-            max_wait: Some(CALLER_TIMEOUT),
+            max_wait: Some(CALLER_MAX_WAIT),
             ..Scenario::default()
         });
         let mut waits: Vec<Duration> = outcome.retries.iter().map(|one| one.wait).collect();
