--- a/crates/firshore-admission/tests/shares.rs
+++ b/crates/firshore-admission/tests/shares.rs
@@ -64,7 +64,7 @@
 
 fn line(scenario: &Scenario, outcome: &Outcome) -> String {
     format!(
-        "{:?} hot {} isolated {}: worst {:.2}, hot {:.2} of its share, others {:.3} of their demand, {:.3} of capacity",
+        "{:?} hot {} isolated {}: worst {:.2}, hot {:.2} of share, others {:.3} of demand, {:.3} of capacity",
         scenario.policy,
         scenario.hot,
         scenario.isolated,
