--- a/crates/firshore-gateway/src/caller_connection.rs
+++ b/crates/firshore-gateway/src/caller_connection.rs
@@ -1,7 +1,7 @@
-//! A caller's connection: requests read whole, answers written, and a caller that leaves noticed.
+//! HTTP/1.1 connection to a caller: reads complete requests, writes responses and detects when the caller closes.
 //!
-//! The library's codec parses and writes; the socket is driven here, so that a close is seen while
-//! an answer is awaited, and so that an answer that breaks off never looks whole.
+//! The codec of `actix_http` parses and encodes. The socket is read here, so that a close is detected while a
+//! response is pending, and so that an interrupted response never looks complete.
 
 use actix_codec::{Decoder, Encoder};
 use actix_http::HttpMessage;
@@ -22,52 +22,52 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Room made for one read, in bytes.
+/// Buffer space reserved for one read, in bytes.
 const READ_BYTES: usize = 8 * 1024;
 
-/// Bytes of further requests that are taken in while one is answered.
+/// Maximum bytes of further requests that are read while a response is pending.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// Longest time without a byte of a request's body.
+/// Maximum time without a byte of a request's body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A whole request.
+/// Request, read completely.
 pub struct CallerRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers as they came.
+    /// Headers as received.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// When its head had arrived.
+    /// When the head had arrived.
     pub arrived: Instant,
 }
 
-/// What reading a request came to.
+/// Result of reading a request.
 pub enum Incoming {
-    /// A request.
+    /// A complete request.
     Request(Box<CallerRequest>),
-    /// The connection has ended, or has rested for too long.
+    /// The connection was closed, was idle for too long or stalled in a body.
     Closed,
-    /// A request that cannot be taken; the connection ends after the answer.
+    /// An invalid request; the connection must be closed after the response.
     Unusable(ApiError),
 }
 
-/// The caller is gone: nothing more can be written.
+/// The caller has disconnected; nothing more can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
 thread_local! {
-    /// One for each thread: building it starts a task that keeps the date.
+    /// One per thread, because building it starts a task that updates the date.
     static CODEC_CONFIGURATION: ServiceConfig =
         ServiceConfig::new(KeepAlive::Os, Duration::ZERO, Duration::ZERO, false, None);
 }
 
-/// A connection that a caller has opened.
+/// Connection opened by a caller.
 pub struct CallerConnection {
     stream: TcpStream,
     input: BytesMut,
@@ -76,9 +76,9 @@
 }
 
 impl CallerConnection {
-    /// Takes over an accepted connection.
+    /// Creates the connection for an accepted socket.
     pub fn new(stream: TcpStream) -> Self {
-        // A connection that cannot be set up fails at its first use.
+        // If this fails, the first read or write fails too.
         let _ = keep_alive::set_up(&stream);
         Self {
             stream,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Reads the next request. `closing` ends the wait for its first byte.
+    /// Reads the next request. Stops waiting for its first byte when `closing` resolves.
     pub async fn read_request(
         &mut self,
         limits: &CallerLimits,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Reads what has arrived: 0 bytes if nothing has, an error if the caller has closed.
+    /// Reads the bytes that have arrived and returns their number. Fails if the caller has closed the connection.
     fn try_read(&mut self) -> io::Result<usize> {
         self.input.reserve(READ_BYTES);
         match self.stream.try_read_buf(&mut self.input) {
@@ -193,17 +193,17 @@
         }
     }
 
-    /// Resolves once the caller has closed its connection.
+    /// Resolves when the caller has closed the connection.
     pub async fn left(&mut self) {
         while self.read_some().await.is_ok() {
             if self.input.len() > READ_AHEAD_BYTES {
-                // What it sends ahead is not read further, so a close is not seen either.
+                // Nothing more is read, so a close can't be detected either.
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// Puts the head of an answer into the buffer.
+    /// Appends the head of a response to the output buffer.
     pub fn put_head(
         &mut self,
         status: StatusCode,
@@ -221,14 +221,14 @@
         self.put(Message::Item((response, size)));
     }
 
-    /// Puts a part of the body into the buffer.
+    /// Appends a chunk of the body to the output buffer.
     pub fn put_chunk(&mut self, chunk: Bytes) {
         if !chunk.is_empty() {
             self.put(Message::Chunk(Some(chunk)));
         }
     }
 
-    /// Puts the end of the body into the buffer: from here on the answer looks whole.
+    /// Appends the end of the body to the output buffer, which completes the response.
     pub fn put_end(&mut self) {
         self.put(Message::Chunk(None));
     }
@@ -238,7 +238,11 @@
         encoded.expect("writing to memory does not fail");
     }
 
-    /// Writes the buffer out.
+    /// Writes the output buffer to the socket.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the caller has disconnected.
     pub async fn flush(&mut self) -> Result<(), CallerGone> {
         while !self.output.is_empty() {
             match self.stream.try_write(&self.output) {
@@ -260,13 +264,13 @@
         };
         let ready = self.stream.ready(interest).await.map_err(|_| CallerGone)?;
         if ready.is_readable() && !full {
-            // Readiness may be stale: a second wait for bytes here would miss the room.
+            // Readiness may be stale: waiting for bytes here could miss that the socket is writable.
             self.try_read().map_err(|_| CallerGone)?;
         }
         Ok(())
     }
 
-    /// Whether the connection may carry another request.
+    /// Returns whether the connection may carry another request.
     pub fn keeps_open(&self) -> bool {
         self.codec.keep_alive()
     }
--- a/crates/firshore-gateway/src/crash_monitor.rs
+++ b/crates/firshore-gateway/src/crash_monitor.rs
@@ -1,4 +1,5 @@
-//! Requests under which back ends end: tells an end from a broken connection, and keeps what all nodes saw.
+//! Detects requests that crash back ends: distinguishes an ended process from a broken connection, and keeps the
+//! crash table that nodes exchange.
 
 use crate::fleet::Fleet;
 use firshore_adapter::backend::Backend;
@@ -21,52 +22,51 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-/// Time for which an end is kept, unless the settings say otherwise.
+/// Default time for which the end of a back end is kept.
 const DEFAULT_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Time within which a back end that broke off must be seen to have ended: its entry goes after some
-/// heartbeats, and it is back after some seconds.
+/// Maximum time after a lost run within which the listing must show that the back end has ended.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time between looks at the listing meanwhile.
+/// Interval between checks of the listing.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest wait of a request for whether its back end has ended, before it goes to another one: a refused
-/// connection shows it within a round trip.
+/// Maximum time that a request waits for the check of its back end before it is sent to another one. A refused
+/// connection shows a crash within a round trip.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Requests lost at one back end that wait until it is seen to have ended; more tell nothing new.
+/// Maximum number of lost runs kept for one back end while it is being checked.
 const MAX_PENDING_RUNS: usize = 64;
 
-/// What a monitor counts.
+/// Counters of a monitor.
 #[derive(Clone, Debug, Default)]
 pub struct CrashCounters {
     /// Back ends that ended while they ran requests of this node.
     pub ended: Counter,
-    /// Requests that are not suspected any more, as they ran to a good end here.
+    /// Suspected requests that were cleared because they completed here.
     pub cleared: Counter,
 }
 
-/// Tells whether connections to an address are refused at once.
+/// Returns whether connections to an address are refused immediately.
 pub type RefusalProbe = Rc<dyn Fn(SocketAddr) -> LocalBoxFuture<'static, bool>>;
 
-/// What this node knows of requests under which back ends end.
+/// Crash table of this node, and the checks of back ends that lost a run.
 pub struct CrashMonitor {
     log: Logger,
     is_refused: RefusalProbe,
     fleet: Rc<RefCell<Fleet>>,
     table: RefCell<CrashTable>,
-    /// Requests lost at back ends of which it is not known whether they have ended.
+    /// Lost runs by back end, while it is not known whether the back end has ended.
     pending_runs: RefCell<HashMap<Incarnation, Vec<LostRun>>>,
-    /// Woken when it is known of some back end.
+    /// Notified when the first or the final check of a back end is done.
     settled: Notify,
-    /// Woken when this node knows what it may have to tell others.
+    /// Notified when the table has changed and should be sent to other nodes.
     pub news: Notify,
     counters: CrashCounters,
 }
 
 impl CrashMonitor {
-    /// A monitor that knows nothing, of back ends that `fleet` lists. `epoch` is drawn at each start.
+    /// Creates a monitor with an empty table for the back ends in `fleet`. `epoch` is drawn at each start.
     pub fn new(
         log: Logger,
         fleet: Rc<RefCell<Fleet>>,
@@ -77,7 +77,7 @@
         Self::with_probe(log, fleet, epoch, counters, is_refused)
     }
 
-    /// The same, with another way to find out whether connections are refused.
+    /// Creates a monitor with another probe for refused connections.
     pub fn with_probe(
         log: Logger,
         fleet: Rc<RefCell<Fleet>>,
@@ -97,24 +97,24 @@
         }
     }
 
-    /// Sets for how long an end is kept.
+    /// Sets the time for which the end of a back end is kept.
     pub fn remember_for(&self, remember: Duration) {
         self.table.borrow_mut().remember_for(remember);
     }
 
-    /// Returns what is known.
+    /// Returns the crash table.
     pub fn table(&self) -> Ref<'_, CrashTable> {
         self.table.borrow()
     }
 
-    /// Returns how far this node's table is; nothing while nothing stands in it, as on a calm day.
+    /// Returns the position of this node's table; `None` while the table is empty.
     pub fn cursor(&self) -> Option<TableCursor> {
         let table = self.table.borrow();
         (!table.is_empty()).then(|| table.cursor())
     }
 
-    /// A run of a request broke off at a back end, which may have ended. One that has said that it leaves, or
-    /// is not listed any more, ends by its own plan.
+    /// Records a run that broke off at a back end, and starts the check whether the back end has ended. Ignores back
+    /// ends that have announced that they leave or are no longer listed: these end as planned.
     pub fn broke_off(self: &Rc<Self>, backend: &Backend, run: LostRun) {
         if !self.fleet.borrow().is_staying(&backend.incarnation) {
             return;
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Finds out whether a back end has ended. A connection that broke shows it no more than an answer that
-    /// is late: links are cut and connections reset while the back end lives.
+    /// Checks whether a back end has ended and records it. A broken connection is no evidence: links fail and
+    /// connections are reset while the back end runs.
     async fn confirm_crash(&self, backend: &Backend) {
         let evidence = self.find_evidence(backend).await;
         let runs = self.pending_runs.borrow_mut().remove(&backend.incarnation);
@@ -142,7 +142,7 @@
         self.settled.notify_waiters();
     }
 
-    /// What shows that a back end has ended, if anything does.
+    /// Returns the evidence that a back end has ended; `None` if there is none within [`CONFIRM_TIMEOUT`].
     async fn find_evidence(&self, backend: &Backend) -> Option<&'static str> {
         if (self.is_refused)(backend.address).await {
             return Some("connection refused");
@@ -151,10 +151,10 @@
         let until = Instant::now() + CONFIRM_TIMEOUT;
         while Instant::now() < until {
             if self.fleet.borrow().has_started_again(&backend.incarnation) {
-                return Some("started again");
+                return Some("restarted");
             }
             if self.fleet.borrow().has_successor(backend) {
-                return Some("another at its address");
+                return Some("address taken over");
             }
             actix_rt::time::sleep(CONFIRM_INTERVAL).await;
         }
@@ -163,7 +163,7 @@
 
     fn record_crash(&self, backend: &Backend, evidence: &'static str, runs: &[LostRun]) {
         self.counters.ended.inc();
-        warn!(self.log, "crash: Back end ended."; "backend" => %backend.incarnation,
+        warn!(self.log, "crash: Back end crashed."; "backend" => %backend.incarnation,
             "evidence" => evidence, "lost" => runs.len());
         let now = firshore_clock::now().into_std();
         let changes = self
@@ -180,7 +180,7 @@
         self.news.notify_one();
     }
 
-    /// Waits until it is known whether a back end has ended, but not for long.
+    /// Waits, for a limited time, until a check of the back end is done.
     pub async fn settled(&self, backend: &Incarnation) {
         let settled = self.settled.notified();
         if self.pending_runs.borrow().contains_key(backend) {
@@ -188,17 +188,17 @@
         }
     }
 
-    /// Whether any request is suspected: only then it matters what a request asks.
+    /// Returns whether any request is suspected. Fingerprints are needed only then.
     pub fn suspects_any(&self) -> bool {
         self.table.borrow().suspects() > 0
     }
 
-    /// Whether any request is held back.
+    /// Returns whether any request is quarantined.
     pub fn holds_any_back(&self) -> bool {
         self.table.borrow().has_verdicts()
     }
 
-    /// Returns for how long a request is still held back, if it is.
+    /// Returns the remaining quarantine of a request; `None` if it is not quarantined.
     pub fn held_back_for(&self, print: &RequestPrint) -> Option<Duration> {
         let now = firshore_clock::now().into_std();
         let table = self.table.borrow();
@@ -206,12 +206,12 @@
         Some(table.time_left(now, verdict))
     }
 
-    /// Returns what is known against a request.
+    /// Returns the ends of back ends that are attributed to a request.
     pub fn suspicion(&self, print: &RequestPrint) -> Suspicion {
         self.table.borrow().suspicion(print)
     }
 
-    /// A request has run to a good end.
+    /// Records that a request has completed, which clears it of suspicion.
     pub fn completed(&self, print: RequestPrint) {
         if self.suspicion(&print).ends == 0 {
             return;
@@ -224,7 +224,7 @@
         self.news.notify_one();
     }
 
-    /// Answers a node that tells what it knows.
+    /// Applies a peer's request to exchange tables and returns the response.
     pub fn answer(&self, question: &CrashQuestion) -> CrashAnswer {
         let now = firshore_clock::now().into_std();
         let before = self.table.borrow().cursor();
@@ -236,16 +236,22 @@
         answer
     }
 
-    /// Takes in a peer's answer to a question that told this node's table up to `told`.
-    pub fn answered(&self, sync: &mut CrashSync, peer: &NodeName, told: u64, answer: &CrashAnswer) {
+    /// Applies a peer's response to a request that contained this node's table up to `sent_through`.
+    pub fn answered(
+        &self,
+        sync: &mut CrashSync,
+        peer: &NodeName,
+        sent_through: u64,
+        answer: &CrashAnswer,
+    ) {
         let now = firshore_clock::now().into_std();
         let mut table = self.table.borrow_mut();
-        let changes = sync.answered(now, peer, told, answer, &mut table);
+        let changes = sync.answered(now, peer, sent_through, answer, &mut table);
         drop(table);
         self.apply_changes(&changes);
     }
 
-    /// Forgets what is older than it is to be kept.
+    /// Removes expired entries from the table.
     pub fn forget_old(&self) {
         let now = firshore_clock::now().into_std();
         let changes = self.table.borrow_mut().forget_old(now);
@@ -264,17 +270,17 @@
                 TableChange::Condemned(print, verdict) => {
                     let backends: Vec<String> =
                         verdict.backends.iter().map(ToString::to_string).collect();
-                    warn!(self.log, "crash: Request held back."; "print" => %print,
+                    warn!(self.log, "crash: Request quarantined."; "print" => %print,
                         "backends" => backends.join(" "),
                         "last_end_age_ms" => now.saturating_duration_since(verdict.last_end).as_millis() as u64);
                 }
-                // Without this, every node sent requests to a back end that had ended until it had failed there
-                // itself; its entry stays for some seconds.
+                // The entry of an ended back end stays for some seconds. Without this, every node would send
+                // requests there until its own requests fail.
                 TableChange::BackendEnded(backend) => {
                     self.exclude(backend);
                 }
                 TableChange::Lifted(print) => {
-                    info!(self.log, "crash: Request not held back any more."; "print" => %print);
+                    info!(self.log, "crash: Request released from quarantine."; "print" => %print);
                 }
             }
         }
--- a/crates/firshore-gateway/src/fleet/mod.rs
+++ b/crates/firshore-gateway/src/fleet/mod.rs
@@ -289,15 +289,15 @@
     pub fn learned_others(
         &mut self,
         now: Instant,
-        others: &HashMap<BackendName, u32>,
+        remote: &HashMap<BackendName, u32>,
         random: &mut impl Rng,
     ) {
         self.view_at = Some(now);
         let mut fractions: HashMap<ServiceName, LocalFraction> = HashMap::new();
         for (name, state) in &mut self.states {
-            let others = others.get(name).copied().unwrap_or(0);
+            let remote = remote.get(name).copied().unwrap_or(0);
             let view = LoadReport {
-                others,
+                remote,
                 at: now,
                 from_backend: false,
             };
@@ -305,7 +305,7 @@
             state.report = Some(view);
             let fraction = fractions.entry(state.backend.service.clone()).or_default();
             fraction.local += state.in_flight;
-            fraction.total += state.in_flight + others;
+            fraction.total += state.in_flight + remote;
         }
         // In the order of names, so that equal random seeds give equal results.
         for (service, names) in &self.by_service {
@@ -399,13 +399,13 @@
             return;
         };
         let total = load.running + load.waiting;
-        let others = total.saturating_sub(state.in_flight);
+        let remote = total.saturating_sub(state.in_flight);
         state.report = Some(LoadReport {
-            others,
+            remote,
             at: now,
             from_backend: true,
         });
-        let beyond = (others as f32 - state.view_load(now)) / state.slots();
+        let beyond = (remote as f32 - state.remote_load_in_view(now)) / state.slots();
         let pace = load.pace.map(|pace| {
             state.unreported_pace = Some(pace);
             state.pace.told(now, pace);
@@ -476,7 +476,7 @@
             }
             Impression::Full => {
                 state.report = Some(LoadReport {
-                    others: state.backend.slots * 2,
+                    remote: state.backend.slots * 2,
                     at: now,
                     from_backend: true,
                 });
--- a/crates/firshore-gateway/src/fleet/service_stats.rs
+++ b/crates/firshore-gateway/src/fleet/service_stats.rs
@@ -88,8 +88,8 @@
     }
 }
 
-fn weighted_mean(known: Duration, sample: Duration, weight: f64) -> Duration {
-    known.mul_f64(1.0 - weight) + sample.mul_f64(weight)
+fn weighted_mean(previous: Duration, sample: Duration, weight: f64) -> Duration {
+    previous.mul_f64(1.0 - weight) + sample.mul_f64(weight)
 }
 
 impl ServiceStats {
@@ -108,8 +108,8 @@
     /// Records a successful request: the time until its response began, and the time from then to its end.
     pub(super) fn served(&mut self, began_after: Duration, rest: Duration) {
         let min_begin_time = match self.min_begin_time {
-            Some(known) if began_after > known => {
-                weighted_mean(known, began_after, MIN_BEGIN_TIME_WEIGHT)
+            Some(previous) if began_after > previous => {
+                weighted_mean(previous, began_after, MIN_BEGIN_TIME_WEIGHT)
             }
             _ => began_after,
         };
@@ -123,10 +123,10 @@
 
     /// Records the load that a back end's report shows beyond the view, in requests per slot.
     pub(super) fn record_unseen(&mut self, now: Instant, beyond: f32) {
-        let known = self.unseen(now);
+        let previous = self.unseen(now);
         // Reports below the view count too: a mean of positive differences alone would show load where none is.
         let beyond = beyond.clamp(-MAX_UNSEEN_LOAD, MAX_UNSEEN_LOAD);
-        self.unseen = known + UNSEEN_WEIGHT * (beyond - known);
+        self.unseen = previous + UNSEEN_WEIGHT * (beyond - previous);
         self.unseen_at = Some(now);
     }
 
@@ -150,9 +150,9 @@
     pub(super) fn began(&mut self, now: Instant, expected: Duration, began_after: Duration) {
         let waited = began_after.saturating_sub(self.min_begin_time.unwrap_or(began_after));
         let waited = waited.as_secs_f64();
-        let known = self.excess(now);
+        let previous = self.excess(now);
         let excess = waited - expected.as_secs_f64();
-        self.excess = known + EXCESS_WEIGHT * (excess - known);
+        self.excess = previous + EXCESS_WEIGHT * (excess - previous);
         self.waited = match self.recent_wait(now) {
             Some(_) => self.waited + EXCESS_WEIGHT * (waited - self.waited),
             None => waited,
--- a/crates/firshore-gateway/src/fleet/state.rs
+++ b/crates/firshore-gateway/src/fleet/state.rs
@@ -35,7 +35,7 @@
 /// Number of requests of other gateways at a back end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadReport {
-    pub(super) others: u32,
+    pub(super) remote: u32,
     pub(super) at: Instant,
     /// Whether the back end reported it itself, so that it includes the unseen load.
     pub(super) from_backend: bool,
@@ -45,7 +45,7 @@
     fn decayed(&self, now: Instant) -> f32 {
         let age = now.saturating_duration_since(self.at);
         let decayed = 1.0 - age.as_secs_f32() / REPORT_LIFETIME.as_secs_f32();
-        self.others as f32 * decayed.max(0.0)
+        self.remote as f32 * decayed.max(0.0)
     }
 }
 
@@ -125,19 +125,19 @@
     }
 
     /// Returns the requests of other gateways by the last report, which fades with age.
-    pub(super) fn others(&self, now: Instant) -> f32 {
+    pub(super) fn remote_load(&self, now: Instant) -> f32 {
         self.report.map_or(0.0, |report| report.decayed(now))
     }
 
     /// Returns the requests of other gateways by the last view, which fades with age.
-    pub(super) fn view_load(&self, now: Instant) -> f32 {
+    pub(super) fn remote_load_in_view(&self, now: Instant) -> f32 {
         self.view.map_or(0.0, |view| view.decayed(now))
     }
 
     /// Returns the estimated number of requests, rounded, so that a report that has just begun to fade doesn't show
     /// a free slot.
     pub(super) fn held(&self, now: Instant) -> u32 {
-        self.in_flight + self.others(now).round() as u32
+        self.in_flight + self.remote_load(now).round() as u32
     }
 
     /// Returns the estimated number of requests, including the unseen load.
@@ -146,10 +146,10 @@
             Some(report) if report.from_backend => 0.0,
             _ => stats.unseen(now).max(0.0) * self.slots(),
         };
-        self.in_flight as f32 + self.others(now) + unseen
+        self.in_flight as f32 + self.remote_load(now) + unseen
     }
 
-    /// Time after which a request sent now would begin, as `stats` tells of the service.
+    /// Returns the expected wait of a request sent now.
     pub(super) fn begin_delay(&self, now: Instant, stats: &ServiceStats) -> Duration {
         let held = self.held_with_unseen(now, stats);
         stats.begin_delay(held, self.slots(), self.pace.factor(now))
@@ -167,7 +167,7 @@
     }
 
     pub(super) fn load(&self, now: Instant) -> f32 {
-        (self.in_flight as f32 + self.others(now)) / self.slots()
+        (self.in_flight as f32 + self.remote_load(now)) / self.slots()
     }
 
     /// Returns the number of requests at a load, rounded, so that a request that may start doesn't exceed the load.
--- a/crates/firshore-gateway/src/gateway.rs
+++ b/crates/firshore-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the requests of a node share.
+//! State shared by the requests of a node.
 
 use crate::belief::Beliefs;
 use crate::crash_monitor::{CrashCounters, CrashMonitor};
@@ -34,15 +34,15 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A result of the journal.
+/// Future result of a call to the job service.
 pub type JobAnswer<'a, T> = LocalBoxFuture<'a, Result<T, ApiError>>;
 
-/// Keeps batch jobs. Called from callers' requests; answers only what lasts.
+/// Stores batch jobs for callers' requests. Reports success only for what is stored durably.
 pub trait JobService {
-    /// Whether anything that keeps jobs can be reached, as far as is known.
+    /// Returns whether the storage of jobs is reachable, as far as this node knows.
     fn is_reachable(&self) -> bool;
 
-    /// Takes a job in; taking the same job again changes nothing.
+    /// Stores a job. Has no effect if the same job is stored already.
     fn submit<'a>(
         &'a self,
         route: Arc<Route>,
@@ -50,7 +50,7 @@
         items: Vec<JobItem>,
     ) -> JobAnswer<'a, ()>;
 
-    /// Results from a position on; waits up to `wait` for one. `None`: no such job.
+    /// Returns results from position `from` on; waits up to `wait` for the first. `None` if the job doesn't exist.
     fn results<'a>(
         &'a self,
         job: JobId,
@@ -58,53 +58,53 @@
         wait: Duration,
     ) -> JobAnswer<'a, Option<ResultPage>>;
 
-    /// Body of an item without a result. `None`: no such item, or it has a result.
+    /// Returns the body of an item; `None` if the item doesn't exist or has a result.
     fn body<'a>(&'a self, job: JobId, item: String) -> JobAnswer<'a, Option<Payload>>;
 
-    /// Ends a job. `false`: no such job.
+    /// Ends a job. Returns `false` if it doesn't exist.
     fn end<'a>(&'a self, job: JobId) -> JobAnswer<'a, bool>;
 }
 
-/// Shared by all connections of a node.
+/// State shared by all connections of a node.
 pub struct Gateway {
-    /// Root of the log.
+    /// Root logger.
     pub log: Logger,
-    /// The environment.
+    /// Adapter to the environment's protocols.
     pub adapter: Adapter,
-    /// As of when the store is known, and from whom.
+    /// Freshness of the copies of the object store.
     pub beliefs: Rc<Beliefs>,
-    /// Back ends.
+    /// Estimated state of the back ends.
     pub fleet: Rc<RefCell<Fleet>>,
-    /// The node's way out.
+    /// Shutdown phase of the node.
     pub leaving: Leaving,
-    /// Batch jobs, where the node can reach them.
+    /// Job service; `None` on nodes without batch jobs.
     pub jobs: Option<Rc<dyn JobService>>,
-    /// Random numbers.
+    /// Random number generator.
     pub random: RefCell<StdRng>,
-    /// What is counted.
+    /// Metrics about requests and back ends.
     pub metrics: GatewayMetrics,
-    /// Woken when a request goes to a back end that has no slot free for it.
+    /// Notified when a request is sent to a back end without a free slot.
     pub crowded: Notify,
-    /// How online requests press on services, until it is told.
+    /// Pressure of online requests on services since the last report.
     pub pressure: RefCell<PressureCount>,
-    /// Woken when what tenants have asked has to be told at once.
+    /// Notified when the usage of tenants has to be reported immediately.
     pub limits_pressing: Notify,
-    /// Division of requests among services.
+    /// Divides the requests of a route among services.
     pub split: RefCell<Split>,
-    /// Makes requests known again by what they ask.
+    /// Key for the fingerprints of requests.
     pub print_key: PrintKey,
-    /// Requests under which back ends end.
+    /// Detects requests that crash back ends.
     pub crashes: Rc<CrashMonitor>,
-    /// Requests that wait for room.
+    /// Queue of the requests that wait for capacity.
     pub overload: Rc<OverloadControl>,
-    /// Whose share of a full service's room a request is.
+    /// Fair shares of tenants in services that are full.
     pub shares: RefCell<ShareTable>,
     configuration: RefCell<Option<Arc<ServingConfiguration>>>,
     limiter: RefCell<TenantLimiter>,
     requests_open: Cell<usize>,
 }
 
-/// Counts a request as under way at a back end until dropped.
+/// Counts a request as in flight at a back end until dropped.
 pub struct InFlight {
     fleet: Rc<RefCell<Fleet>>,
     overload: Rc<OverloadControl>,
@@ -133,8 +133,8 @@
 }
 
 impl Gateway {
-    /// A gateway that knows no configuration yet. Rates of tenants are counted over `rate_span`. Its
-    /// metrics are made by `builder`.
+    /// Creates a gateway without a configuration. Rates of tenants are measured over `rate_span`. Metrics are
+    /// registered with `builder`.
     pub fn new(
         log: Logger,
         adapter: Adapter,
@@ -159,7 +159,7 @@
             leaving: Leaving::default(),
             jobs,
             limiter: TenantLimiter::new(random.random(), rate_span).into(),
-            // Known to this node alone, until the cluster's is given.
+            // Random until `with_crash_memory` sets the key of the cluster.
             print_key: PrintKey::new(&random.random::<[u8; 32]>()),
             crashes: Rc::new(crashes),
             overload: Rc::default(),
@@ -175,13 +175,13 @@
         }
     }
 
-    /// Has requests known again by a key that all nodes share, and ends of back ends kept for `remember`.
+    /// Sets the fingerprint key that all nodes share, and the time for which the end of a back end is kept.
     pub fn with_crash_memory(self, print_key: PrintKey, remember: Duration) -> Self {
         self.crashes.remember_for(remember);
         Self { print_key, ..self }
     }
 
-    /// A request is about to be sent to a back end.
+    /// Records that a request is about to be sent to a back end. It is in flight until the guard is dropped.
     pub fn in_flight(&self, incarnation: &Incarnation) -> InFlight {
         let now = Instant::now();
         let mut fleet = self.fleet.borrow_mut();
@@ -197,23 +197,23 @@
         }
     }
 
-    /// A request has arrived.
+    /// Records that a request has arrived. It is open until the guard is dropped.
     pub fn open_request(&self) -> OpenRequest<'_> {
         self.requests_open.set(self.requests_open.get() + 1);
         OpenRequest { gateway: self }
     }
 
-    /// Requests that have arrived and are not answered yet.
+    /// Returns the number of open requests.
     pub fn requests_open(&self) -> usize {
         self.requests_open.get()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> Option<Arc<ServingConfiguration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Puts a configuration into force, unless a newer one is.
+    /// Applies a configuration unless the current one is as new.
     pub fn configure(&self, configuration: ServingConfiguration) {
         let mut current = self.configuration.borrow_mut();
         let version = configuration.version;
@@ -231,17 +231,19 @@
         *current = Some(Arc::new(configuration));
     }
 
-    /// Takes in a whole listing of back ends.
+    /// Applies a complete listing of back ends.
     pub fn list_backends(&self, backends: Vec<Backend>) {
-        let incarnations: Vec<Incarnation> =
-            backends.iter().map(|one| one.incarnation.clone()).collect();
+        let incarnations: Vec<Incarnation> = backends
+            .iter()
+            .map(|backend| backend.incarnation.clone())
+            .collect();
         let changes = self.fleet.borrow_mut().replace(backends);
         for (listed, change) in incarnations.iter().zip(&changes) {
             self.log_entry(listed, change);
         }
     }
 
-    /// Takes in a back end that was added or has changed.
+    /// Applies an entry that was added or has changed.
     pub fn list_backend(&self, backend: Backend) {
         let listed = backend.incarnation.clone();
         let change = self.fleet.borrow_mut().upsert(backend);
@@ -251,19 +253,19 @@
     fn log_entry(&self, listed: &Incarnation, change: &EntryChange) {
         match change {
             EntryChange::Listed => {}
-            EntryChange::StartedAgain(former) => {
-                info!(self.log, "fleet: Back end started again."; "backend" => %listed,
-                    "former" => %former);
+            EntryChange::StartedAgain(previous) => {
+                info!(self.log, "fleet: Back end restarted."; "backend" => %listed,
+                    "former" => %previous);
             }
-            EntryChange::Outdated(known) => {
-                info!(self.log, "fleet: Entry of an earlier start passed over."; "backend" => %listed,
-                    "known" => %known);
+            EntryChange::Outdated(current) => {
+                info!(self.log, "fleet: Outdated entry ignored."; "backend" => %listed,
+                    "known" => %current);
             }
         }
     }
 
-    /// Forgets back ends and the configuration, which nothing follows any more: whoever goes on later must
-    /// not act on what was in force now.
+    /// Discards the back ends and the configuration, because they are no longer updated. They must not be used
+    /// when the gateway is used again later.
     pub fn forget(&self) {
         self.fleet.borrow_mut().replace(Vec::new());
         self.configuration.borrow_mut().take();
@@ -271,11 +273,11 @@
         self.beliefs.backends.forget();
     }
 
-    /// Admits a request of a tenant.
+    /// Counts a request against the limit of its tenant.
     ///
     /// # Errors
     ///
-    /// Where the tenant has used up what it may ask over all nodes.
+    /// Fails if the tenant has used up its limit over all nodes.
     pub fn admit(&self, tenant: &Tenant) -> Result<(), OverLimit> {
         let mut limiter = self.limiter.borrow_mut();
         let admitted = limiter.admit(firshore_clock::now().into_std(), tenant);
@@ -285,13 +287,13 @@
         admitted
     }
 
-    /// A request that was admitted has come to nothing: no back end ran it.
+    /// Returns the admission of a request that no back end ran to its tenant's limit.
     pub fn return_admission(&self, tenant: &Tenant) {
         let now = firshore_clock::now().into_std();
         self.limiter.borrow_mut().returned(now, tenant);
     }
 
-    /// Whether any tenant has a limit.
+    /// Returns whether any tenant has a limit.
     pub fn has_limits(&self) -> bool {
         let configuration = self.configuration.borrow();
         let tenants = configuration
@@ -300,17 +302,17 @@
         tenants.is_some_and(|tenants| tenants.iter().any(|tenant| tenant.limit.is_some()))
     }
 
-    /// What tenants have asked since it was told last; `None` where none has a limit.
-    /// [`Self::learned_uses`] follows.
+    /// Returns the usage of tenants since the last report; `None` if no tenant has a limit. The caller must pass the
+    /// response to [`Self::learned_uses`].
     pub fn report_uses(&self, now: Instant) -> Option<UseReport> {
         if !self.has_limits() {
             return None;
         }
-        let version = self.configuration().map_or(0, |known| known.version);
+        let version = self.configuration().map_or(0, |current| current.version);
         Some(self.limiter.borrow_mut().report(now, version))
     }
 
-    /// Takes in what tenants may still ask, as of a moment; `None`: what was told was not answered.
+    /// Applies the response to a usage report, as of a moment; `None` if there was no response.
     pub fn learned_uses(&self, news: Option<(Instant, &UsageNews)>) {
         let mut limiter = self.limiter.borrow_mut();
         match news {
@@ -322,7 +324,7 @@
         }
     }
 
-    /// Brings the metrics up to date that are not counted as they change.
+    /// Updates the gauges.
     pub fn refresh_metrics(&self) {
         let backends = self.fleet.borrow().len();
         self.metrics.backends.set(backends as i64);
@@ -333,15 +335,15 @@
         self.metrics.crash_verdicts.set(table.verdicts() as i64);
     }
 
-    /// Whether the node can serve requests, batch jobs included: one that is cut off from the journal
-    /// neither knows what others have under way nor can take jobs in.
+    /// Returns whether the node can serve requests, including batch jobs. A node that is isolated from the journal
+    /// can't accept jobs and has no view of other nodes' requests.
     pub fn is_ready(&self) -> bool {
         let reaches_jobs = self.jobs.as_ref().is_none_or(|jobs| jobs.is_reachable());
         self.configuration.borrow().is_some() && !self.fleet.borrow().is_empty() && reaches_jobs
     }
 
-    /// Returns for how long a request is still held back, as back ends end under it. What it asks is worked
-    /// out only while any request is held back.
+    /// Returns the remaining quarantine of a request that crashes back ends; `None` if it is not quarantined. The
+    /// fingerprint is computed only while any request is quarantined.
     pub fn held_back_for(&self, print: impl Fn() -> RequestPrint) -> Option<Duration> {
         match self.crashes.holds_any_back() {
             true => self.crashes.held_back_for(&print()),
@@ -349,14 +351,14 @@
         }
     }
 
-    /// A request has run to a good end: it does not crash back ends.
+    /// Records that a request has completed, so it does not crash back ends.
     pub fn completed(&self, print: impl Fn() -> RequestPrint) {
         if self.crashes.suspects_any() {
             self.crashes.completed(print());
         }
     }
 
-    /// Takes in what other nodes have under way, as of now, and how far apart such pictures are.
+    /// Applies a view of the requests that other nodes have in flight, as of now, and the interval between views.
     pub fn learned_others(&self, others: &HashMap<BackendName, u32>, interval: Duration) {
         let mut fleet = self.fleet.borrow_mut();
         let mut random = self.random.borrow_mut();
@@ -366,13 +368,13 @@
         self.overload.capacity_changed();
     }
 
-    /// Something of a back end's answer has arrived.
+    /// Records that data of a back end's response has arrived.
     pub fn heard(&self, incarnation: &Incarnation) {
         let mut fleet = self.fleet.borrow_mut();
         fleet.heard(Instant::now(), incarnation);
     }
 
-    /// Takes in how a back end handled a request.
+    /// Records the outcome of a request at a back end.
     pub fn observed(&self, incarnation: &Incarnation, seen: Impression) {
         let ejected = self
             .fleet
--- a/crates/firshore-gateway/src/metrics.rs
+++ b/crates/firshore-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! What a node counts about requests, back ends and batch jobs.
+//! Metrics about requests, back ends and batch jobs.
 //!
-//! Labels are of few values: services, and the ends of requests, sends and runs.
+//! Labels have few values: services, and the ends of requests, sends and runs.
 
 use crate::attempts::SendEnd;
 use crate::belief::Beliefs;
@@ -11,15 +11,15 @@
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With a back end's answer.
+    /// With a back end's response.
     Answered,
-    /// With the promise that it has not run.
+    /// With a refusal, which guarantees that it has not run.
     Refused,
-    /// With an error that promises nothing.
+    /// With an error after which it may have run.
     Failed,
-    /// In the middle of its answer.
+    /// In the middle of the response.
     BrokenOff,
-    /// The caller left.
+    /// Without a response, because the caller disconnected.
     CallerLeft,
 }
 
@@ -35,14 +35,14 @@
     }
 }
 
-/// What became of a request that asked for room.
+/// Result of admission control for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionEnd {
-    /// It was let in as it came.
+    /// Admitted immediately.
     Admitted,
-    /// It was let in after it had waited at the node.
+    /// Admitted after a wait at the node.
     AdmittedAfterWait,
-    /// It was refused.
+    /// Refused.
     Refused,
 }
 
@@ -56,33 +56,33 @@
     }
 }
 
-/// Labels of requests.
+/// Labels of requests by service and end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     service: String,
     end: &'static str,
 }
 
-/// Labels of what has an end only.
+/// Labels by end only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EndLabels {
     end: &'static str,
 }
 
 impl EndLabels {
-    /// Returns the labels of an end.
+    /// Creates the labels of an end.
     pub fn new(end: &'static str) -> Self {
         Self { end }
     }
 }
 
-/// Labels of a belief.
+/// Labels of a copy of the object store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct FreshnessLabels {
     kind: &'static str,
 }
 
-/// Metrics of the part of a node that meets callers and back ends.
+/// Metrics of a gateway.
 pub struct GatewayMetrics {
     requests: Family<RequestLabels, Counter>,
     request_seconds: Histogram,
@@ -90,27 +90,27 @@
     admissions: Family<RequestLabels, Counter>,
     sends: Family<EndLabels, Counter>,
     jobs: Family<EndLabels, Counter>,
-    /// Requests of tenants that have used up their limit.
+    /// Requests refused because their tenant has used up its limit.
     pub requests_over_limit: Counter,
-    /// Requests without a key that a tenant holds.
+    /// Requests refused because of a missing or unknown key.
     pub requests_denied: Counter,
-    /// Times a back end was ejected.
+    /// Ejections of back ends.
     pub ejections: Counter,
     /// Back ends that ended while they ran requests of this node.
     pub backends_crashed: Counter,
-    /// Requests that were held back, as back ends end under them.
+    /// Requests refused because they are quarantined.
     pub requests_quarantined: Counter,
-    /// Requests that are not suspected any more, as they ran to a good end.
+    /// Suspected requests that were cleared because they completed.
     pub suspects_cleared: Counter,
-    /// Requests that were lost at back ends that ended.
+    /// Requests suspected of crashing back ends.
     pub crash_suspects: Gauge,
-    /// Requests that are held back.
+    /// Quarantined requests.
     pub crash_verdicts: Gauge,
     /// Version of the configuration in force.
     pub configuration_version: Gauge,
-    /// Requests that are open.
+    /// Requests without a complete response.
     pub requests_open: Gauge,
-    /// Back ends that are listed.
+    /// Listed back ends.
     pub backends: Gauge,
     freshness_ages: Family<FreshnessLabels, Gauge>,
 }
@@ -126,7 +126,7 @@
 }
 
 impl GatewayMetrics {
-    /// Makes the metrics.
+    /// Registers the metrics with `builder`.
     pub fn new(builder: &mut Builder) -> Self {
         Self {
             requests: builder.counters(
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Sets how old the beliefs of a node are now.
+    /// Updates the ages of the copies of the object store.
     pub fn set_freshness_ages(&self, beliefs: &Beliefs) {
         let ages = [
             ("configuration", &beliefs.configuration),
@@ -224,7 +224,7 @@
         self.request_seconds.observe(age.as_secs_f64());
     }
 
-    /// Counts what became of a request that asked for room.
+    /// Counts a result of admission control.
     pub fn admission_ended(&self, service: &ServiceName, end: AdmissionEnd) {
         let labels = RequestLabels {
             service: service.to_string(),
@@ -233,19 +233,19 @@
         self.admissions.get_or_create(&labels).inc();
     }
 
-    /// Takes in that the first byte of an answer goes to its caller.
+    /// Records the age of a request at the first byte of its response.
     pub fn answer_began(&self, age: Duration) {
         self.first_byte_seconds.observe(age.as_secs_f64());
     }
 
-    /// Counts a send that gave no answer to pass on.
+    /// Counts a send without a response to return to the caller.
     pub fn send_ended(&self, end: SendEnd) {
         self.sends
             .get_or_create(&EndLabels::new(send_label(end)))
             .inc();
     }
 
-    /// Counts a batch job that was handed in.
+    /// Counts a submitted batch job.
     pub fn job_handed_in(&self, accepted: bool) {
         let end = if accepted { "accepted" } else { "refused" };
         self.jobs.get_or_create(&EndLabels::new(end)).inc();
--- a/crates/firshore-gateway/src/serve.rs
+++ b/crates/firshore-gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: accepts them, finds the route of each request, and hands it on.
+//! Accepts callers' connections, authenticates and routes their requests, and handles calls about batch jobs.
 
 use crate::access;
 use crate::caller_connection::{CallerConnection, CallerRequest, Incoming};
@@ -22,13 +22,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after an accept that failed for want of descriptors.
+/// Backoff after a failed accept, which is mostly caused by missing file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Time after which a caller of a node without a configuration should come back.
+/// Time after which callers of a node without a current configuration should retry.
 const UNCONFIGURED_RETRY: Duration = Duration::from_millis(500);
 
-/// Answer that a handler has for a caller.
+/// Response of the node itself.
 enum Answer {
     Empty(StatusCode),
     Json(Bytes),
@@ -36,7 +36,7 @@
     Refused(Refusal),
 }
 
-/// Accepts callers until the node closes.
+/// Accepts connections until the node stops accepting.
 pub async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
     let closing = gateway.leaving.reached(Phase::Closing);
     tokio::pin!(closing);
@@ -69,7 +69,7 @@
             Incoming::Request(request) => handle(&gateway, *request, &mut connection).await,
             Incoming::Closed => Handled::Close,
             Incoming::Unusable(error) => {
-                info!(gateway.log, "serve: Request unusable."; "reason" => %error);
+                info!(gateway.log, "serve: Request invalid."; "reason" => %error);
                 let _ = Refusal::from(error).write(&mut connection, true).await;
                 Handled::Close
             }
@@ -93,7 +93,7 @@
     };
     let route = find_route(&configuration, &request);
     let key = gateway.adapter.caller.read_key(&request.headers);
-    // Calls about jobs name no route: without a key they are about jobs of callers without one.
+    // Calls about jobs have no route. Without a key, they concern jobs of anonymous callers.
     let public = match &route {
         Some(route) => route.public,
         None => configuration.routes.has_public_jobs(),
@@ -134,14 +134,14 @@
     }
 }
 
-/// Refuses what this node does not know, while it does not know whether it has been added since: a caller
-/// takes 404 or 401 for final, and another node may know better.
+/// Refuses a request with an unknown route or key while the configuration is stale. 404 or 401 would be final for
+/// the caller, although the route or key may have been added since.
 fn stale_configuration() -> Refusal {
     let message = "The node has not heard of the configuration for too long.";
     Refusal::not_run(ErrorCode::Unavailable, message, UNCONFIGURED_RETRY)
 }
 
-/// Refuses a request of a tenant that has used up its limit.
+/// Logs and refuses a request of a tenant that has used up its limit.
 fn over_limit(
     gateway: &Gateway,
     tenant: &Tenant,
@@ -165,7 +165,7 @@
     Some(route.clone())
 }
 
-/// Requests on no route are calls about jobs, or for nothing that is declared.
+/// Handles a request without a route: a call about jobs, or else an unknown path.
 async fn handle_unrouted(
     gateway: &Gateway,
     configuration: &ServingConfiguration,
@@ -195,7 +195,7 @@
         Some(Ok(call)) => match job_call(gateway, tenant.as_deref(), call).await {
             Ok(answer) => answer,
             Err(error) => {
-                info!(gateway.log, "jobs: Call not answered."; "path" => path,
+                info!(gateway.log, "jobs: Call failed."; "path" => path,
                     "reason" => %error, "age_ms" => request.arrived.elapsed().as_millis() as u64);
                 Answer::from(error)
             }
@@ -218,7 +218,7 @@
     request: CallerRequest,
 ) -> Answer {
     let invalid = |reason: String| {
-        info!(gateway.log, "serve: Job unusable."; "reason" => &reason);
+        info!(gateway.log, "serve: Job invalid."; "reason" => &reason);
         Answer::from(ApiError::not_run(ErrorCode::InvalidRequest, reason))
     };
     let dialect = &gateway.adapter.jobs;
@@ -250,7 +250,7 @@
     }
 }
 
-/// The job that a caller names: those of others do not exist for it.
+/// Returns the identifier of a caller's job, which includes the tenant: jobs of other tenants can't be named.
 fn job_id(tenant: Option<&Tenant>, id: String) -> JobId {
     JobId {
         tenant: tenant.map(|tenant| tenant.name.clone()),
