--- a/crates/firshore-gateway/src/crash_monitor.rs
+++ b/crates/firshore-gateway/src/crash_monitor.rs
@@ -1,4 +1,4 @@
-//! Detects requests that crash back ends: distinguishes an ended process from a broken connection, and keeps the
+//! Detects requests that crash back ends: distinguishes a process exit from a broken connection, and keeps the
 //! crash table that nodes exchange.
 
 use crate::fleet::Fleet;
@@ -22,10 +22,10 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-/// Default time for which the end of a back end is kept.
+/// Default time for which the exit of a back end is kept.
 const DEFAULT_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Maximum time after a lost run within which the listing must show that the back end has ended.
+/// Maximum time after a lost run within which the listing must show that the back end has exited.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Interval between checks of the listing.
@@ -41,7 +41,7 @@
 /// Counters of a monitor.
 #[derive(Clone, Debug, Default)]
 pub struct CrashCounters {
-    /// Back ends that ended while they ran requests of this node.
+    /// Back ends that crashed while they ran requests of this node.
     pub ended: Counter,
     /// Suspected requests that were cleared because they completed here.
     pub cleared: Counter,
@@ -56,7 +56,7 @@
     is_refused: RefusalProbe,
     fleet: Rc<RefCell<Fleet>>,
     table: RefCell<CrashTable>,
-    /// Lost runs by back end, while it is not known whether the back end has ended.
+    /// Lost runs by back end, while it is not known whether the back end has exited.
     pending_runs: RefCell<HashMap<Incarnation, Vec<LostRun>>>,
     /// Notified when the first or the final check of a back end is done.
     settled: Notify,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sets the time for which the end of a back end is kept.
+    /// Sets the time for which the exit of a back end is kept.
     pub fn remember_for(&self, remember: Duration) {
         self.table.borrow_mut().remember_for(remember);
     }
@@ -113,8 +113,8 @@
         (!table.is_empty()).then(|| table.cursor())
     }
 
-    /// Records a run that broke off at a back end, and starts the check whether the back end has ended. Ignores back
-    /// ends that have announced that they leave or are no longer listed: these end as planned.
+    /// Records a run that broke off at a back end, and starts the check whether the back end has exited. Ignores back
+    /// ends that have announced that they leave or are no longer listed: these exit as planned.
     pub fn broke_off(self: &Rc<Self>, backend: &Backend, run: LostRun) {
         if !self.fleet.borrow().is_staying(&backend.incarnation) {
             return;
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Checks whether a back end has ended and records it. A broken connection is no evidence: links fail and
+    /// Checks whether a back end has exited and records it. A broken connection is no evidence: links fail and
     /// connections are reset while the back end runs.
     async fn confirm_crash(&self, backend: &Backend) {
         let evidence = self.find_evidence(backend).await;
@@ -142,7 +142,7 @@
         self.settled.notify_waiters();
     }
 
-    /// Returns the evidence that a back end has ended; `None` if there is none within [`CONFIRM_TIMEOUT`].
+    /// Returns the evidence that a back end has exited; `None` if there is none within [`CONFIRM_TIMEOUT`].
     async fn find_evidence(&self, backend: &Backend) -> Option<&'static str> {
         if (self.is_refused)(backend.address).await {
             return Some("connection refused");
@@ -206,7 +206,7 @@
         Some(table.time_left(now, verdict))
     }
 
-    /// Returns the ends of back ends that are attributed to a request.
+    /// Returns the exits of back ends that are attributed to a request.
     pub fn suspicion(&self, print: &RequestPrint) -> Suspicion {
         self.table.borrow().suspicion(print)
     }
@@ -274,7 +274,7 @@
                         "backends" => backends.join(" "),
                         "last_end_age_ms" => now.saturating_duration_since(verdict.last_end).as_millis() as u64);
                 }
-                // The entry of an ended back end stays for some seconds. Without this, every node would send
+                // The entry of an exited back end stays for some seconds. Without this, every node would send
                 // requests there until its own requests fail.
                 TableChange::BackendEnded(backend) => {
                     self.exclude(backend);
--- a/crates/firshore-gateway/src/forward/admit.rs
+++ b/crates/firshore-gateway/src/forward/admit.rs
@@ -1,4 +1,5 @@
-//! Lets a request in where a service has room for it in time; otherwise it waits for a moment or is refused.
+//! Admission control: a request is sent if its service has capacity for it in time, and otherwise waits briefly
+//! or is refused.
 
 use super::{Forwarding, Handled, Interrupted, unless_interrupted};
 use crate::caller_connection::CallerConnection;
@@ -15,21 +16,21 @@
 use slog::info;
 use std::time::Instant;
 
-/// Part of the time that a caller has left which it can spend on waiting until it comes back.
+/// Fraction of a caller's remaining time after which it is asked to retry.
 const RETRY_FRACTION: f64 = 1.0 / 3.0;
 
-/// Where a request goes.
+/// Result of the selection of a back end.
 pub(super) enum Selection {
-    /// To a back end.
+    /// The request is sent to this back end.
     Backend(Backend),
-    /// To none: none may take it.
+    /// No back end may run the request.
     NoBackend,
-    /// To none: it would begin too late.
+    /// The request would begin too late.
     NoCapacity(RoomOutlook),
 }
 
 impl Forwarding<'_> {
-    /// Finds the back end that takes the request, once there is one that begins it in time.
+    /// Selects a back end; under admission control, waits until there is one that begins the request in time.
     pub(super) async fn find_backend(
         &self,
         connection: &mut CallerConnection,
@@ -49,7 +50,7 @@
             self.priority(),
             self.admission_request(false).has_returned(),
         );
-        let mut place: Option<QueueGuard<'_>> = None;
+        let mut queued: Option<QueueGuard<'_>> = None;
         loop {
             let changed = control.changed();
             let now = Instant::now();
@@ -64,7 +65,7 @@
             let wait = match admission::decide(&request, &outlook) {
                 Admission::Send => match self.choose(Some(request.begin_within())) {
                     Some(backend) => {
-                        self.count_admission(place.is_some());
+                        self.count_admission(queued.is_some());
                         control.record_start(now, &self.service);
                         return Ok(Selection::Backend(backend));
                     }
@@ -73,27 +74,27 @@
                 Admission::Wait(wait) => wait,
                 Admission::Refuse => return Ok(Selection::NoCapacity(outlook)),
             };
-            if place.is_none() {
+            if queued.is_none() {
                 self.gateway.pressure.borrow_mut().waited(&self.service);
-                place = Some(control.wait(&self.service, rank));
+                queued = Some(control.wait(&self.service, rank));
             }
             let waiting = tokio::time::timeout(wait, changed);
-            // Whatever ends the wait, what follows is decided anew.
+            // After a change or the timeout, the decision is made again.
             let _ = unless_interrupted(connection, self.deadline, waiting).await?;
         }
     }
 
-    /// Whether it is decided when the request is let in. One that may have run is no longer refused for want
-    /// of room: that would be no true promise.
+    /// Returns whether admission control applies. It doesn't after the request may have run, because a refusal
+    /// guarantees that it did not.
     fn uses_admission_control(&self) -> bool {
         self.gateway.overload.is_enabled() && !self.attempts.may_have_run()
     }
 
-    /// Rank of the caller as it is bought: the tenant's goes before the route's.
+    /// Returns the priority of the tenant, or else of the route.
     fn priority(&self) -> u32 {
         let tenant = self.tenant.as_deref();
-        let bought = tenant.and_then(|tenant| tenant.priority);
-        bought.unwrap_or(self.route.priority)
+        let priority = tenant.and_then(|tenant| tenant.priority);
+        priority.unwrap_or(self.route.priority)
     }
 
     fn admission_request(&self, behind_others: bool) -> AdmissionAsk {
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Finds out once whose share of the full service the request is: asked again, it would count again. One that
-    /// was let in before stays within.
+    /// Determines once whether the request is within its tenant's share of the full service, since each query counts
+    /// it. A request that was sent before counts as within.
     fn determine_share_status(&self, now: Instant) {
         if self.share_status.get().is_some() || self.attempts.sends() > 0 {
             return;
@@ -134,10 +135,10 @@
         let Some(request) = self.share_request() else {
             return;
         };
-        let room = self.gateway.fleet.borrow().begin_rate(now, &self.wanted());
+        let capacity = self.gateway.fleet.borrow().begin_rate(now, &self.wanted());
         let mut shares = self.gateway.shares.borrow_mut();
         self.share_status
-            .set(Some(shares.standing(now, &request, room)));
+            .set(Some(shares.standing(now, &request, capacity)));
     }
 
     fn wanted(&self) -> Wanted<'_> {
@@ -164,7 +165,7 @@
         self.gateway.metrics.admission_ended(&self.service, end);
     }
 
-    /// Refuses a request that would begin too late: its caller is told when to come back.
+    /// Refuses a request that would begin too late, with the time to retry.
     pub(super) async fn refuse_without_capacity(
         &mut self,
         outlook: RoomOutlook,
@@ -174,31 +175,31 @@
         self.gateway.metrics.admission_ended(&self.service, end);
         self.gateway.pressure.borrow_mut().refused(&self.service);
         let request = self.admission_request(false);
-        let told = self.retry_time();
-        let wait = told.wait();
-        info!(self.gateway.log, "forward: No room in time."; "request" => &self.terms.id,
+        let retry = self.retry_time();
+        let wait = retry.wait();
+        info!(self.gateway.log, "forward: No capacity in time."; "request" => &self.terms.id,
             "service" => %self.service, "begin_delay_ms" => outlook.begin_delay.as_millis() as u64,
             "begin_within_ms" => request.begin_within().as_millis() as u64,
             "picture_age_ms" => outlook.age.map(|age| age.as_millis() as u64),
             "returned" => request.has_returned(), "standing" => ?request.standing,
-            "told" => ?told, "wait_ms" => wait.as_millis() as u64);
+            "told" => ?retry, "wait_ms" => wait.as_millis() as u64);
         let message = format!("'{}' has no room for the request in time.", self.service);
         let refusal = Refusal::not_run(ErrorCode::Overloaded, message, wait);
-        self.answer_refusal(&refusal, "no room in time", connection)
+        self.answer_refusal(&refusal, "no capacity in time", connection)
             .await
     }
 
-    /// When the caller is to come back. One that has come back already hardly comes again, and takes no place of
-    /// others.
+    /// Returns when the caller should retry. The plan has no slot for a caller that has retried already, because it
+    /// rarely retries again.
     fn retry_time(&self) -> ReturnTime {
         let (now, time_left) = (Instant::now(), self.remaining());
-        let last = ReturnTime::Beyond(time_left.mul_f64(RETRY_FRACTION));
+        let unplanned = ReturnTime::Beyond(time_left.mul_f64(RETRY_FRACTION));
         if self.admission_request(false).has_returned() {
-            return last;
+            return unplanned;
         }
         let control = &self.gateway.overload;
         let mut random = self.gateway.random.borrow_mut();
-        let told = control.plan_retry(now, &self.service, time_left, &mut *random);
-        told.unwrap_or(last)
+        let planned = control.plan_retry(now, &self.service, time_left, &mut *random);
+        planned.unwrap_or(unplanned)
     }
 }
--- a/crates/firshore-gateway/src/forward/give_up.rs
+++ b/crates/firshore-gateway/src/forward/give_up.rs
@@ -1,4 +1,4 @@
-//! The last word to a caller whose request gets no answer from a back end.
+//! Ends requests without a response from a back end.
 
 use super::{Forwarding, Handled, Interrupted};
 use crate::attempts::Next;
@@ -9,7 +9,7 @@
 use slog::info;
 use std::time::Duration;
 
-/// Time after which a refused caller should come back.
+/// Time after which a refused caller should retry.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
 impl Forwarding<'_> {
@@ -27,13 +27,15 @@
         let refusal = match next {
             Next::PassOn | Next::SendAgain => match self.failure.take() {
                 Some(failure) => {
-                    return self.pass_on(&failure.head, failure.body, connection).await;
+                    return self
+                        .return_response(&failure.head, failure.body, connection)
+                        .await;
                 }
                 None => self.failed(),
             },
             Next::FailMaybeRun => self.failed(),
             Next::RefuseNotRun => {
-                // All back ends that it may go to have none to spare: items of the service give way.
+                // No back end had a free slot. Counting it as pressure preempts batch items of the service.
                 self.gateway.pressure.borrow_mut().refused(&self.service);
                 Refusal::not_run(
                     ErrorCode::NoBackend,
@@ -45,16 +47,16 @@
         self.answer_refusal(&refusal, reason, connection).await
     }
 
-    /// Back ends end under the request: it goes to none of them any more, for as long as that is known.
+    /// Refuses a quarantined request.
     pub(super) async fn refuse_quarantined(
         &mut self,
         wait: Duration,
         connection: &mut CallerConnection,
     ) -> Handled {
-        let reason = "back ends end under it";
+        let reason = "request crashes back ends";
         self.gateway.metrics.requests_quarantined.inc();
-        info!(self.gateway.log, "forward: Held back."; "request" => &self.terms.id,
-            "print" => %self.print(), "wait_s" => wait.as_secs());
+        info!(self.gateway.log, "forward: Quarantined."; "request" => &self.terms.id,
+            "print" => %self.fingerprint(), "wait_s" => wait.as_secs());
         if self.attempts.may_have_run() {
             return self.give_up(Next::FailMaybeRun, reason, connection).await;
         }
@@ -94,7 +96,7 @@
         info!(self.gateway.log, "forward: Given up."; "request" => &self.terms.id,
             "route" => &self.route.name, "service" => %self.service, "reason" => reason,
             "backend" => sent_to, "status" => status, "sends" => self.attempts.sends(),
-            "may_have_run" => self.attempts.may_have_run(), "age_ms" => self.age(),
+            "may_have_run" => self.attempts.may_have_run(), "age_ms" => self.age_ms(),
             "backends_age_ms" => self.gateway.beliefs.backends.age_ms());
     }
 
@@ -105,12 +107,12 @@
     ) -> Handled {
         if interrupted == Interrupted::CallerLeft {
             self.end = RequestEnd::CallerLeft;
-            self.log_given_up(None, "caller left");
+            self.log_given_up(None, "caller disconnected");
             return Handled::Close;
         }
         if self.progress.head_sent {
             self.end = RequestEnd::BrokenOff;
-            self.log_given_up(None, "time is up");
+            self.log_given_up(None, "deadline exceeded");
             return Handled::Close;
         }
         let message = "The time for the request is up.";
@@ -118,7 +120,7 @@
             true => Refusal::maybe_run(ErrorCode::DeadlineExceeded, message),
             false => Refusal::not_run(ErrorCode::NoBackend, message, RETRY_AFTER),
         };
-        self.answer_refusal(&refusal, "time is up", connection)
+        self.answer_refusal(&refusal, "deadline exceeded", connection)
             .await
     }
 }
--- a/crates/firshore-gateway/src/forward/headers.rs
+++ b/crates/firshore-gateway/src/forward/headers.rs
@@ -1,9 +1,8 @@
-//! Which headers travel from end to end.
+//! Filters the headers that are forwarded.
 
 use actix_http::header::{CONNECTION, HeaderMap, HeaderName};
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and those that the codec
-/// writes itself.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1), or that the codec writes itself.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
@@ -16,7 +15,7 @@
     "upgrade",
 ];
 
-/// Headers without those that concern one connection only.
+/// Returns the end-to-end headers: all except those that apply to a single connection.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
     let named: Vec<HeaderName> = headers
--- a/crates/firshore-gateway/src/forward/mod.rs
+++ b/crates/firshore-gateway/src/forward/mod.rs
@@ -1,7 +1,7 @@
-//! Carries one online request to a back end and its answer back.
+//! Forwards one online request to a back end and returns the response.
 //!
-//! An answer is passed on as it is or not at all: small answers are read whole first, streams event
-//! by event; what breaks off after a part was passed on ends the caller's connection.
+//! Small responses are read completely before they are returned, streams event by event. If a response breaks off
+//! after a part of it was returned, the caller's connection is closed.
 
 mod admit;
 mod give_up;
@@ -37,66 +37,66 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time left under which a request is not sent any more.
+/// Minimum remaining time for a send.
 const MIN_REMAINING: Duration = Duration::from_millis(5);
 
-/// Occasions on which back ends ended under a request from which on a try of it ends with the next one.
+/// Number of occasions on which back ends crashed under a request from which on it is not sent again.
 const CRASH_OCCASIONS_TO_STOP: usize = 2;
 
-/// What becomes of the caller's connection.
+/// Next state of the caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handled {
-    /// It may carry another request.
+    /// The connection may carry another request.
     KeepOpen,
-    /// It ends.
+    /// The connection is closed.
     Close,
 }
 
-/// Why work for a caller was stopped.
+/// Why a request was interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interrupted {
     CallerLeft,
     TimedOut,
 }
 
-/// How far the answer to the caller is.
+/// Progress of the response to the caller.
 #[derive(Debug, Default)]
 struct Progress {
     head_sent: bool,
-    /// Bytes of answers that have arrived.
+    /// Bytes of response bodies that have arrived.
     received: u64,
     events: EventStream,
 }
 
-/// A back end's failure, kept to be passed on if nothing better comes.
+/// Failure reported by a back end, returned to the caller if no later send succeeds.
 struct BackendFailure {
     head: ResponseHead,
     body: Bytes,
 }
 
-/// What a send came to.
+/// Result of a send.
 enum SendResult {
-    /// The caller has its answer, or is gone.
+    /// A response was returned, or the caller has disconnected.
     Handled(Handled),
-    /// The back end gave nothing to pass on.
+    /// There is no response to return.
     Ended(SendEnd),
 }
 
-/// Where and when a request was sent last, and what was believed then.
+/// Last send of a request, with the estimates at that time.
 struct LastSend {
     backend: Incarnation,
     at: Instant,
-    /// Requests per slot that the back end was believed to hold.
+    /// Estimated load of the back end in requests per slot.
     load: f32,
-    /// How many times the usual time work was believed to take there.
+    /// Estimated pace of the back end.
     pace: Option<f32>,
-    /// Time for which it was expected to wait there.
+    /// Expected wait at the back end.
     expected_wait: Duration,
-    /// Time until the head of its answer came.
+    /// Time until the head of the response arrived.
     began_after: Option<Duration>,
 }
 
-/// One request under way.
+/// Request that is being forwarded.
 struct Forwarding<'a> {
     gateway: &'a Gateway,
     route: Arc<Route>,
@@ -104,22 +104,21 @@
     tenant: Option<Arc<Tenant>>,
     request: CallerRequest,
     terms: RequestTerms,
-    /// When the caller must have its answer.
+    /// When the caller must have the complete response.
     deadline: Instant,
     attempts: Attempts,
     progress: Progress,
     failure: Option<BackendFailure>,
-    /// The last send.
     last_send: Option<LastSend>,
-    /// What it asks, once somebody wanted to know.
-    print: OnceCell<RequestPrint>,
-    /// Whether its tenant is within its share, once the service was full.
+    /// Fingerprint, computed at first use.
+    fingerprint: OnceCell<RequestPrint>,
+    /// Whether the request is within its tenant's fair share; `None` until the service is full.
     share_status: Cell<Option<ShareStanding>>,
-    /// How it ended for the caller.
+    /// How the request ended for the caller.
     end: RequestEnd,
 }
 
-/// Runs a request of a tenant, if it is known, and answers it.
+/// Forwards a request to a back end and writes the response.
 pub async fn forward(
     gateway: &Gateway,
     route: Arc<Route>,
@@ -146,7 +145,7 @@
         terms,
         failure: None,
         last_send: None,
-        print: OnceCell::new(),
+        fingerprint: OnceCell::new(),
         share_status: Cell::default(),
         end: RequestEnd::Answered,
     };
@@ -166,7 +165,11 @@
     handled
 }
 
-/// Waits for `work`, unless the caller leaves or the time is up.
+/// Waits for `work`.
+///
+/// # Errors
+///
+/// Fails if the caller disconnects or the deadline passes first.
 async fn unless_interrupted<T>(
     connection: &mut CallerConnection,
     deadline: Instant,
@@ -186,7 +189,7 @@
             if self.remaining() < MIN_REMAINING {
                 return Err(Interrupted::TimedOut);
             }
-            if let Some(wait) = self.gateway.held_back_for(|| self.print()) {
+            if let Some(wait) = self.gateway.held_back_for(|| self.fingerprint()) {
                 return Ok(self.refuse_quarantined(wait, connection).await);
             }
             let backend = match self.find_backend(connection).await? {
@@ -209,16 +212,16 @@
             info!(self.gateway.log, "forward: Send ended.";
                 "request" => &self.terms.id, "route" => &self.route.name,
                 "backend" => %backend.incarnation, "end" => ?end, "next" => ?next,
-                "sends" => self.attempts.sends(), "age_ms" => self.age(),
+                "sends" => self.attempts.sends(), "age_ms" => self.age_ms(),
                 "backends_age_ms" => self.gateway.beliefs.backends.age_ms());
             if next != Next::SendAgain {
-                return Ok(self.give_up(next, "sends used up", connection).await);
+                return Ok(self.give_up(next, "attempts exhausted", connection).await);
             }
         }
     }
 
-    /// A request under which back ends have ended on two occasions takes no other one along in the same try: one
-    /// that crashes them would end as many in each try as its route allows.
+    /// Stops a request under which back ends have crashed on [`CRASH_OCCASIONS_TO_STOP`] occasions. Otherwise a
+    /// request that crashes back ends would crash as many as its route allows attempts.
     async fn limit_crashes(
         &self,
         backend: &Backend,
@@ -232,20 +235,21 @@
         let settled = crashes.settled(&backend.incarnation);
         unless_interrupted(connection, self.deadline, settled).await?;
         match crashes.suspects_any()
-            && crashes.suspicion(&self.print()).occasions >= CRASH_OCCASIONS_TO_STOP
+            && crashes.suspicion(&self.fingerprint()).occasions >= CRASH_OCCASIONS_TO_STOP
         {
             true => Ok(Next::FailMaybeRun),
             false => Ok(next),
         }
     }
 
-    fn age(&self) -> u64 {
+    /// Returns the age of the request in milliseconds.
+    fn age_ms(&self) -> u64 {
         self.request.arrived.elapsed().as_millis() as u64
     }
 
-    /// What stands for the request at all nodes, whatever identifier it came with.
-    fn print(&self) -> RequestPrint {
-        let make = || {
+    /// Returns the fingerprint of the request, which is the same at all nodes and doesn't depend on its identifier.
+    fn fingerprint(&self) -> RequestPrint {
+        let compute = || {
             let host = self.request.headers.get(HOST);
             let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
             let target = self.request.uri.path_and_query();
@@ -257,7 +261,7 @@
                 body: &self.request.body,
             })
         };
-        *self.print.get_or_init(make)
+        *self.fingerprint.get_or_init(compute)
     }
 
     fn remaining(&self) -> Duration {
@@ -329,7 +333,7 @@
         }
     }
 
-    /// What is believed of a back end to which the request is about to be sent.
+    /// Records the current estimates for a back end before a send.
     fn new_send(&self, now: Instant, backend: &Backend) -> LastSend {
         let fleet = self.gateway.fleet.borrow();
         let incarnation = &backend.incarnation;
@@ -347,10 +351,10 @@
         self.gateway
             .observed(&backend.incarnation, Impression::Broke);
         warn!(self.gateway.log, "forward: Answer lost."; "request" => &self.terms.id,
-            "backend" => %backend.incarnation, "reason" => %error, "print" => %self.print(),
-            "age_ms" => self.age());
+            "backend" => %backend.incarnation, "reason" => %error, "print" => %self.fingerprint(),
+            "age_ms" => self.age_ms());
         let run = LostRun {
-            print: self.print(),
+            print: self.fingerprint(),
             reached: self.progress.received,
         };
         self.gateway.crashes.broke_off(backend, run);
@@ -385,15 +389,15 @@
             return self.relay_stream(backend, exchange, connection).await;
         }
         if self.progress.head_sent {
-            // A stream was to go on and got something else.
+            // The response to a resumed stream is not a stream.
             return Ok(SendResult::Ended(SendEnd::BrokenOff));
         }
         self.relay_whole(backend, exchange, answer.ran, connection)
             .await
     }
 
-    /// A request at a back end without a free slot waits there: items of the service give way to it, also where
-    /// nothing shows how many others have sent there.
+    /// Counts a request at a back end without a free slot as waiting there, so that batch items of the service are
+    /// preempted even without a view of other gateways' requests.
     fn record_waiting(&self, now: Instant, backend: &Backend) {
         let fleet = self.gateway.fleet.borrow();
         if fleet.is_crowded(now, &backend.incarnation) {
@@ -401,8 +405,8 @@
         }
     }
 
-    /// A good answer has begun: how long its request waited tells how full back ends are. One that was not run
-    /// comes back at once, and says nothing of lines.
+    /// Records the wait of a request whose successful response has begun, as evidence of the service's load. Requests
+    /// that were not run return immediately and don't count.
     fn record_wait(&self) {
         let Some(send) = &self.last_send else {
             return;
@@ -415,8 +419,8 @@
         fleet.began(now, &self.service, send.expected_wait, began_after);
     }
 
-    /// The caller's answer is about to begin: one that comes late is told in the log.
-    fn answer_begins(&self) {
+    /// Records that the response to the caller is about to begin, and logs it if it is late.
+    fn response_begins(&self) {
         let age = self.request.arrived.elapsed();
         self.gateway.metrics.answer_began(age);
         let Some(send) = self
@@ -435,6 +439,7 @@
             "load_when_sent" => send.load, "pace_when_sent" => send.pace, "sends" => self.attempts.sends());
     }
 
+    /// Records the load report and the refusal, if any, in a response.
     fn record_response(&self, backend: &Backend, answer: &AnswerHead) {
         if let Some(load) = answer.load {
             let mut fleet = self.gateway.fleet.borrow_mut();
--- a/crates/firshore-gateway/src/forward/relay.rs
+++ b/crates/firshore-gateway/src/forward/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a back end's answer on: whole after it was read whole, or event by event.
+//! Returns a back end's response to the caller: after reading it completely, or event by event.
 
 use super::headers::end_to_end;
 use super::{BackendFailure, Forwarding, Handled, Interrupted, SendResult, unless_interrupted};
@@ -14,16 +14,17 @@
 use firshore_exchange::exchange::{Exchange, ExchangeBody, ExchangeError};
 use std::time::Duration;
 
-/// Longest answer that is read whole before it is passed on, in bytes.
+/// Maximum length of a response that is read completely before it is returned, in bytes.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
-/// Whether a back end's status is a promise that only its own mark may give.
-fn promises_not_run(head: &ResponseHead) -> bool {
+/// Returns whether the status would tell the caller that the request did not run, which needs the back end's explicit
+/// mark.
+fn implies_not_run(head: &ResponseHead) -> bool {
     matches!(head.status.as_u16(), 408 | 421 | 429 | 503)
 }
 
 impl Forwarding<'_> {
-    /// Reads an answer whole, then passes it on.
+    /// Reads a response completely and returns it, or returns it in chunks if it is too long.
     pub(super) async fn relay_whole(
         &mut self,
         backend: &Backend,
@@ -39,7 +40,7 @@
         let head = exchange.head;
         if head.status.is_success() && ran != Ran::Yes {
             let error =
-                ExchangeError::Lost("a success that the back end does not vouch for".into());
+                ExchangeError::Lost("a success response without the mark of the back end".into());
             return Ok(self.lost(backend, &error));
         }
         let seen = match head.status.is_server_error() {
@@ -47,7 +48,7 @@
             false => Impression::Answered,
         };
         self.gateway.observed(&backend.incarnation, seen);
-        if promises_not_run(&head) {
+        if implies_not_run(&head) {
             return Ok(SendResult::Ended(SendEnd::Lost));
         }
         if head.status.is_server_error() && whole {
@@ -57,7 +58,7 @@
         if whole {
             self.record_completion(&head);
             return Ok(SendResult::Handled(
-                self.pass_on(&head, body, connection).await,
+                self.return_response(&head, body, connection).await,
             ));
         }
         let handled = self
@@ -66,13 +67,13 @@
         Ok(SendResult::Handled(handled))
     }
 
-    /// An answer came whole: where it is a success, the request does not crash back ends.
+    /// Records a complete response. A success clears the request of crashing back ends.
     fn record_completion(&self, head: &ResponseHead) {
         if !head.status.is_success() {
             return;
         }
-        self.gateway.completed(|| self.print());
-        // A run that went on where another broke off was shorter than others.
+        self.gateway.completed(|| self.fingerprint());
+        // A run that resumes another one is shorter, and would distort the statistics.
         if self.attempts.sends() > 1 || self.terms.resume_after.is_some() {
             return;
         }
@@ -85,14 +86,14 @@
         }
     }
 
-    /// Passes on an answer that was read whole.
-    pub(super) async fn pass_on(
+    /// Returns a response that was read completely.
+    pub(super) async fn return_response(
         &self,
         head: &ResponseHead,
         body: Bytes,
         connection: &mut CallerConnection,
     ) -> Handled {
-        self.answer_begins();
+        self.response_begins();
         let size = BodySize::Sized(body.len() as u64);
         let close = self.gateway.leaving.is_leaving();
         connection.put_head(head.status, end_to_end(&head.headers), size, close);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Passes on an answer that is too long to be read whole first.
+    /// Returns a response in chunks, beginning with `start`.
     pub(super) async fn relay_rest(
         &mut self,
         backend: &Backend,
@@ -153,10 +154,10 @@
         let close = self.gateway.leaving.is_leaving();
         connection.put_head(head.status, headers, BodySize::Stream, close);
         self.progress.head_sent = true;
-        self.answer_begins();
+        self.response_begins();
     }
 
-    /// Passes events on as they come.
+    /// Returns events as they arrive.
     pub(super) async fn relay_stream(
         &mut self,
         backend: &Backend,
@@ -211,7 +212,8 @@
         }
     }
 
-    /// What may be passed on of a chunk: whole events, where the stream may go on elsewhere.
+    /// Returns the part of the data that may be returned: only complete events if the stream can be resumed at another
+    /// back end.
     pub(super) fn events_in(&mut self, chunk: Bytes) -> Result<Bytes, ExchangeError> {
         if self.route.repetition != Repetition::Resumable {
             return Ok(chunk);
@@ -226,7 +228,7 @@
     }
 }
 
-/// Reads up to `limit` bytes; tells whether that is the whole body.
+/// Reads a body until it ends or exceeds `limit` bytes. Returns whether it is complete.
 async fn read_up_to(body: &mut ExchangeBody, limit: usize) -> Result<(Bytes, bool), ExchangeError> {
     let Some(first) = body.next().await? else {
         return Ok((Bytes::new(), true));
--- a/crates/firshore-gateway/src/gateway.rs
+++ b/crates/firshore-gateway/src/gateway.rs
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Sets the fingerprint key that all nodes share, and the time for which the end of a back end is kept.
+    /// Sets the fingerprint key that all nodes share, and the time for which the exit of a back end is kept.
     pub fn with_crash_memory(self, print_key: PrintKey, remember: Duration) -> Self {
         self.crashes.remember_for(remember);
         Self { print_key, ..self }
--- a/crates/firshore-gateway/src/metrics.rs
+++ b/crates/firshore-gateway/src/metrics.rs
@@ -96,7 +96,7 @@
     pub requests_denied: Counter,
     /// Ejections of back ends.
     pub ejections: Counter,
-    /// Back ends that ended while they ran requests of this node.
+    /// Back ends that crashed while they ran requests of this node.
     pub backends_crashed: Counter,
     /// Requests refused because they are quarantined.
     pub requests_quarantined: Counter,
