--- a/crates/firshore-gateway/src/fleet/mod.rs
+++ b/crates/firshore-gateway/src/fleet/mod.rs
@@ -458,13 +458,18 @@
     }
 
     /// Records the outcome of a request. Returns whether the back end is ejected because of it.
-    pub fn observed(&mut self, now: Instant, incarnation: &Incarnation, seen: Impression) -> bool {
+    pub fn observed(
+        &mut self,
+        now: Instant,
+        incarnation: &Incarnation,
+        outcome: Impression,
+    ) -> bool {
         let Some(state) = self.state_mut(incarnation) else {
             return false;
         };
-        match seen {
+        match outcome {
             Impression::Answered | Impression::Failed => {
-                let quality = match seen {
+                let quality = match outcome {
                     Impression::Failed => AnswerQuality::Failed,
                     _ => AnswerQuality::Good,
                 };
--- a/crates/firshore-gateway/src/fleet/selection.rs
+++ b/crates/firshore-gateway/src/fleet/selection.rs
@@ -43,14 +43,14 @@
 
 impl Fleet {
     /// Returns the back ends that may run a request, without ejected and unresponsive ones if there are others.
-    fn usable(&self, now: Instant, wanted: &Wanted<'_>) -> Vec<&BackendState> {
-        let Some(names) = self.by_service.get(wanted.service) else {
+    fn usable(&self, now: Instant, requirements: &Wanted<'_>) -> Vec<&BackendState> {
+        let Some(names) = self.by_service.get(requirements.service) else {
             return Vec::new();
         };
         let usable: Vec<&BackendState> = names
             .iter()
             .filter_map(|name| self.states.get(name))
-            .filter(|state| wanted.attempts.allows(&state.backend.incarnation))
+            .filter(|state| requirements.attempts.allows(&state.backend.incarnation))
             .filter(|state| !state.backend.leaving)
             .collect();
         let trusted: Vec<&BackendState> = usable
@@ -147,12 +147,12 @@
     pub fn choose(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
+        requirements: &Wanted<'_>,
         random: &mut impl Rng,
     ) -> Option<Backend> {
-        let usable = self.usable(now, wanted);
-        let stats = self.stats(wanted.service);
-        let supply = wanted
+        let usable = self.usable(now, requirements);
+        let stats = self.stats(requirements.service);
+        let supply = requirements
             .begin_within
             .map(|begin_within| self.supply(now, &usable, &stats, begin_within));
         let none_in_flight = Self::none_in_flight(&usable);
@@ -161,10 +161,10 @@
         };
         let states: Vec<&BackendState> = usable
             .into_iter()
-            .filter(|state| state.held(now) < state.allowed(wanted.load_limit))
+            .filter(|state| state.held(now) < state.allowed(requirements.load_limit))
             .filter(|state| may_take(state))
             .collect();
-        let states = fast_enough(now, wanted, &stats, states);
+        let states = fast_enough(now, requirements, &stats, states);
         let until_next = self.view_interval;
         let candidates: Vec<Candidate> = states
             .iter()
@@ -176,7 +176,8 @@
                 at_home: state.backend.zone == self.zone,
             })
             .collect();
-        let position = choice::choose(&candidates, wanted.affinity, self.placement(), random)?;
+        let position =
+            choice::choose(&candidates, requirements.affinity, self.placement(), random)?;
         Some(states[position].backend.clone())
     }
 
@@ -185,11 +186,11 @@
     pub fn outlook(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
+        requirements: &Wanted<'_>,
         begin_within: Duration,
     ) -> Option<RoomOutlook> {
-        let usable = self.usable(now, wanted);
-        let stats = self.stats(wanted.service);
+        let usable = self.usable(now, requirements);
+        let stats = self.stats(requirements.service);
         let delays = usable.iter().map(|state| state.begin_delay(now, &stats));
         let shortest = delays.min()?;
         let supply = self.supply(now, &usable, &stats, begin_within);
@@ -211,10 +212,10 @@
     }
 
     /// Returns the rate, in requests per second, at which a service begins requests while all slots are in use.
-    pub fn begin_rate(&self, now: Instant, wanted: &Wanted<'_>) -> f64 {
-        let usable = self.usable(now, wanted);
+    pub fn begin_rate(&self, now: Instant, requirements: &Wanted<'_>) -> f64 {
+        let usable = self.usable(now, requirements);
         let slots = usable.iter().map(|state| state.slots());
-        self.stats(wanted.service).begin_rate(slots.sum())
+        self.stats(requirements.service).begin_rate(slots.sum())
     }
 
     fn view_age(&self, now: Instant) -> Option<Duration> {
@@ -234,11 +235,11 @@
 /// a late response is better than none.
 fn fast_enough<'a>(
     now: Instant,
-    wanted: &Wanted<'_>,
+    requirements: &Wanted<'_>,
     stats: &ServiceStats,
     states: Vec<&'a BackendState>,
 ) -> Vec<&'a BackendState> {
-    let Some(answer_within) = wanted.answer_within else {
+    let Some(answer_within) = requirements.answer_within else {
         return states;
     };
     let is_fast = |state: &&BackendState| match state.pace.pace(now) {
--- a/crates/firshore-gateway/src/forward/admit.rs
+++ b/crates/firshore-gateway/src/forward/admit.rs
@@ -135,13 +135,17 @@
         let Some(request) = self.share_request() else {
             return;
         };
-        let capacity = self.gateway.fleet.borrow().begin_rate(now, &self.wanted());
+        let capacity = self
+            .gateway
+            .fleet
+            .borrow()
+            .begin_rate(now, &self.requirements());
         let mut shares = self.gateway.shares.borrow_mut();
         self.share_status
             .set(Some(shares.standing(now, &request, capacity)));
     }
 
-    fn wanted(&self) -> Wanted<'_> {
+    fn requirements(&self) -> Wanted<'_> {
         Wanted {
             service: &self.service,
             attempts: &self.attempts,
@@ -154,7 +158,7 @@
 
     fn outlook(&self, now: Instant, request: &AdmissionAsk) -> Option<RoomOutlook> {
         let fleet = self.gateway.fleet.borrow();
-        fleet.outlook(now, &self.wanted(), request.begin_within())
+        fleet.outlook(now, &self.requirements(), request.begin_within())
     }
 
     fn count_admission(&self, waited: bool) {
--- a/crates/firshore-gateway/src/forward/mod.rs
+++ b/crates/firshore-gateway/src/forward/mod.rs
@@ -273,7 +273,7 @@
             true => affinity_key(&self.terms.prompt),
             false => None,
         };
-        let wanted = Wanted {
+        let requirements = Wanted {
             service: &self.service,
             attempts: &self.attempts,
             affinity,
@@ -283,7 +283,7 @@
         };
         let mut random = self.gateway.random.borrow_mut();
         let fleet = self.gateway.fleet.borrow();
-        fleet.choose(Instant::now(), &wanted, &mut *random)
+        fleet.choose(Instant::now(), &requirements, &mut *random)
     }
 
     fn request_head(&self, backend: &Backend) -> RequestHead {
@@ -445,11 +445,11 @@
             let mut fleet = self.gateway.fleet.borrow_mut();
             fleet.reported(Instant::now(), &backend.incarnation, load);
         }
-        let seen = match (answer.misdirected, answer.ran) {
+        let outcome = match (answer.misdirected, answer.ran) {
             (true, _) => Impression::Unreachable,
             (false, Ran::No) => Impression::Full,
             (false, _) => return,
         };
-        self.gateway.observed(&backend.incarnation, seen);
+        self.gateway.observed(&backend.incarnation, outcome);
     }
 }
--- a/crates/firshore-gateway/src/forward/relay.rs
+++ b/crates/firshore-gateway/src/forward/relay.rs
@@ -43,11 +43,11 @@
                 ExchangeError::Lost("a success response without the mark of the back end".into());
             return Ok(self.lost(backend, &error));
         }
-        let seen = match head.status.is_server_error() {
+        let outcome = match head.status.is_server_error() {
             true => Impression::Failed,
             false => Impression::Answered,
         };
-        self.gateway.observed(&backend.incarnation, seen);
+        self.gateway.observed(&backend.incarnation, outcome);
         if implies_not_run(&head) {
             return Ok(SendResult::Ended(SendEnd::Lost));
         }
@@ -169,13 +169,13 @@
                 match unless_interrupted(connection, self.deadline, exchange.body.next()).await? {
                     Ok(Some(chunk)) => chunk,
                     Ok(None) => break,
-                    Err(error) => return Ok(self.stream_broke(backend, &error)),
+                    Err(error) => return Ok(self.stream_lost(backend, &error)),
                 };
             self.gateway.heard(&backend.incarnation);
             self.progress.received += chunk.len() as u64;
             let events = match self.events_in(chunk) {
                 Ok(events) => events,
-                Err(error) => return Ok(self.stream_broke(backend, &error)),
+                Err(error) => return Ok(self.stream_lost(backend, &error)),
             };
             if events.is_empty() {
                 continue;
@@ -188,7 +188,7 @@
         }
         if self.progress.events.holds_part() {
             let error = ExchangeError::CutOff;
-            return Ok(self.stream_broke(backend, &error));
+            return Ok(self.stream_lost(backend, &error));
         }
         self.gateway
             .observed(&backend.incarnation, Impression::Answered);
@@ -222,7 +222,7 @@
         events.map_err(|fault| ExchangeError::Lost(fault.to_string()))
     }
 
-    pub(super) fn stream_broke(&mut self, backend: &Backend, error: &ExchangeError) -> SendResult {
+    pub(super) fn stream_lost(&mut self, backend: &Backend, error: &ExchangeError) -> SendResult {
         self.progress.events.broken_off();
         self.lost(backend, error)
     }
--- a/crates/firshore-gateway/src/gateway.rs
+++ b/crates/firshore-gateway/src/gateway.rs
@@ -375,14 +375,14 @@
     }
 
     /// Records the outcome of a request at a back end.
-    pub fn observed(&self, incarnation: &Incarnation, seen: Impression) {
+    pub fn observed(&self, incarnation: &Incarnation, outcome: Impression) {
         let ejected = self
             .fleet
             .borrow_mut()
-            .observed(Instant::now(), incarnation, seen);
+            .observed(Instant::now(), incarnation, outcome);
         if ejected {
             self.metrics.ejections.inc();
-            warn!(self.log, "fleet: Back end ejected."; "backend" => %incarnation, "seen" => ?seen);
+            warn!(self.log, "fleet: Back end ejected."; "backend" => %incarnation, "seen" => ?outcome);
         }
     }
 }
--- a/crates/firshore-gateway/src/serve.rs
+++ b/crates/firshore-gateway/src/serve.rs
@@ -29,7 +29,7 @@
 const UNCONFIGURED_RETRY: Duration = Duration::from_millis(500);
 
 /// Response of the node itself.
-enum Answer {
+enum LocalResponse {
     Empty(StatusCode),
     Json(Bytes),
     Octets(Bytes),
@@ -89,7 +89,7 @@
     let Some(configuration) = gateway.configuration() else {
         let message = "The node does not know a configuration yet.";
         let refusal = Refusal::not_run(ErrorCode::Unavailable, message, UNCONFIGURED_RETRY);
-        return answer(gateway, Answer::Refused(refusal), connection).await;
+        return write_response(gateway, LocalResponse::Refused(refusal), connection).await;
     };
     let route = find_route(&configuration, &request);
     let key = gateway.adapter.caller.read_key(&request.headers);
@@ -108,9 +108,15 @@
                 "configuration_age_ms" => gateway.beliefs.configuration.age_ms(),
                 "path" => request.uri.path());
             if gateway.beliefs.configuration.is_stale() {
-                return answer(gateway, Answer::Refused(stale_configuration()), connection).await;
+                return write_response(
+                    gateway,
+                    LocalResponse::Refused(stale_configuration()),
+                    connection,
+                )
+                .await;
             }
-            return answer(gateway, Answer::from(error.api_error()), connection).await;
+            return write_response(gateway, LocalResponse::from(error.api_error()), connection)
+                .await;
         }
     };
     match route {
@@ -119,17 +125,17 @@
                 && let Err(over) = gateway.admit(tenant)
             {
                 let refusal = over_limit(gateway, tenant, &request, over);
-                return answer(gateway, Answer::Refused(refusal), connection).await;
+                return write_response(gateway, LocalResponse::Refused(refusal), connection).await;
             }
             forward::forward(gateway, route, tenant, request, connection).await
         }
         Some(route) => {
             let response = submit(gateway, route, tenant, request).await;
-            answer(gateway, response, connection).await
+            write_response(gateway, response, connection).await
         }
         None => {
             let response = handle_unrouted(gateway, &configuration, tenant, &request).await;
-            answer(gateway, response, connection).await
+            write_response(gateway, response, connection).await
         }
     }
 }
@@ -171,7 +177,7 @@
     configuration: &ServingConfiguration,
     tenant: Option<Arc<Tenant>>,
     request: &CallerRequest,
-) -> Answer {
+) -> LocalResponse {
     let dialect = &gateway.adapter.jobs;
     let query = request.uri.query().unwrap_or_default();
     let path = request.uri.path();
@@ -183,21 +189,21 @@
                 "configuration_age_ms" => belief.age_ms(), "source" => belief.source(),
                 "host" => ?request.headers.get(HOST), "path" => path);
             if belief.is_stale() {
-                return Answer::Refused(stale_configuration());
+                return LocalResponse::Refused(stale_configuration());
             }
             let message = format!("No route for '{path}' in version {version}.");
-            Answer::from(ApiError::not_run(ErrorCode::NotFound, message))
+            LocalResponse::from(ApiError::not_run(ErrorCode::NotFound, message))
         }
-        Some(Err(error)) => Answer::from(ApiError::not_run(
+        Some(Err(error)) => LocalResponse::from(ApiError::not_run(
             ErrorCode::InvalidRequest,
             error.to_string(),
         )),
         Some(Ok(call)) => match job_call(gateway, tenant.as_deref(), call).await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(error) => {
                 info!(gateway.log, "jobs: Call failed."; "path" => path,
                     "reason" => %error, "age_ms" => request.arrived.elapsed().as_millis() as u64);
-                Answer::from(error)
+                LocalResponse::from(error)
             }
         },
     }
@@ -216,10 +222,10 @@
     route: Arc<Route>,
     tenant: Option<Arc<Tenant>>,
     request: CallerRequest,
-) -> Answer {
+) -> LocalResponse {
     let invalid = |reason: String| {
         info!(gateway.log, "serve: Job invalid."; "reason" => &reason);
-        Answer::from(ApiError::not_run(ErrorCode::InvalidRequest, reason))
+        LocalResponse::from(ApiError::not_run(ErrorCode::InvalidRequest, reason))
     };
     let dialect = &gateway.adapter.jobs;
     let Some(id) = dialect.job_id(&request.headers) else {
@@ -230,7 +236,7 @@
         Err(error) => return invalid(error.to_string()),
     };
     let Some(jobs) = &gateway.jobs else {
-        return Answer::from(jobs_unavailable());
+        return LocalResponse::from(jobs_unavailable());
     };
     let count = items.len();
     let job = job_id(tenant.as_deref(), id);
@@ -240,12 +246,12 @@
         Ok(()) => {
             info!(gateway.log, "jobs: Accepted."; "job" => job.id, "route" => &route.name,
                 "items" => count, "age_ms" => request.arrived.elapsed().as_millis() as u64);
-            Answer::Empty(StatusCode::ACCEPTED)
+            LocalResponse::Empty(StatusCode::ACCEPTED)
         }
         Err(error) => {
             info!(gateway.log, "jobs: Not accepted."; "job" => job.id, "route" => &route.name,
                 "reason" => %error, "age_ms" => request.arrived.elapsed().as_millis() as u64);
-            Answer::from(error)
+            LocalResponse::from(error)
         }
     }
 }
@@ -262,7 +268,7 @@
     gateway: &Gateway,
     tenant: Option<&Tenant>,
     call: JobCall,
-) -> Result<Answer, ApiError> {
+) -> Result<LocalResponse, ApiError> {
     let jobs = gateway.jobs.as_ref().ok_or_else(jobs_unavailable)?;
     let unknown = |job: &JobId| {
         info!(gateway.log, "jobs: Unknown."; "job" => &job.id);
@@ -274,37 +280,41 @@
             let page = jobs.results(job.clone(), from, wait).await?;
             let page = page.ok_or_else(|| unknown(&job))?;
             let body = gateway.adapter.jobs.write_results(&page);
-            Ok(Answer::Json(body.into()))
+            Ok(LocalResponse::Json(body.into()))
         }
         JobCall::Body { job, item } => {
             let job = job_id(tenant, job);
             let body = jobs.body(job.clone(), item).await?;
             let body = body.ok_or_else(|| unknown(&job))?;
-            Ok(Answer::Octets(Bytes::copy_from_slice(&body.0)))
+            Ok(LocalResponse::Octets(Bytes::copy_from_slice(&body.0)))
         }
         JobCall::End { job } => {
             let job = job_id(tenant, job);
             match jobs.end(job.clone()).await? {
-                true => Ok(Answer::Empty(StatusCode::OK)),
+                true => Ok(LocalResponse::Empty(StatusCode::OK)),
                 false => Err(unknown(&job)),
             }
         }
     }
 }
 
-impl From<ApiError> for Answer {
+impl From<ApiError> for LocalResponse {
     fn from(error: ApiError) -> Self {
         Self::Refused(error.into())
     }
 }
 
-async fn answer(gateway: &Gateway, answer: Answer, connection: &mut CallerConnection) -> Handled {
+async fn write_response(
+    gateway: &Gateway,
+    response: LocalResponse,
+    connection: &mut CallerConnection,
+) -> Handled {
     let close = gateway.leaving.is_leaving();
-    let (status, content_type, body) = match answer {
-        Answer::Empty(status) => (status, None, Bytes::new()),
-        Answer::Json(body) => (StatusCode::OK, Some("application/json"), body),
-        Answer::Octets(body) => (StatusCode::OK, Some("application/octet-stream"), body),
-        Answer::Refused(refusal) => {
+    let (status, content_type, body) = match response {
+        LocalResponse::Empty(status) => (status, None, Bytes::new()),
+        LocalResponse::Json(body) => (StatusCode::OK, Some("application/json"), body),
+        LocalResponse::Octets(body) => (StatusCode::OK, Some("application/octet-stream"), body),
+        LocalResponse::Refused(refusal) => {
             return match refusal.write(connection, close).await {
                 Ok(()) if connection.keeps_open() => Handled::KeepOpen,
                 _ => Handled::Close,
