--- a/crates/firshore-gateway/src/belief.rs
+++ b/crates/firshore-gateway/src/belief.rs
@@ -11,14 +11,14 @@
 
 /// Where a node's copy was read from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BeliefSource {
+pub enum FreshnessSource {
     /// The object store itself.
     Store,
     /// A node that relays the contents of the store.
     Relay(NodeName),
 }
 
-impl fmt::Display for BeliefSource {
+impl fmt::Display for FreshnessSource {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store => formatter.write_str("store"),
@@ -30,21 +30,21 @@
 #[derive(Clone, Debug)]
 struct Confirmation {
     as_of: Instant,
-    source: BeliefSource,
+    source: FreshnessSource,
 }
 
 /// Freshness of a node's copy of the objects of one kind.
 #[derive(Debug, Default)]
-pub struct Belief {
+pub struct Freshness {
     confirmation: RefCell<Option<Confirmation>>,
     /// Maximum age at which decisions may use the copy; `None`: unlimited.
     max_age: Cell<Option<Duration>>,
 }
 
-impl Belief {
+impl Freshness {
     /// Records a response from `source`, after which the copy holds everything that was in the store at `as_of`
     /// (on the clock of [`firshore_clock`]). Ignored unless it is newer than the last one.
-    pub fn confirm(&self, as_of: Instant, source: BeliefSource) {
+    pub fn confirm(&self, as_of: Instant, source: FreshnessSource) {
         let mut confirmation = self.confirmation.borrow_mut();
         if let Some(current) = confirmation.as_ref()
             && current.as_of >= as_of
@@ -96,9 +96,9 @@
 
 /// Freshness of a gateway's copies of the object store.
 #[derive(Debug, Default)]
-pub struct Beliefs {
+pub struct StoreFreshness {
     /// Configuration in force.
-    pub configuration: Rc<Belief>,
+    pub configuration: Rc<Freshness>,
     /// Back ends, and which of them are leaving.
-    pub backends: Rc<Belief>,
+    pub backends: Rc<Freshness>,
 }
--- a/crates/firshore-gateway/src/caller_connection.rs
+++ b/crates/firshore-gateway/src/caller_connection.rs
@@ -59,7 +59,7 @@
 
 /// The caller has disconnected; nothing more can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerGone;
+pub struct CallerDisconnected;
 
 thread_local! {
     /// One per thread, because building it starts a task that updates the date.
@@ -243,29 +243,29 @@
     /// # Errors
     ///
     /// Fails if the caller has disconnected.
-    pub async fn flush(&mut self) -> Result<(), CallerGone> {
+    pub async fn flush(&mut self) -> Result<(), CallerDisconnected> {
         while !self.output.is_empty() {
             match self.stream.try_write(&self.output) {
                 Ok(count) => self.output.advance(count),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.wait_writable().await?;
                 }
-                Err(_) => return Err(CallerGone),
+                Err(_) => return Err(CallerDisconnected),
             }
         }
         Ok(())
     }
 
-    async fn wait_writable(&mut self) -> Result<(), CallerGone> {
+    async fn wait_writable(&mut self) -> Result<(), CallerDisconnected> {
         let full = self.input.len() > READ_AHEAD_BYTES;
         let interest = match full {
             true => Interest::WRITABLE,
             false => Interest::READABLE | Interest::WRITABLE,
         };
-        let ready = self.stream.ready(interest).await.map_err(|_| CallerGone)?;
+        let ready = self.stream.ready(interest).await.map_err(|_| CallerDisconnected)?;
         if ready.is_readable() && !full {
             // Readiness may be stale: waiting for bytes here could miss that the socket is writable.
-            self.try_read().map_err(|_| CallerGone)?;
+            self.try_read().map_err(|_| CallerDisconnected)?;
         }
         Ok(())
     }
--- a/crates/firshore-gateway/src/choice.rs
+++ b/crates/firshore-gateway/src/choice.rs
@@ -46,7 +46,7 @@
     /// At the least loaded of a few drawn: for a node whose view is current.
     LeastLoaded,
     /// At random, in proportion to free capacity: for one of many nodes with similar, older views.
-    ByRoom,
+    ByCapacity,
 }
 
 /// Back end that may take the request.
@@ -109,7 +109,7 @@
         return Some(found);
     }
     let by_capacity = match placement {
-        Placement::ByRoom => by_capacity(candidates, random),
+        Placement::ByCapacity => by_capacity(candidates, random),
         Placement::LeastLoaded => None,
     };
     by_capacity.or_else(|| by_load(candidates, random))
--- a/crates/firshore-gateway/src/crash_monitor.rs
+++ b/crates/firshore-gateway/src/crash_monitor.rs
@@ -4,9 +4,9 @@
 use crate::fleet::Fleet;
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::Incarnation;
-use firshore_crashes::print::RequestPrint;
+use firshore_crashes::print::RequestFingerprint;
 use firshore_crashes::report::{LostRun, TableCursor};
-use firshore_crashes::sync::{self, CrashAnswer, CrashQuestion, CrashSync};
+use firshore_crashes::sync::{self, CrashSyncResponse, CrashSyncRequest, CrashSync};
 use firshore_crashes::table::{CrashTable, Suspicion, TableChange};
 use firshore_exchange::exchange;
 use firshore_metrics::Counter;
@@ -194,12 +194,12 @@
     }
 
     /// Returns whether any request is quarantined.
-    pub fn holds_any_back(&self) -> bool {
-        self.table.borrow().has_verdicts()
+    pub fn has_quarantined(&self) -> bool {
+        self.table.borrow().has_quarantined()
     }
 
     /// Returns the remaining quarantine of a request; `None` if it is not quarantined.
-    pub fn held_back_for(&self, print: &RequestPrint) -> Option<Duration> {
+    pub fn quarantined_for(&self, print: &RequestFingerprint) -> Option<Duration> {
         let now = firshore_clock::now().into_std();
         let table = self.table.borrow();
         let verdict = table.verdict(print)?;
@@ -207,12 +207,12 @@
     }
 
     /// Returns the exits of back ends that are attributed to a request.
-    pub fn suspicion(&self, print: &RequestPrint) -> Suspicion {
+    pub fn suspicion(&self, print: &RequestFingerprint) -> Suspicion {
         self.table.borrow().suspicion(print)
     }
 
     /// Records that a request has completed, which clears it of suspicion.
-    pub fn completed(&self, print: RequestPrint) {
+    pub fn completed(&self, print: RequestFingerprint) {
         if self.suspicion(&print).ends == 0 {
             return;
         }
@@ -225,7 +225,7 @@
     }
 
     /// Applies a peer's request to exchange tables and returns the response.
-    pub fn answer(&self, question: &CrashQuestion) -> CrashAnswer {
+    pub fn answer(&self, question: &CrashSyncRequest) -> CrashSyncResponse {
         let now = firshore_clock::now().into_std();
         let before = self.table.borrow().cursor();
         let (answer, changes) = sync::answer(&mut self.table.borrow_mut(), now, question);
@@ -242,7 +242,7 @@
         sync: &mut CrashSync,
         peer: &NodeName,
         sent_through: u64,
-        answer: &CrashAnswer,
+        answer: &CrashSyncResponse,
     ) {
         let now = firshore_clock::now().into_std();
         let mut table = self.table.borrow_mut();
@@ -276,7 +276,7 @@
                 }
                 // The entry of an exited back end stays for some seconds. Without this, every node would send
                 // requests there until its own requests fail.
-                TableChange::BackendEnded(backend) => {
+                TableChange::BackendExited(backend) => {
                     self.exclude(backend);
                 }
                 TableChange::Lifted(print) => {
--- a/crates/firshore-gateway/src/events.rs
+++ b/crates/firshore-gateway/src/events.rs
@@ -9,7 +9,7 @@
 quick_error! {
     /// Why a stream cannot be passed on.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum EventFault {
+    pub enum EventError {
         /// An event is missing or repeated.
         OutOfOrder(expected: u64, found: u64) {
             display("The back end sent event {found} where {expected} was due. Report this to the operators.")
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// Fails if an event number is not the next one, or if an event is too long.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, EventFault> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, EventError> {
         self.buffer.extend_from_slice(bytes);
         let before = self.last;
         let complete = self.check_events().inspect_err(|_| {
@@ -51,13 +51,13 @@
         })?;
         if self.buffer.len() - complete > MAX_EVENT_BYTES {
             self.last = before;
-            return Err(EventFault::TooLong);
+            return Err(EventError::TooLong);
         }
         Ok(self.buffer.split_to(complete).freeze())
     }
 
     /// Checks the numbers of the complete events in the buffer. Returns their total length in bytes.
-    fn check_events(&mut self) -> Result<usize, EventFault> {
+    fn check_events(&mut self) -> Result<usize, EventError> {
         let mut complete = 0;
         while let Some(length) = event_length(&self.buffer[complete..]) {
             let event = &self.buffer[complete..complete + length];
@@ -69,11 +69,11 @@
         Ok(complete)
     }
 
-    fn check_number(&mut self, number: u64) -> Result<(), EventFault> {
+    fn check_number(&mut self, number: u64) -> Result<(), EventError> {
         if let Some(last) = self.last
             && number != last + 1
         {
-            return Err(EventFault::OutOfOrder(last + 1, number));
+            return Err(EventError::OutOfOrder(last + 1, number));
         }
         self.last = Some(number);
         Ok(())
--- a/crates/firshore-gateway/src/fleet/mod.rs
+++ b/crates/firshore-gateway/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 mod state;
 
 use crate::attempts::Attempts;
-use crate::pace::AnswerQuality;
+use crate::pace::ResponseQuality;
 use firshore_adapter::backend::{Backend, Pace, ReportedLoad};
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_exchange::endpoint::Endpoint;
@@ -36,7 +36,7 @@
 
 /// Outcome of a request as evidence about the back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Impression {
+pub enum BackendOutcome {
     /// The back end responded.
     Answered,
     /// The back end reported a failure.
@@ -71,7 +71,7 @@
 
 /// Pace reported by a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NamedPace {
+pub struct PaceReport {
     /// Back end.
     pub backend: BackendName,
     /// Reported pace.
@@ -79,7 +79,7 @@
 }
 
 /// Requirements of a request on its back end.
-pub struct Wanted<'a> {
+pub struct BackendRequirements<'a> {
     /// Service that runs the request.
     pub service: &'a ServiceName,
     /// Sends of the request so far.
@@ -286,7 +286,7 @@
     }
 
     /// Applies a view of the requests that other nodes have in flight. Back ends that it doesn't contain are idle.
-    pub fn learned_others(
+    pub fn apply_remote_load(
         &mut self,
         now: Instant,
         remote: &HashMap<BackendName, u32>,
@@ -323,7 +323,7 @@
     }
 
     /// Sets the time between two views of other nodes' requests.
-    pub fn set_picture_interval(&mut self, interval: Duration) {
+    pub fn set_view_interval(&mut self, interval: Duration) {
         self.view_interval = interval;
     }
 
@@ -420,10 +420,10 @@
     }
 
     /// Returns the paces that back ends reported to this node since the last call, to be reported to other nodes.
-    pub fn take_untold_paces(&mut self) -> Vec<NamedPace> {
+    pub fn take_unreported_paces(&mut self) -> Vec<PaceReport> {
         let states = self.states.iter_mut();
         let paces = states.filter_map(|(name, state)| {
-            Some(NamedPace {
+            Some(PaceReport {
                 backend: name.clone(),
                 pace: state.unreported_pace.take()?,
             })
@@ -432,7 +432,7 @@
     }
 
     /// Applies paces that back ends reported to other nodes.
-    pub fn learned_paces(&mut self, now: Instant, paces: Vec<NamedPace>) {
+    pub fn apply_remote_paces(&mut self, now: Instant, paces: Vec<PaceReport>) {
         for report in paces {
             let Some(state) = self.states.get_mut(&report.backend) else {
                 continue;
@@ -462,16 +462,16 @@
         &mut self,
         now: Instant,
         incarnation: &Incarnation,
-        outcome: Impression,
+        outcome: BackendOutcome,
     ) -> bool {
         let Some(state) = self.state_mut(incarnation) else {
             return false;
         };
         match outcome {
-            Impression::Answered | Impression::Failed => {
+            BackendOutcome::Answered | BackendOutcome::Failed => {
                 let quality = match outcome {
-                    Impression::Failed => AnswerQuality::Failed,
-                    _ => AnswerQuality::Good,
+                    BackendOutcome::Failed => ResponseQuality::Failed,
+                    _ => ResponseQuality::Good,
                 };
                 state.pace.answered(now, quality);
                 state.failures = 0;
@@ -479,7 +479,7 @@
                 state.ejected_until = None;
                 return false;
             }
-            Impression::Full => {
+            BackendOutcome::Full => {
                 state.report = Some(LoadReport {
                     remote: state.backend.slots * 2,
                     at: now,
@@ -487,9 +487,9 @@
                 });
                 return false;
             }
-            Impression::Unreachable => state.failures = FAILURES_TO_EJECT,
-            Impression::Broke => {
-                state.pace.answered(now, AnswerQuality::Failed);
+            BackendOutcome::Unreachable => state.failures = FAILURES_TO_EJECT,
+            BackendOutcome::Broke => {
+                state.pace.answered(now, ResponseQuality::Failed);
                 state.failures += 1;
             }
         }
--- a/crates/firshore-gateway/src/fleet/selection.rs
+++ b/crates/firshore-gateway/src/fleet/selection.rs
@@ -2,10 +2,10 @@
 
 use super::service_stats::ServiceStats;
 use super::state::BackendState;
-use super::{Fleet, Wanted};
+use super::{Fleet, BackendRequirements};
 use crate::choice::{self, Candidate, Placement};
 use firshore_adapter::backend::Backend;
-use firshore_admission::admission::RoomOutlook;
+use firshore_admission::admission::CapacityOutlook;
 use firshore_types::ids::ServiceName;
 use rand::Rng;
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
 
 impl Fleet {
     /// Returns the back ends that may run a request, without ejected and unresponsive ones if there are others.
-    fn usable(&self, now: Instant, requirements: &Wanted<'_>) -> Vec<&BackendState> {
+    fn usable(&self, now: Instant, requirements: &BackendRequirements<'_>) -> Vec<&BackendState> {
         let Some(names) = self.by_service.get(requirements.service) else {
             return Vec::new();
         };
@@ -147,7 +147,7 @@
     pub fn choose(
         &self,
         now: Instant,
-        requirements: &Wanted<'_>,
+        requirements: &BackendRequirements<'_>,
         random: &mut impl Rng,
     ) -> Option<Backend> {
         let usable = self.usable(now, requirements);
@@ -186,9 +186,9 @@
     pub fn outlook(
         &self,
         now: Instant,
-        requirements: &Wanted<'_>,
+        requirements: &BackendRequirements<'_>,
         begin_within: Duration,
-    ) -> Option<RoomOutlook> {
+    ) -> Option<CapacityOutlook> {
         let usable = self.usable(now, requirements);
         let stats = self.stats(requirements.service);
         let delays = usable.iter().map(|state| state.begin_delay(now, &stats));
@@ -203,8 +203,8 @@
         };
         let waits_too_long = matches!(supply, CapacitySupply::Wait(wait) if wait > begin_within);
         let none_in_flight = Self::none_in_flight(&usable);
-        Some(RoomOutlook {
-            has_place: none_in_flight || (may_take && !waits_too_long),
+        Some(CapacityOutlook {
+            has_slot: none_in_flight || (may_take && !waits_too_long),
             is_scarce,
             begin_delay,
             age: self.view_age(now),
@@ -212,7 +212,7 @@
     }
 
     /// Returns the rate, in requests per second, at which a service begins requests while all slots are in use.
-    pub fn begin_rate(&self, now: Instant, requirements: &Wanted<'_>) -> f64 {
+    pub fn begin_rate(&self, now: Instant, requirements: &BackendRequirements<'_>) -> f64 {
         let usable = self.usable(now, requirements);
         let slots = usable.iter().map(|state| state.slots());
         self.stats(requirements.service).begin_rate(slots.sum())
@@ -225,7 +225,7 @@
 
     fn placement(&self) -> Placement {
         match self.view_interval > MAX_CURRENT_VIEW_AGE {
-            true => Placement::ByRoom,
+            true => Placement::ByCapacity,
             false => Placement::LeastLoaded,
         }
     }
@@ -235,7 +235,7 @@
 /// a late response is better than none.
 fn fast_enough<'a>(
     now: Instant,
-    requirements: &Wanted<'_>,
+    requirements: &BackendRequirements<'_>,
     stats: &ServiceStats,
     states: Vec<&'a BackendState>,
 ) -> Vec<&'a BackendState> {
--- a/crates/firshore-gateway/src/forward/admit.rs
+++ b/crates/firshore-gateway/src/forward/admit.rs
@@ -3,14 +3,14 @@
 
 use super::{Forwarding, Handled, Interrupted, unless_interrupted};
 use crate::caller_connection::CallerConnection;
-use crate::fleet::Wanted;
+use crate::fleet::BackendRequirements;
 use crate::metrics::AdmissionEnd;
 use crate::overload::QueueGuard;
 use crate::refusal::Refusal;
 use firshore_adapter::backend::Backend;
-use firshore_admission::admission::{self, Admission, AdmissionAsk, RoomOutlook, ShareStanding};
-use firshore_admission::returns::ReturnTime;
-use firshore_admission::shares::{CallerRank, ShareAsk};
+use firshore_admission::admission::{self, Admission, AdmissionRequest, CapacityOutlook, ShareStatus};
+use firshore_admission::returns::RetryTime;
+use firshore_admission::shares::{CallerRank, ShareRequest};
 use firshore_limits::report::TenantDigest;
 use firshore_types::error::ErrorCode;
 use slog::info;
@@ -26,7 +26,7 @@
     /// No back end may run the request.
     NoBackend,
     /// The request would begin too late.
-    NoCapacity(RoomOutlook),
+    NoCapacity(CapacityOutlook),
 }
 
 impl Forwarding<'_> {
@@ -97,22 +97,22 @@
         priority.unwrap_or(self.route.priority)
     }
 
-    fn admission_request(&self, behind_others: bool) -> AdmissionAsk {
+    fn admission_request(&self, behind_others: bool) -> AdmissionRequest {
         let timeout = self.route.timeout;
-        AdmissionAsk {
+        AdmissionRequest {
             objective: self.route.objective,
             timeout,
             time_left: self.terms.deadline.unwrap_or(timeout),
             age: self.request.arrived.elapsed(),
-            standing: self.share_status.get().unwrap_or(ShareStanding::Within),
+            standing: self.share_status.get().unwrap_or(ShareStatus::Within),
             behind_others,
-            node_leaves: self.gateway.leaving.is_leaving(),
+            node_is_draining: self.gateway.leaving.is_leaving(),
         }
     }
 
-    fn share_request(&self) -> Option<ShareAsk<'_>> {
+    fn share_request(&self) -> Option<ShareRequest<'_>> {
         let tenant = self.tenant.as_deref()?;
-        Some(ShareAsk {
+        Some(ShareRequest {
             service: &self.service,
             tenant: TenantDigest::from(&tenant.name),
             rank: CallerRank::new(tenant.priority, self.route.priority),
@@ -145,8 +145,8 @@
             .set(Some(shares.standing(now, &request, capacity)));
     }
 
-    fn requirements(&self) -> Wanted<'_> {
-        Wanted {
+    fn requirements(&self) -> BackendRequirements<'_> {
+        BackendRequirements {
             service: &self.service,
             attempts: &self.attempts,
             affinity: None,
@@ -156,7 +156,7 @@
         }
     }
 
-    fn outlook(&self, now: Instant, request: &AdmissionAsk) -> Option<RoomOutlook> {
+    fn outlook(&self, now: Instant, request: &AdmissionRequest) -> Option<CapacityOutlook> {
         let fleet = self.gateway.fleet.borrow();
         fleet.outlook(now, &self.requirements(), request.begin_within())
     }
@@ -172,7 +172,7 @@
     /// Refuses a request that would begin too late, with the time to retry.
     pub(super) async fn refuse_without_capacity(
         &mut self,
-        outlook: RoomOutlook,
+        outlook: CapacityOutlook,
         connection: &mut CallerConnection,
     ) -> Handled {
         let end = AdmissionEnd::Refused;
@@ -195,9 +195,9 @@
 
     /// Returns when the caller should retry. The plan has no slot for a caller that has retried already, because it
     /// rarely retries again.
-    fn retry_time(&self) -> ReturnTime {
+    fn retry_time(&self) -> RetryTime {
         let (now, time_left) = (Instant::now(), self.remaining());
-        let unplanned = ReturnTime::Beyond(time_left.mul_f64(RETRY_FRACTION));
+        let unplanned = RetryTime::Beyond(time_left.mul_f64(RETRY_FRACTION));
         if self.admission_request(false).has_returned() {
             return unplanned;
         }
--- a/crates/firshore-gateway/src/forward/mod.rs
+++ b/crates/firshore-gateway/src/forward/mod.rs
@@ -13,7 +13,7 @@
 use crate::choice::affinity_key;
 use crate::events::EventStream;
 use crate::fleet::endpoint;
-use crate::fleet::{Impression, Wanted};
+use crate::fleet::{BackendOutcome, BackendRequirements};
 use crate::gateway::Gateway;
 use crate::metrics::RequestEnd;
 use actix_http::header::HOST;
@@ -25,8 +25,8 @@
 use firshore_adapter::incarnation::Incarnation;
 use firshore_adapter::route::Route;
 use firshore_adapter::tenant::Tenant;
-use firshore_admission::admission::ShareStanding;
-use firshore_crashes::print::{AskedRequest, RequestPrint};
+use firshore_admission::admission::ShareStatus;
+use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
 use firshore_crashes::report::LostRun;
 use firshore_exchange::exchange::{self, Exchange, ExchangeError, Reuse};
 use firshore_types::ids::ServiceName;
@@ -111,9 +111,9 @@
     failure: Option<BackendFailure>,
     last_send: Option<LastSend>,
     /// Fingerprint, computed at first use.
-    fingerprint: OnceCell<RequestPrint>,
+    fingerprint: OnceCell<RequestFingerprint>,
     /// Whether the request is within its tenant's fair share; `None` until the service is full.
-    share_status: Cell<Option<ShareStanding>>,
+    share_status: Cell<Option<ShareStatus>>,
     /// How the request ended for the caller.
     end: RequestEnd,
 }
@@ -189,7 +189,7 @@
             if self.remaining() < MIN_REMAINING {
                 return Err(Interrupted::TimedOut);
             }
-            if let Some(wait) = self.gateway.held_back_for(|| self.fingerprint()) {
+            if let Some(wait) = self.gateway.quarantined_for(|| self.fingerprint()) {
                 return Ok(self.refuse_quarantined(wait, connection).await);
             }
             let backend = match self.find_backend(connection).await? {
@@ -248,12 +248,12 @@
     }
 
     /// Returns the fingerprint of the request, which is the same at all nodes and doesn't depend on its identifier.
-    fn fingerprint(&self) -> RequestPrint {
+    fn fingerprint(&self) -> RequestFingerprint {
         let compute = || {
             let host = self.request.headers.get(HOST);
             let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
             let target = self.request.uri.path_and_query();
-            self.gateway.print_key.print(&AskedRequest {
+            self.gateway.fingerprint_key.print(&FingerprintInput {
                 tenant: self.tenant.as_deref().map(|tenant| &tenant.name),
                 host,
                 method: self.request.method.as_str(),
@@ -273,7 +273,7 @@
             true => affinity_key(&self.terms.prompt),
             false => None,
         };
-        let requirements = Wanted {
+        let requirements = BackendRequirements {
             service: &self.service,
             attempts: &self.attempts,
             affinity,
@@ -319,7 +319,7 @@
             Ok(to_backend) => to_backend,
             Err(_) => {
                 self.gateway
-                    .observed(&backend.incarnation, Impression::Unreachable);
+                    .observed(&backend.incarnation, BackendOutcome::Unreachable);
                 return Ok(SendResult::Ended(SendEnd::NotSent));
             }
         };
@@ -349,7 +349,7 @@
 
     fn lost(&self, backend: &Backend, error: &ExchangeError) -> SendResult {
         self.gateway
-            .observed(&backend.incarnation, Impression::Broke);
+            .observed(&backend.incarnation, BackendOutcome::Broke);
         warn!(self.gateway.log, "forward: Answer lost."; "request" => &self.terms.id,
             "backend" => %backend.incarnation, "reason" => %error, "print" => %self.fingerprint(),
             "age_ms" => self.age_ms());
@@ -446,8 +446,8 @@
             fleet.reported(Instant::now(), &backend.incarnation, load);
         }
         let outcome = match (answer.misdirected, answer.ran) {
-            (true, _) => Impression::Unreachable,
-            (false, Ran::No) => Impression::Full,
+            (true, _) => BackendOutcome::Unreachable,
+            (false, Ran::No) => BackendOutcome::Full,
             (false, _) => return,
         };
         self.gateway.observed(&backend.incarnation, outcome);
--- a/crates/firshore-gateway/src/gateway.rs
+++ b/crates/firshore-gateway/src/gateway.rs
@@ -1,12 +1,12 @@
 //! State shared by the requests of a node.
 
-use crate::belief::Beliefs;
+use crate::belief::StoreFreshness;
 use crate::crash_monitor::{CrashCounters, CrashMonitor};
-use crate::fleet::{EntryChange, Fleet, Impression};
+use crate::fleet::{EntryChange, Fleet, BackendOutcome};
 use crate::leaving::Leaving;
 use crate::metrics::GatewayMetrics;
 use crate::overload::OverloadControl;
-use crate::pressure::PressureCount;
+use crate::pressure::PressureCounter;
 use crate::split::Split;
 use firshore_adapter::Adapter;
 use firshore_adapter::backend::Backend;
@@ -16,9 +16,9 @@
 use firshore_adapter::route::Route;
 use firshore_adapter::tenant::Tenant;
 use firshore_admission::shares::ShareTable;
-use firshore_crashes::print::{PrintKey, RequestPrint};
+use firshore_crashes::print::{FingerprintKey, RequestFingerprint};
 use firshore_limits::limiter::{OverLimit, TenantLimiter};
-use firshore_limits::report::{UsageNews, UseReport};
+use firshore_limits::report::{UsageResponse, UsageReport};
 use firshore_metrics::Builder;
 use firshore_types::error::ApiError;
 use firshore_types::ids::ZoneName;
@@ -35,7 +35,7 @@
 use tokio::sync::Notify;
 
 /// Future result of a call to the job service.
-pub type JobAnswer<'a, T> = LocalBoxFuture<'a, Result<T, ApiError>>;
+pub type JobFuture<'a, T> = LocalBoxFuture<'a, Result<T, ApiError>>;
 
 /// Stores batch jobs for callers' requests. Reports success only for what is stored durably.
 pub trait JobService {
@@ -48,7 +48,7 @@
         route: Arc<Route>,
         job: JobId,
         items: Vec<JobItem>,
-    ) -> JobAnswer<'a, ()>;
+    ) -> JobFuture<'a, ()>;
 
     /// Returns results from position `from` on; waits up to `wait` for the first. `None` if the job doesn't exist.
     fn results<'a>(
@@ -56,13 +56,13 @@
         job: JobId,
         from: u64,
         wait: Duration,
-    ) -> JobAnswer<'a, Option<ResultPage>>;
+    ) -> JobFuture<'a, Option<ResultPage>>;
 
     /// Returns the body of an item; `None` if the item doesn't exist or has a result.
-    fn body<'a>(&'a self, job: JobId, item: String) -> JobAnswer<'a, Option<Payload>>;
+    fn body<'a>(&'a self, job: JobId, item: String) -> JobFuture<'a, Option<Payload>>;
 
     /// Ends a job. Returns `false` if it doesn't exist.
-    fn end<'a>(&'a self, job: JobId) -> JobAnswer<'a, bool>;
+    fn end<'a>(&'a self, job: JobId) -> JobFuture<'a, bool>;
 }
 
 /// State shared by all connections of a node.
@@ -72,7 +72,7 @@
     /// Adapter to the environment's protocols.
     pub adapter: Adapter,
     /// Freshness of the copies of the object store.
-    pub beliefs: Rc<Beliefs>,
+    pub beliefs: Rc<StoreFreshness>,
     /// Estimated state of the back ends.
     pub fleet: Rc<RefCell<Fleet>>,
     /// Shutdown phase of the node.
@@ -86,13 +86,13 @@
     /// Notified when a request is sent to a back end without a free slot.
     pub crowded: Notify,
     /// Pressure of online requests on services since the last report.
-    pub pressure: RefCell<PressureCount>,
+    pub pressure: RefCell<PressureCounter>,
     /// Notified when the usage of tenants has to be reported immediately.
     pub limits_pressing: Notify,
     /// Divides the requests of a route among services.
     pub split: RefCell<Split>,
     /// Key for the fingerprints of requests.
-    pub print_key: PrintKey,
+    pub fingerprint_key: FingerprintKey,
     /// Detects requests that crash back ends.
     pub crashes: Rc<CrashMonitor>,
     /// Queue of the requests that wait for capacity.
@@ -160,7 +160,7 @@
             jobs,
             limiter: TenantLimiter::new(random.random(), rate_span).into(),
             // Random until `with_crash_memory` sets the key of the cluster.
-            print_key: PrintKey::new(&random.random::<[u8; 32]>()),
+            fingerprint_key: FingerprintKey::new(&random.random::<[u8; 32]>()),
             crashes: Rc::new(crashes),
             overload: Rc::default(),
             shares: ShareTable::new(random.random()).into(),
@@ -176,9 +176,9 @@
     }
 
     /// Sets the fingerprint key that all nodes share, and the time for which the exit of a back end is kept.
-    pub fn with_crash_memory(self, print_key: PrintKey, remember: Duration) -> Self {
+    pub fn with_crash_memory(self, fingerprint_key: FingerprintKey, remember: Duration) -> Self {
         self.crashes.remember_for(remember);
-        Self { print_key, ..self }
+        Self { fingerprint_key, ..self }
     }
 
     /// Records that a request is about to be sent to a back end. It is in flight until the guard is dropped.
@@ -232,7 +232,7 @@
     }
 
     /// Applies a complete listing of back ends.
-    pub fn list_backends(&self, backends: Vec<Backend>) {
+    pub fn replace_backends(&self, backends: Vec<Backend>) {
         let incarnations: Vec<Incarnation> = backends
             .iter()
             .map(|backend| backend.incarnation.clone())
@@ -244,7 +244,7 @@
     }
 
     /// Applies an entry that was added or has changed.
-    pub fn list_backend(&self, backend: Backend) {
+    pub fn upsert_backend(&self, backend: Backend) {
         let listed = backend.incarnation.clone();
         let change = self.fleet.borrow_mut().upsert(backend);
         self.log_entry(&listed, &change);
@@ -303,8 +303,8 @@
     }
 
     /// Returns the usage of tenants since the last report; `None` if no tenant has a limit. The caller must pass the
-    /// response to [`Self::learned_uses`].
-    pub fn report_uses(&self, now: Instant) -> Option<UseReport> {
+    /// response to [`Self::apply_usage_report`].
+    pub fn take_usage_report(&self, now: Instant) -> Option<UsageReport> {
         if !self.has_limits() {
             return None;
         }
@@ -313,13 +313,13 @@
     }
 
     /// Applies the response to a usage report, as of a moment; `None` if there was no response.
-    pub fn learned_uses(&self, news: Option<(Instant, &UsageNews)>) {
+    pub fn apply_usage_report(&self, news: Option<(Instant, &UsageResponse)>) {
         let mut limiter = self.limiter.borrow_mut();
         match news {
             Some((at, news)) => limiter.answered(at, news),
             None => return limiter.unanswered(),
         }
-        if let Some((at, demands)) = limiter.known_demand() {
+        if let Some((at, demands)) = limiter.reported_demand() {
             self.shares.borrow_mut().told(at, demands);
         }
     }
@@ -344,26 +344,26 @@
 
     /// Returns the remaining quarantine of a request that crashes back ends; `None` if it is not quarantined. The
     /// fingerprint is computed only while any request is quarantined.
-    pub fn held_back_for(&self, print: impl Fn() -> RequestPrint) -> Option<Duration> {
-        match self.crashes.holds_any_back() {
-            true => self.crashes.held_back_for(&print()),
+    pub fn quarantined_for(&self, print: impl Fn() -> RequestFingerprint) -> Option<Duration> {
+        match self.crashes.has_quarantined() {
+            true => self.crashes.quarantined_for(&print()),
             false => None,
         }
     }
 
     /// Records that a request has completed, so it does not crash back ends.
-    pub fn completed(&self, print: impl Fn() -> RequestPrint) {
+    pub fn completed(&self, print: impl Fn() -> RequestFingerprint) {
         if self.crashes.suspects_any() {
             self.crashes.completed(print());
         }
     }
 
     /// Applies a view of the requests that other nodes have in flight, as of now, and the interval between views.
-    pub fn learned_others(&self, others: &HashMap<BackendName, u32>, interval: Duration) {
+    pub fn apply_remote_load(&self, others: &HashMap<BackendName, u32>, interval: Duration) {
         let mut fleet = self.fleet.borrow_mut();
         let mut random = self.random.borrow_mut();
-        fleet.learned_others(Instant::now(), others, &mut *random);
-        fleet.set_picture_interval(interval);
+        fleet.apply_remote_load(Instant::now(), others, &mut *random);
+        fleet.set_view_interval(interval);
         drop(fleet);
         self.overload.capacity_changed();
     }
@@ -375,7 +375,7 @@
     }
 
     /// Records the outcome of a request at a back end.
-    pub fn observed(&self, incarnation: &Incarnation, outcome: Impression) {
+    pub fn observed(&self, incarnation: &Incarnation, outcome: BackendOutcome) {
         let ejected = self
             .fleet
             .borrow_mut()
--- a/crates/firshore-gateway/src/overload.rs
+++ b/crates/firshore-gateway/src/overload.rs
@@ -1,7 +1,7 @@
 //! Queue of the requests that wait at this node for capacity, and the planned retries of refused callers.
 
 use firshore_admission::demand::{ArrivalKind, DemandHistory};
-use firshore_admission::returns::{ReturnAsk, ReturnPlan, ReturnTime};
+use firshore_admission::returns::{RetryRequest, RetryPlan, RetryTime};
 use firshore_types::ids::ServiceName;
 use rand::{Rng, RngExt};
 use std::cell::{Cell, RefCell};
@@ -30,14 +30,14 @@
 /// Requests that a service received at this node, and the planned retries of refused callers.
 struct ServiceDemand {
     history: DemandHistory,
-    plan: ReturnPlan,
+    plan: RetryPlan,
 }
 
 impl ServiceDemand {
     fn new(now: Instant, phase: f64) -> Self {
         Self {
             history: DemandHistory::new(now),
-            plan: ReturnPlan::new(now, phase),
+            plan: RetryPlan::new(now, phase),
         }
     }
 }
@@ -142,11 +142,11 @@
         service: &ServiceName,
         time_left: Duration,
         random: &mut impl Rng,
-    ) -> Option<ReturnTime> {
+    ) -> Option<RetryTime> {
         let mut demands = self.demands.borrow_mut();
         let ServiceDemand { history, plan } = demands.get_mut(service)?;
         history.refused(now);
-        let request = ReturnAsk {
+        let request = RetryRequest {
             time_left,
             room: history.room(now),
         };
--- a/crates/firshore-gateway/src/pace.rs
+++ b/crates/firshore-gateway/src/pace.rs
@@ -164,7 +164,7 @@
 
 /// Quality of a response that the back end marked as its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerQuality {
+pub enum ResponseQuality {
     /// The requested result.
     Good,
     /// A failure of the back end.
@@ -173,11 +173,11 @@
 
 /// Typical pause between events of a service's streams.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct UsualPause {
+pub struct TypicalPause {
     seconds: Option<f32>,
 }
 
-impl UsualPause {
+impl TypicalPause {
     /// Records a pause. Returns it as a factor of the typical pause before this one.
     pub fn seen(&mut self, pause: Duration) -> f32 {
         let seconds = pause.as_secs_f32().max(f32::MIN_POSITIVE);
@@ -222,10 +222,10 @@
 
     /// Records the quality of a response. Without it, a back end that fails fast would attract requests by its
     /// free slots.
-    pub fn answered(&mut self, now: Instant, quality: AnswerQuality) {
+    pub fn answered(&mut self, now: Instant, quality: ResponseQuality) {
         let good = match quality {
-            AnswerQuality::Good => 1.0,
-            AnswerQuality::Failed => 0.0,
+            ResponseQuality::Good => 1.0,
+            ResponseQuality::Failed => 0.0,
         };
         let rate = blend(self.success_rate(now), good, RESPONSE_WEIGHT);
         self.success = Some(SuccessRate { rate, at: now });
--- a/crates/firshore-gateway/src/pressure.rs
+++ b/crates/firshore-gateway/src/pressure.rs
@@ -12,12 +12,12 @@
     pub service: ServiceName,
     /// Counts by cause.
     #[serde(flatten)]
-    pub figure: PressureFigure,
+    pub figure: PressureCounts,
 }
 
 /// Numbers of requests that found too little capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PressureFigure {
+pub struct PressureCounts {
     /// Requests that began to wait for a free slot.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub waiting: u32,
@@ -33,7 +33,7 @@
     *count == 0
 }
 
-impl PressureFigure {
+impl PressureCounts {
     /// Returns the sum of all counts. A request counts once for each cause.
     pub fn sum(&self) -> u32 {
         let served = self.waiting.saturating_add(self.late);
@@ -51,11 +51,11 @@
 ///
 /// A lost report is not repeated: old pressure would count as present.
 #[derive(Debug, Default)]
-pub struct PressureCount {
-    services: BTreeMap<ServiceName, PressureFigure>,
+pub struct PressureCounter {
+    services: BTreeMap<ServiceName, PressureCounts>,
 }
 
-impl PressureCount {
+impl PressureCounter {
     /// Counts a request that begins to wait for a free slot, at this node or at a back end.
     pub fn waited(&mut self, service: &ServiceName) {
         let figure = self.figure(service);
@@ -100,9 +100,9 @@
     }
 
     /// Returns the counts of a service. Clones its name only when it is new.
-    fn figure(&mut self, service: &ServiceName) -> &mut PressureFigure {
+    fn figure(&mut self, service: &ServiceName) -> &mut PressureCounts {
         if !self.services.contains_key(service) {
-            let none = PressureFigure::default();
+            let none = PressureCounts::default();
             self.services.insert(service.clone(), none);
         }
         self.services.get_mut(service).expect("the entry exists")
--- a/crates/firshore-gateway/src/refusal.rs
+++ b/crates/firshore-gateway/src/refusal.rs
@@ -1,6 +1,6 @@
 //! Error responses of the node itself: refusals, which guarantee that the request did not run, and failures.
 
-use crate::caller_connection::{CallerConnection, CallerGone};
+use crate::caller_connection::{CallerConnection, CallerDisconnected};
 use actix_http::StatusCode;
 use actix_http::body::BodySize;
 use actix_http::header::{CONTENT_TYPE, HeaderMap, HeaderValue, RETRY_AFTER};
@@ -53,7 +53,7 @@
         &self,
         connection: &mut CallerConnection,
         close: bool,
-    ) -> Result<(), CallerGone> {
+    ) -> Result<(), CallerDisconnected> {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if let Some(wait) = self.retry_after {
