--- a/crates/firshore-gateway/src/forward/mod.rs
+++ b/crates/firshore-gateway/src/forward/mod.rs
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Records the current estimates for a back end before a send.
+    /// Returns the record of a send that is about to begin, with the current estimates for the back end.
     fn new_send(&self, now: Instant, backend: &Backend) -> LastSend {
         let fleet = self.gateway.fleet.borrow();
         let incarnation = &backend.incarnation;
@@ -347,6 +347,7 @@
         }
     }
 
+    /// Records that a response was lost, and returns the result of the send.
     fn lost(&self, backend: &Backend, error: &ExchangeError) -> SendResult {
         self.gateway
             .record_outcome(&backend.incarnation, BackendOutcome::Broke);
