--- a/crates/firshore-lab/src/experiment/limits.rs
+++ b/crates/firshore-lab/src/experiment/limits.rs
@@ -4,7 +4,7 @@
 use crate::experiment::Experiment;
 use crate::report::Report;
 use firshore_routing::allocator::LimitAllocator;
-use firshore_routing::limits::{EXCHANGE_MILLISECONDS, Grant, TenantKey, TenantLimiter};
+use firshore_routing::limits::{Grant, REPORT_INTERVAL_MILLISECONDS, TenantKey, TenantLimiter};
 use firshore_types::declaration::Limits;
 use firshore_types::ids::InstanceId;
 use rand::{RngExt, SeedableRng};
@@ -76,7 +76,7 @@
     fn count_nodes(&mut self) {
         for node in 0..self.nodes.len() {
             let alive = self.alive(node);
-            self.nodes[node].set_nodes(alive);
+            self.nodes[node].set_live_nodes(alive);
         }
     }
 
@@ -101,9 +101,9 @@
         for node in 0..self.nodes.len() {
             let limiter = &mut self.nodes[node];
             let demands = if whole {
-                limiter.demands(now)
+                limiter.take_demands(now)
             } else {
-                limiter.first_demands(now)
+                limiter.new_tenant_demands(now)
             };
             let alive = self.alive(node);
             for demand in demands {
@@ -125,7 +125,7 @@
         while self.answers.front().is_some_and(|answer| answer.at <= now) {
             if let Some(answer) = self.answers.pop_front() {
                 let Grant { tenant, share } = answer.grant;
-                self.nodes[answer.node].granted(answer.reported_at, tenant, share);
+                self.nodes[answer.node].apply_grant(answer.reported_at, tenant, share);
             }
         }
     }
@@ -136,7 +136,7 @@
         let node = self.cumulative.partition_point(|sum| *sum < drawn);
         let admitted = self.nodes[node].admit(now, TENANT, &self.limits).is_ok();
         if admitted {
-            self.nodes[node].released(TENANT);
+            self.nodes[node].release(TENANT);
         }
         admitted
     }
@@ -151,7 +151,7 @@
                 let admitted = self.offer_one(now);
                 seconds[((now - start) / 1_000) as usize] += f64::from(u8::from(admitted));
             }
-            if now.is_multiple_of(EXCHANGE_MILLISECONDS) {
+            if now.is_multiple_of(REPORT_INTERVAL_MILLISECONDS) {
                 self.exchange(now, true);
             } else if now.is_multiple_of(FIRST_CONTACT_TICK) {
                 self.exchange(now, false);
@@ -192,7 +192,7 @@
     }
     let own = resident_bytes();
     report.figure("node_table_12000_tenants", "MB", (own - before) / 1e6, None);
-    for demand in limiter.demands(0) {
+    for demand in limiter.take_demands(0) {
         allocator.grant(0, InstanceId(1), demand, 630);
     }
     let both = (resident_bytes() - before) / 1e6;
--- a/crates/firshore-lab/src/experiment/retry_budget.rs
+++ b/crates/firshore-lab/src/experiment/retry_budget.rs
@@ -3,11 +3,11 @@
 
 use crate::experiment::Experiment;
 use crate::report::Report;
-use firshore_routing::balance::Features;
+use firshore_routing::balance::RequestFeatures;
 use firshore_routing::endpoint::{EndpointIndex, Locality, Outcome};
-use firshore_routing::retry::{AttemptEnd, Attempts, Decision};
+use firshore_routing::retry::{AttemptEnd, AttemptHistory, RetryDecision};
 use firshore_routing::retry_budget::{RetryBudget, backoff};
-use firshore_routing::router::{Router, Sent};
+use firshore_routing::router::{Router, SentRequest};
 use firshore_types::labels::Selector;
 use firshore_types::machine::{Machine, MachineState};
 use rand::{RngExt, SeedableRng};
@@ -70,9 +70,9 @@
 
 struct Request {
     gateway: usize,
-    attempts: Attempts,
+    attempts: AttemptHistory,
     tried: Vec<EndpointIndex>,
-    sent: Option<Sent>,
+    sent: Option<SentRequest>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -139,7 +139,7 @@
         for number in 0..(END * REQUESTS_PER_SECOND / 1_000) as usize {
             simulation.requests.push(Request {
                 gateway: random.random_range(0..GATEWAYS),
-                attempts: Attempts::new(true),
+                attempts: AttemptHistory::new(true),
                 tried: Vec::new(),
                 sent: None,
             });
@@ -181,10 +181,10 @@
             return Some(gateway.random.random_range(0..ENGINES));
         }
         if request.tried.is_empty() {
-            gateway.budget.first_attempt();
+            gateway.budget.record_first_attempt();
         }
         let selector = Selector::default();
-        let features = Features {
+        let features = RequestFeatures {
             prompt_tokens: 50,
             blocks: &[],
             tried: &request.tried,
@@ -227,18 +227,18 @@
                 (true, _) => Outcome::Failed,
             };
             if !failed {
-                gateway.router.first_token(now, &mut sent);
+                gateway.router.record_first_token(now, &mut sent);
             }
-            gateway.router.ended(now, &sent, outcome);
+            gateway.router.record_end(now, &sent, outcome);
         }
         if !failed {
             return;
         }
         let again = if self.managed {
-            match request.attempts.after(end) {
-                Decision::Retry => true,
-                Decision::RetryWithinBudget => gateway.budget.try_retry(),
-                Decision::GiveUp(_) => false,
+            match request.attempts.decide_after(end) {
+                RetryDecision::Retry => true,
+                RetryDecision::RetryWithinBudget => gateway.budget.try_retry(),
+                RetryDecision::GiveUp(_) => false,
             }
         } else {
             request.tried.len() < BASELINE_ATTEMPTS
--- a/crates/firshore-lab/src/experiment/routing/decision.rs
+++ b/crates/firshore-lab/src/experiment/routing/decision.rs
@@ -1,6 +1,6 @@
 //! How long one decision takes at the size of a zone.
 
-use firshore_routing::balance::Features;
+use firshore_routing::balance::RequestFeatures;
 use firshore_routing::endpoint::{EndpointIndex, Locality, Outcome};
 use firshore_routing::load::LoadReport;
 use firshore_routing::router::Router;
@@ -65,7 +65,7 @@
             *block = (prompt << 16 | place as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         }
         let now = decision / 4;
-        let features = Features {
+        let features = RequestFeatures {
             prompt_tokens: 1_100,
             blocks: &blocks,
             tried: &[],
@@ -76,8 +76,8 @@
         running.extend(sent);
         if running.len() > RUNNING {
             let mut sent = running.pop_front().expect("it is not empty");
-            router.first_token(now, &mut sent);
-            router.ended(now, &sent, Outcome::Completed);
+            router.record_first_token(now, &mut sent);
+            router.record_end(now, &sent, Outcome::Completed);
         }
         let engine = EndpointIndex(random.random_range(0..ENGINES as u16));
         let report = LoadReport {
@@ -85,7 +85,7 @@
             waiting: 0,
             slots: 16,
         };
-        router.report(engine, now, report);
+        router.record_report(engine, now, report);
     }
     DecisionTime {
         mean: times.mean(),
--- a/crates/firshore-lab/src/experiment/routing/policy.rs
+++ b/crates/firshore-lab/src/experiment/routing/policy.rs
@@ -3,10 +3,10 @@
 
 use crate::engine_model::{LoadReport as EngineLoad, Microseconds};
 use crate::experiment::routing::workload::Request;
-use firshore_routing::balance::Features;
+use firshore_routing::balance::RequestFeatures;
 use firshore_routing::endpoint::{EndpointIndex, Locality, Outcome};
 use firshore_routing::load::LoadReport;
-use firshore_routing::router::{Router, Sent};
+use firshore_routing::router::{Router, SentRequest};
 use firshore_types::labels::Selector;
 use firshore_types::machine::Machine;
 use rand::{RngExt, SeedableRng};
@@ -50,7 +50,7 @@
 pub struct Chosen {
     /// Engine.
     pub engine: usize,
-    sent: Option<Sent>,
+    sent: Option<SentRequest>,
 }
 
 /// One gateway's view.
@@ -91,7 +91,7 @@
         tried: &[EndpointIndex],
     ) -> Option<Chosen> {
         if self.kind == PolicyKind::Firshore {
-            let features = Features {
+            let features = RequestFeatures {
                 prompt_tokens: request.prompt_tokens,
                 blocks: &request.blocks,
                 tried,
@@ -137,13 +137,13 @@
         };
         let measured_at = milliseconds(now).saturating_sub(load.age_milliseconds);
         self.router
-            .report(EndpointIndex(engine as u16), measured_at, report);
+            .record_report(EndpointIndex(engine as u16), measured_at, report);
     }
 
     /// Takes in the arrival of a first token.
     pub fn first_token(&mut self, now: Microseconds, chosen: &mut Chosen) {
         if let Some(sent) = &mut chosen.sent {
-            self.router.first_token(milliseconds(now), sent);
+            self.router.record_first_token(milliseconds(now), sent);
         }
     }
 
@@ -158,8 +158,8 @@
         let Some(sent) = &chosen.sent else { return };
         let now = milliseconds(now);
         if let Some(gap) = gap_milliseconds {
-            self.router.token_gap(now, sent, gap);
+            self.router.record_token_gap(now, sent, gap);
         }
-        self.router.ended(now, sent, outcome);
+        self.router.record_end(now, sent, outcome);
     }
 }
--- a/crates/firshore-routing/src/allocator.rs
+++ b/crates/firshore-routing/src/allocator.rs
@@ -1,27 +1,28 @@
-//! Divides each tenant's limits among the nodes that ask, by demand: the part of the one node that
-//! all agree on for the tenant.
+//! Divides each tenant's limits among the nodes in proportion to their demand. It runs on the node
+//! that all nodes select as the tenant's allocator.
 //!
-//! The shares handed out and not yet lapsed never add up to more than the limit: a node whose
-//! demand grows gets its larger share when the others have given theirs back or let them lapse. A
-//! small part of the limit stays apart as an equal split for nodes that have not asked yet.
+//! The sum of the unexpired shares never exceeds the limit: a node whose demand grows gets a larger
+//! share only after the other nodes have returned theirs or these have expired. A small fraction of
+//! the limit is reserved and split equally, for nodes that have not reported demand yet.
 
 use crate::limits::{Demand, GRANT_MILLISECONDS, Share, TenantKey};
 use firshore_types::declaration::Limits;
 use firshore_types::ids::InstanceId;
 use std::collections::HashMap;
 
-/// Part of a limit that is divided equally instead of by demand.
-pub const EQUAL_PART: f32 = 0.05;
+/// Fraction of a limit that is split equally among all nodes instead of by demand.
+pub const EQUAL_FRACTION: f32 = 0.05;
 
-/// Time after the first word of a tenant whose nodes hold another allocator's grants, in
-/// milliseconds, in which no share grows: until then not all such grants are known.
+/// Time in milliseconds during which no share of a tenant grows, counted from the first demand of a
+/// node that holds another allocator's grant. Such grants of other nodes may not have been reported
+/// before then.
 pub const TAKEOVER_MILLISECONDS: u64 = GRANT_MILLISECONDS;
 
 #[derive(Clone, Copy, Debug)]
 struct NodeShare {
     wanted: Share,
     granted: Share,
-    until: u64,
+    expires_at: u64,
 }
 
 #[derive(Debug, Default)]
@@ -30,22 +31,23 @@
     takeover_until: u64,
 }
 
-/// Shares handed out for the tenants that this node answers for.
+/// The unexpired shares of the tenants for which this node is the allocator.
 #[derive(Debug, Default)]
 pub struct LimitAllocator {
     tenants: HashMap<TenantKey, TenantShares>,
 }
 
 impl LimitAllocator {
-    /// Answers a demand of `node` at `now` (milliseconds); `alive` is the number of nodes alive.
-    pub fn grant(&mut self, now: u64, node: InstanceId, demand: Demand, alive: u32) -> Share {
-        let holds = demand.held != Share::default();
-        let unknown = !self.tenants.contains_key(&demand.tenant);
+    /// Returns the share granted to `node` for `demand` at `now` (milliseconds), where `live_nodes`
+    /// is the number of live nodes. The share is valid for [`GRANT_MILLISECONDS`].
+    pub fn grant(&mut self, now: u64, node: InstanceId, demand: Demand, live_nodes: u32) -> Share {
+        let has_grant = demand.held != Share::default();
+        let is_new = !self.tenants.contains_key(&demand.tenant);
         let shares = self.tenants.entry(demand.tenant).or_default();
-        if unknown && holds {
+        if is_new && has_grant {
             shares.takeover_until = now + TAKEOVER_MILLISECONDS;
         }
-        shares.nodes.retain(|_, share| now < share.until);
+        shares.nodes.retain(|_, share| now < share.expires_at);
         let held = shares
             .nodes
             .get(&node)
@@ -53,10 +55,10 @@
         let mut share = NodeShare {
             wanted: demand.wanted,
             granted: held,
-            until: now + GRANT_MILLISECONDS,
+            expires_at: now + GRANT_MILLISECONDS,
         };
         shares.nodes.insert(node, share);
-        share.granted = shares.divide(node, &demand.limits, alive.max(1));
+        share.granted = shares.divide(node, &demand.limits, live_nodes.max(1));
         if now < shares.takeover_until {
             share.granted.rate = share.granted.rate.min(held.rate);
             share.granted.concurrent = share.granted.concurrent.min(held.concurrent);
@@ -65,60 +67,60 @@
         share.granted
     }
 
-    /// Drops tenants of which nothing was heard for as long as a grant lasts.
-    pub fn expire(&mut self, now: u64) {
+    /// Removes expired shares, and tenants without any unexpired share.
+    pub fn remove_expired(&mut self, now: u64) {
         self.tenants.retain(|_, shares| {
-            shares.nodes.retain(|_, share| now < share.until);
+            shares.nodes.retain(|_, share| now < share.expires_at);
             !shares.nodes.is_empty()
         });
     }
 }
 
 impl TenantShares {
-    fn divide(&self, node: InstanceId, limits: &Limits, alive: u32) -> Share {
+    fn divide(&self, node: InstanceId, limits: &Limits, live_nodes: u32) -> Share {
         let rate = limits.requests_per_second.unwrap_or(f64::MAX) as f32;
         let concurrent = limits.concurrent_requests.unwrap_or(u32::MAX);
         Share {
-            rate: self.divide_rate(node, rate, alive),
-            concurrent: self.divide_concurrent(node, concurrent, alive),
+            rate: self.divide_rate(node, rate, live_nodes),
+            concurrent: self.divide_concurrent(node, concurrent, live_nodes),
         }
     }
 
-    fn others(&self, node: InstanceId) -> impl Iterator<Item = &NodeShare> {
+    fn other_shares(&self, node: InstanceId) -> impl Iterator<Item = &NodeShare> {
         self.nodes
             .iter()
             .filter(move |(other, _)| **other != node)
             .map(|(_, share)| share)
     }
 
-    fn divide_rate(&self, node: InstanceId, limit: f32, alive: u32) -> f32 {
-        let equal = limit * EQUAL_PART / alive as f32;
-        let divisible = limit * (1.0 - EQUAL_PART);
+    fn divide_rate(&self, node: InstanceId, limit: f32, live_nodes: u32) -> f32 {
+        let equal_share = limit * EQUAL_FRACTION / live_nodes as f32;
+        let divisible = limit * (1.0 - EQUAL_FRACTION);
         let total: f32 = self.nodes.values().map(|share| share.wanted.rate).sum();
-        let own = self.nodes[&node].wanted.rate;
-        let target = divisible * own / total.max(f32::MIN_POSITIVE);
-        let given: f32 = self
-            .others(node)
-            .map(|share| (share.granted.rate - equal).max(0.0))
+        let wanted = self.nodes[&node].wanted.rate;
+        let target = divisible * wanted / total.max(f32::MIN_POSITIVE);
+        let granted: f32 = self
+            .other_shares(node)
+            .map(|share| (share.granted.rate - equal_share).max(0.0))
             .sum();
-        equal + target.min((divisible - given).max(0.0))
+        equal_share + target.min((divisible - granted).max(0.0))
     }
 
-    fn divide_concurrent(&self, node: InstanceId, limit: u32, alive: u32) -> u32 {
-        let equal = (limit as f32 * EQUAL_PART / alive as f32) as u32;
-        let divisible = limit - equal * alive.min(limit);
+    fn divide_concurrent(&self, node: InstanceId, limit: u32, live_nodes: u32) -> u32 {
+        let equal_share = (limit as f32 * EQUAL_FRACTION / live_nodes as f32) as u32;
+        let divisible = limit - equal_share * live_nodes.min(limit);
         let total: u64 = self
             .nodes
             .values()
             .map(|share| u64::from(share.wanted.concurrent))
             .sum();
-        let own = u64::from(self.nodes[&node].wanted.concurrent);
-        let target = (u64::from(divisible) * own).div_ceil(total.max(1));
-        let given: u64 = self
-            .others(node)
-            .map(|share| u64::from(share.granted.concurrent.saturating_sub(equal)))
+        let wanted = u64::from(self.nodes[&node].wanted.concurrent);
+        let target = (u64::from(divisible) * wanted).div_ceil(total.max(1));
+        let granted: u64 = self
+            .other_shares(node)
+            .map(|share| u64::from(share.granted.concurrent.saturating_sub(equal_share)))
             .sum();
-        let left = u64::from(divisible).saturating_sub(given);
-        equal + target.min(left) as u32
+        let remaining = u64::from(divisible).saturating_sub(granted);
+        equal_share + target.min(remaining) as u32
     }
 }
--- a/crates/firshore-routing/src/ejection.rs
+++ b/crates/firshore-routing/src/ejection.rs
@@ -1,121 +1,127 @@
-//! Takes failing back ends out of use for a while and brings them back gradually.
+//! Ejects failing back ends temporarily and returns them to use gradually.
 //!
-//! A back end is ejected after several failures in a row, or when it is far slower than the fleet.
-//! Ejections of the same back end last longer each time. One that only refuses, as a full one
-//! does, is passed over for a shorter time, which its next answer ends. The table bounds the share that is out at
-//! once, so that a fault of the callers or of the network does not empty the pool.
+//! A back end is ejected after several consecutive failures, or when it is much slower than the
+//! fleet. Each further ejection of the same back end lasts longer. A back end that only refuses
+//! requests, for example because it is full, is skipped for a shorter time, which ends early when
+//! it completes a request. [`crate::endpoint::EndpointTable`] bounds the fraction of back ends that
+//! are ejected at once, so that a fault of callers or of the network does not empty the pool.
 
 use rand::RngExt;
 
-/// Failures in a row that eject.
+/// Number of consecutive failures after which a back end is ejected.
 pub const CONSECUTIVE_FAILURES: u32 = 3;
 
-/// Slowdown relative to the fleet's mean that ejects.
+/// Slowdown, as a multiple of the fleet's mean, above which a back end is ejected.
 pub const OUTLIER_SLOWDOWN: f32 = 10.0;
 
-/// Observations before a slowdown can eject.
-pub const OUTLIER_SAMPLES: u32 = 20;
+/// Minimum number of speed observations before a slowdown can cause an ejection.
+pub const MIN_OUTLIER_SAMPLES: u32 = 20;
 
-/// Largest share of the back ends that may be out at once.
-pub const LARGEST_EJECTED_SHARE: f32 = 0.5;
+/// Maximum fraction of the back ends that may be ejected at once.
+pub const MAX_EJECTED_FRACTION: f32 = 0.5;
 
-/// Length of a first ejection in milliseconds; doubles with each further one.
+/// Duration of the first ejection in milliseconds; doubles with each further one.
 pub const FIRST_EJECTION_MILLISECONDS: u64 = 2_000;
 
-/// Longest ejection in milliseconds.
-pub const LONGEST_EJECTION_MILLISECONDS: u64 = 60_000;
+/// Maximum duration of an ejection in milliseconds.
+pub const MAX_EJECTION_MILLISECONDS: u64 = 60_000;
 
-/// Time over which a returning back end's share grows to the whole, in milliseconds.
-pub const RETURN_MILLISECONDS: u64 = 10_000;
+/// Time after an ejection over which the fraction of requests that a back end accepts grows to 1,
+/// in milliseconds.
+pub const RAMP_UP_MILLISECONDS: u64 = 10_000;
 
-/// Refusals in a row after which a back end is passed over.
+/// Number of consecutive refusals after which a back end is skipped.
 pub const CONSECUTIVE_REFUSALS: u32 = 2;
 
-/// Time for which a refusing back end is first passed over, in milliseconds; doubles with each
-/// further refusal.
-pub const FIRST_PASS_MILLISECONDS: u64 = 250;
+/// Time for which a refusing back end is skipped first, in milliseconds; doubles with each further
+/// refusal.
+pub const FIRST_SKIP_MILLISECONDS: u64 = 250;
 
-/// Longest time for which a refusing back end is passed over, in milliseconds.
-pub const LONGEST_PASS_MILLISECONDS: u64 = 16_000;
+/// Maximum time for which a refusing back end is skipped, in milliseconds.
+pub const MAX_SKIP_MILLISECONDS: u64 = 16_000;
 
-/// Share of its usual work that a back end gets at the start of its return.
-const FIRST_RETURN_SHARE: f32 = 0.05;
+/// Fraction of requests that a back end accepts right after an ejection.
+const MIN_RAMP_UP_FRACTION: f32 = 0.05;
 
-/// Health of one back end.
+/// Failures, refusals and ejections of one back end. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct EndpointHealth {
     failures: u32,
     ejections: u32,
-    out_until: u64,
-    returning: bool,
+    ejected_until: u64,
+    ramping_up: bool,
     refusals: u32,
-    passed_over_until: u64,
+    skipped_until: u64,
 }
 
-impl Health {
-    /// Whether it is ejected at `now`.
-    pub fn ejected(&self, now: u64) -> bool {
-        now < self.out_until
+impl EndpointHealth {
+    /// Returns whether the back end is ejected at `now`.
+    pub fn is_ejected(&self, now: u64) -> bool {
+        now < self.ejected_until
     }
 
-    /// Counts a success.
-    pub fn succeeded(&mut self, now: u64) {
+    /// Records a completed request. Resets the ejection duration once the back end has fully
+    /// returned.
+    pub fn record_success(&mut self, now: u64) {
         self.failures = 0;
         self.refusals = 0;
-        self.passed_over_until = 0;
-        let returned = now >= self.out_until + RETURN_MILLISECONDS;
-        if self.returning && returned {
-            self.returning = false;
+        self.skipped_until = 0;
+        let ramp_up_complete = now >= self.ejected_until + RAMP_UP_MILLISECONDS;
+        if self.ramping_up && ramp_up_complete {
+            self.ramping_up = false;
             self.ejections = 0;
         }
     }
 
-    /// Counts a failure; `true` when it is time to eject. Failures of requests that were under
-    /// way when it was ejected do not lengthen the ejection.
-    pub fn failed(&mut self, now: u64) -> bool {
-        if self.ejected(now) {
+    /// Records a failed request and returns whether the back end should be ejected. During the
+    /// ramp-up after an ejection, one failure suffices. Failures during an ejection, of requests
+    /// sent before it, are ignored so that they do not extend it.
+    pub fn record_failure(&mut self, now: u64) -> bool {
+        if self.is_ejected(now) {
             return false;
         }
         self.failures = self.failures.saturating_add(1);
-        self.failures >= CONSECUTIVE_FAILURES || self.returning
+        self.failures >= CONSECUTIVE_FAILURES || self.ramping_up
     }
 
-    /// Counts a refusal of a request that was not run.
-    pub fn refused(&mut self, now: u64) {
-        if now < self.passed_over_until {
+    /// Records that the back end refused a request without running it. Refusals while the back end
+    /// is skipped are ignored.
+    pub fn record_refusal(&mut self, now: u64) {
+        if now < self.skipped_until {
             return;
         }
         self.refusals = self.refusals.saturating_add(1);
         if self.refusals >= CONSECUTIVE_REFUSALS {
             let doublings = (self.refusals - CONSECUTIVE_REFUSALS).min(16);
-            let length = (FIRST_PASS_MILLISECONDS << doublings).min(LONGEST_PASS_MILLISECONDS);
-            self.passed_over_until = now + length;
+            let duration = (FIRST_SKIP_MILLISECONDS << doublings).min(MAX_SKIP_MILLISECONDS);
+            self.skipped_until = now + duration;
         }
     }
 
-    /// Ejects it at `now` and returns when the ejection ends.
+    /// Ejects the back end at `now` and returns the time at which the ejection ends.
     pub fn eject(&mut self, now: u64) -> u64 {
         let doublings = self.ejections.min(16);
-        let length = (FIRST_EJECTION_MILLISECONDS << doublings).min(LONGEST_EJECTION_MILLISECONDS);
+        let duration = (FIRST_EJECTION_MILLISECONDS << doublings).min(MAX_EJECTION_MILLISECONDS);
         self.ejections += 1;
         self.failures = 0;
-        self.returning = true;
-        self.out_until = now + length;
-        self.out_until
+        self.ramping_up = true;
+        self.ejected_until = now + duration;
+        self.ejected_until
     }
 
-    /// Whether it takes a request at `now`: never while ejected, then with a growing chance.
+    /// Returns whether the back end may get a request at `now`: never while it is ejected or
+    /// skipped, and with a growing probability for [`RAMP_UP_MILLISECONDS`] after an ejection.
     pub fn admits(&self, now: u64, random: &mut impl RngExt) -> bool {
-        if now < self.passed_over_until {
+        if now < self.skipped_until {
             return false;
         }
-        if !self.returning {
+        if !self.ramping_up {
             return true;
         }
-        if now < self.out_until {
+        if now < self.ejected_until {
             return false;
         }
-        let share = (now - self.out_until) as f32 / RETURN_MILLISECONDS as f32;
-        share >= 1.0 || random.random::<f32>() < share.max(FIRST_RETURN_SHARE)
+        let fraction = (now - self.ejected_until) as f32 / RAMP_UP_MILLISECONDS as f32;
+        fraction >= 1.0 || random.random::<f32>() < fraction.max(MIN_RAMP_UP_FRACTION)
     }
 }
--- a/crates/firshore-routing/src/eligibility.rs
+++ b/crates/firshore-routing/src/eligibility.rs
@@ -1,19 +1,19 @@
-//! Which back ends may run a request: sets by selector, kept until the table changes.
+//! The sets of back ends that may run a request, cached by selectors until the table changes.
 
 use crate::endpoint::{EndpointIndex, EndpointTable};
 use firshore_types::labels::Selector;
 use std::collections::HashMap;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Sets kept at once; beyond that all are built anew as they are asked for.
-const MAXIMUM_SETS: usize = 1_024;
+/// Maximum number of cached sets. The cache is cleared when this is reached.
+const MAX_CACHED_SETS: usize = 1_024;
 
-/// Identifies a conjunction of selectors by content.
+/// Hash of a conjunction of selectors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct SetKey(u64);
+pub struct SelectorKey(u64);
 
-impl SetKey {
-    /// The key of the conjunction of `selectors`.
+impl SelectorKey {
+    /// Returns the key of the conjunction of `selectors`.
     pub fn of(selectors: &[&Selector]) -> Self {
         let mut hasher = Xxh3::new();
         for selector in selectors {
@@ -43,24 +43,24 @@
     }
 }
 
-/// Back ends at one distance.
+/// The back ends at one distance.
 #[derive(Clone, Debug)]
 pub struct Tier {
-    /// One-way distance in milliseconds.
+    /// One-way network latency in milliseconds.
     pub distance: f32,
-    /// The back ends.
+    /// Indexes of the back ends, in ascending order.
     pub members: Vec<EndpointIndex>,
 }
 
-/// Back ends that match some selectors, nearest tier first.
+/// The back ends that match a conjunction of selectors.
 #[derive(Clone, Debug, Default)]
 pub struct EligibleSet {
-    /// Tiers by distance.
+    /// The non-empty tiers, nearest first.
     pub tiers: Vec<Tier>,
 }
 
 impl EligibleSet {
-    /// The back ends of `table` that match all of `selectors`.
+    /// Collects the back ends of `table` that match all of `selectors`.
     pub fn build(table: &EndpointTable, selectors: &[&Selector]) -> Self {
         let mut set = Self::default();
         for index in table.indexes() {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether `index` is one of them.
+    /// Returns whether `index` is in the set.
     pub fn contains(&self, index: EndpointIndex) -> bool {
         self.tiers
             .iter()
@@ -94,22 +94,23 @@
     }
 }
 
-/// Sets by key, valid for one version of the table.
+/// A cache of [`EligibleSet`]s for one version of the table.
 #[derive(Debug, Default)]
-pub struct EligibleSets {
+pub struct EligibleSetCache {
     version: u64,
-    sets: HashMap<SetKey, EligibleSet>,
+    sets: HashMap<SelectorKey, EligibleSet>,
 }
 
-impl EligibleSets {
-    /// The set of `selectors`, built if it is not at hand.
-    pub fn get(
+impl EligibleSetCache {
+    /// Returns the set for `selectors`, building it if it is not cached. `key` must be the key of
+    /// `selectors`.
+    pub fn get_or_build(
         &mut self,
         table: &EndpointTable,
-        key: SetKey,
+        key: SelectorKey,
         selectors: &[&Selector],
     ) -> &EligibleSet {
-        if self.version != table.version() || self.sets.len() >= MAXIMUM_SETS {
+        if self.version != table.version() || self.sets.len() >= MAX_CACHED_SETS {
             self.sets.clear();
             self.version = table.version();
         }
--- a/crates/firshore-routing/src/endpoint.rs
+++ b/crates/firshore-routing/src/endpoint.rs
@@ -1,34 +1,37 @@
-//! The table of back ends, found on the request path by small indexes instead of names.
+//! The table of back ends, addressed on the request path by small indexes instead of names.
 
 use crate::digest::NameHash;
-use crate::ejection::{Health, LARGEST_EJECTED_SHARE, OUTLIER_SAMPLES, OUTLIER_SLOWDOWN};
+use crate::ejection::{
+    EndpointHealth, MAX_EJECTED_FRACTION, MIN_OUTLIER_SAMPLES, OUTLIER_SLOWDOWN,
+};
 use crate::load::{LoadReport, LoadState};
-use crate::speed::{FleetMean, Observation, Speed};
+use crate::speed::{FleetMean, SpeedEstimate, SpeedObservation};
 use firshore_types::ids::{MachineName, RegionName, ZoneName};
 use firshore_types::labels::Labels;
 use firshore_types::machine::{Machine, MachineState};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Time after which a back end that is no longer listed and does not answer is given nothing, in
-/// milliseconds. The list lags and may be cut short, so absence alone is no proof.
+/// Time after which a back end that is no longer listed and does not respond is removed, in
+/// milliseconds. The machine list may be stale or truncated, so a back end that still responds is
+/// kept.
 pub const ABSENT_GRACE_MILLISECONDS: u64 = 10_000;
 
-/// Time for which a back end is taken for draining after it last said so, in milliseconds.
-pub const DRAINING_MEMORY_MILLISECONDS: u64 = 60_000;
+/// Time for which a back end counts as draining after it last reported so, in milliseconds.
+pub const DRAINING_MILLISECONDS: u64 = 60_000;
 
-/// One-way distance in milliseconds to another zone of the same region, unless told otherwise.
+/// Assumed one-way network latency to another zone of the same region, in milliseconds.
 pub const OTHER_ZONE_MILLISECONDS: f32 = 1.0;
 
-/// One-way distance in milliseconds to another region, unless told otherwise.
+/// Assumed one-way network latency to another region, in milliseconds.
 pub const OTHER_REGION_MILLISECONDS: f32 = 40.0;
 
-/// Position of a back end in the table. It is used again only after the back end is gone and all
-/// its requests have ended.
+/// Index of a back end in the table. It is reused only after the back end was removed and all its
+/// requests have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointIndex(pub u16);
 
-/// Where a node stands, from which distances follow.
+/// The location of a node, from which distances to back ends are derived.
 #[derive(Clone, Debug)]
 pub struct Locality {
     /// The node's region.
@@ -38,7 +41,7 @@
 }
 
 impl Locality {
-    /// One-way distance to a machine in milliseconds.
+    /// Returns the assumed one-way network latency to `machine` in milliseconds.
     pub fn distance(&self, machine: &Machine) -> f32 {
         if machine.zone == self.zone {
             0.0
@@ -50,30 +53,30 @@
     }
 }
 
-/// One back end.
+/// A back end, with what this node has observed of it. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Name.
+    /// Its unique name.
     pub name: MachineName,
-    /// Where it listens.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneName,
-    /// Its labels.
+    /// Its labels, against which selectors are matched.
     pub labels: Labels,
-    /// One-way distance in milliseconds.
+    /// One-way network latency from this node in milliseconds.
     pub distance: f32,
-    /// Load.
+    /// Reported load and this node's requests.
     pub load: LoadState,
-    /// Speed.
-    pub speed: Speed,
-    /// Health.
-    pub health: Health,
+    /// Observed speed.
+    pub speed: SpeedEstimate,
+    /// Recent failures and ejections.
+    pub health: EndpointHealth,
     leaving: bool,
     draining_until: u64,
     listed: bool,
     unlisted_at: u64,
-    answered_at: u64,
+    responded_at: u64,
     removed: bool,
 }
 
@@ -86,42 +89,42 @@
             labels: machine.labels.clone(),
             distance,
             load: LoadState::default(),
-            speed: Speed::default(),
-            health: Health::default(),
+            speed: SpeedEstimate::default(),
+            health: EndpointHealth::default(),
             leaving: machine.state == MachineState::Leaving,
             draining_until: 0,
             listed: true,
             unlisted_at: 0,
-            answered_at: 0,
+            responded_at: 0,
             removed: false,
         }
     }
 
-    /// Whether it may be given new work at `now`, its health aside.
-    pub fn available(&self, now: u64) -> bool {
-        !self.removed && !self.leaving && now >= self.draining_until && self.present(now)
+    /// Returns whether the back end may get new requests at `now`, regardless of its health.
+    pub fn is_available(&self, now: u64) -> bool {
+        !self.removed && !self.leaving && now >= self.draining_until && self.is_present(now)
     }
 
-    fn present(&self, now: u64) -> bool {
-        let last = self.unlisted_at.max(self.answered_at);
+    fn is_present(&self, now: u64) -> bool {
+        let last = self.unlisted_at.max(self.responded_at);
         self.listed || now < last + ABSENT_GRACE_MILLISECONDS
     }
 }
 
-/// What a back end did with a request.
+/// How a request at a back end ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered, whatever the status, if the back end itself is sound.
+    /// The back end responded, with any status that does not indicate a fault of the back end.
     Completed,
-    /// Gave no answer, broke off, or failed.
+    /// The back end did not respond, closed the connection early, or reported a fault.
     Failed,
-    /// Said that it is full; says nothing about its health.
+    /// The back end reported that it is full; not counted as a failure.
     Refused,
-    /// The caller gave up; says nothing about the back end.
+    /// The caller cancelled the request; has no effect on the back end's health.
     Cancelled,
 }
 
-/// All back ends that the node knows.
+/// All back ends of the machine list, with fleet-wide means.
 #[derive(Debug)]
 pub struct EndpointTable {
     locality: Locality,
@@ -129,13 +132,13 @@
     by_name: HashMap<MachineName, EndpointIndex>,
     by_hash: HashMap<NameHash, EndpointIndex>,
     version: u64,
-    mean_foreign: FleetMean,
+    mean_remote_requests: FleetMean,
     mean_slowdown: FleetMean,
     mean_requests: FleetMean,
 }
 
 impl EndpointTable {
-    /// An empty table of a node that stands at `locality`.
+    /// Creates an empty table for a node at `locality`.
     pub fn new(locality: Locality) -> Self {
         Self {
             locality,
@@ -143,26 +146,31 @@
             by_name: HashMap::new(),
             by_hash: HashMap::new(),
             version: 0,
-            mean_foreign: FleetMean::starting_at(0.0),
+            mean_remote_requests: FleetMean::starting_at(0.0),
             mean_slowdown: FleetMean::starting_at(1.0),
             mean_requests: FleetMean::starting_at(0.0),
         }
     }
 
-    /// Counts changes of the back ends, their addresses, labels or states of leaving.
+    /// Returns a number that increases whenever a back end is added or removed, or its address,
+    /// zone, labels or leaving state change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Indexes of the back ends in use.
+    /// Returns the indexes of all back ends that are not removed, in ascending order.
     pub fn indexes(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
-        let used = |position: &usize| !self.endpoints[*position].removed;
+        let in_use = |position: &usize| !self.endpoints[*position].removed;
         (0..self.endpoints.len())
-            .filter(used)
+            .filter(in_use)
             .map(|position| EndpointIndex(position as u16))
     }
 
-    /// The back end at `index`.
+    /// Returns the back end at `index`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no back end ever had this index.
     pub fn get(&self, index: EndpointIndex) -> &Endpoint {
         &self.endpoints[usize::from(index.0)]
     }
@@ -171,48 +179,51 @@
         &mut self.endpoints[usize::from(index.0)]
     }
 
-    /// The index of the back end called `name`.
+    /// Returns the index of the back end with this name.
     pub fn find(&self, name: &MachineName) -> Option<EndpointIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// The index of the back end whose name has this hash.
-    pub fn find_hash(&self, hash: NameHash) -> Option<EndpointIndex> {
+    /// Returns the index of the back end whose name has this hash.
+    pub fn find_by_hash(&self, hash: NameHash) -> Option<EndpointIndex> {
         self.by_hash.get(&hash).copied()
     }
 
-    /// Mean of the requests that other nodes cause on one back end.
-    pub fn mean_foreign(&self) -> f32 {
-        self.mean_foreign.value()
+    /// Returns the fleet's mean number of requests of other nodes per back end.
+    pub fn mean_remote_requests(&self) -> f32 {
+        self.mean_remote_requests.value()
     }
 
-    /// Mean of the requests found at a back end when one more was sent to it.
+    /// Returns the mean number of requests already at a back end when this node sends one to it.
     pub fn mean_requests(&self) -> f32 {
         self.mean_requests.value()
     }
 
-    /// Takes in the requests found at a back end when one more was sent to it.
+    /// Records the estimated number of requests already at a back end when this node sends one to
+    /// it.
     pub fn observe_requests(&mut self, requests: f32) {
         self.mean_requests.observe(requests);
     }
 
-    /// Mean slowdown of the fleet.
+    /// Returns the fleet's mean slowdown; see [`crate::speed`].
     pub fn mean_slowdown(&self) -> f32 {
         self.mean_slowdown.value()
     }
 
-    /// Brings the table in line with the machine list read at `now`.
+    /// Updates the table from the machine list read at `now`. Back ends that are missing from the
+    /// list are removed after [`ABSENT_GRACE_MILLISECONDS`] without a response. Machines beyond
+    /// the capacity of 65,535 back ends are ignored.
     pub fn update(&mut self, now: u64, machines: &[Machine]) {
         let mut listed = vec![false; self.endpoints.len()];
         for machine in machines {
             if let Some(index) = self.upsert(machine)
-                && let Some(seen) = listed.get_mut(usize::from(index.0))
+                && let Some(is_listed) = listed.get_mut(usize::from(index.0))
             {
-                *seen = true;
+                *is_listed = true;
             }
         }
-        for (position, seen) in listed.iter().enumerate() {
-            if !seen {
+        for (position, is_listed) in listed.iter().enumerate() {
+            if !is_listed {
                 self.unlist(now, EndpointIndex(position as u16));
             }
         }
@@ -223,12 +234,12 @@
         if let Some(index) = self.find(&machine.name) {
             let leaving = machine.state == MachineState::Leaving;
             let endpoint = self.get_mut(index);
-            let same = endpoint.address == machine.address
+            let unchanged = endpoint.address == machine.address
                 && endpoint.labels == machine.labels
                 && endpoint.zone == machine.zone
                 && endpoint.leaving == leaving;
             endpoint.listed = true;
-            if !same {
+            if !unchanged {
                 endpoint.address = machine.address;
                 endpoint.labels = machine.labels.clone();
                 endpoint.zone = machine.zone.clone();
@@ -252,10 +263,10 @@
     }
 
     fn free_index(&self) -> Option<EndpointIndex> {
-        let unused = |endpoint: &Endpoint| endpoint.removed && endpoint.load.own_requests() == 0;
-        let position = self.endpoints.iter().position(unused);
+        let is_free = |endpoint: &Endpoint| endpoint.removed && endpoint.load.local_requests() == 0;
+        let position = self.endpoints.iter().position(is_free);
         let position = position.unwrap_or(self.endpoints.len());
-        // The last index stands for "none" in the affinity index.
+        // The affinity index uses `u16::MAX` to mark unused positions.
         (position < usize::from(u16::MAX)).then_some(EndpointIndex(position as u16))
     }
 
@@ -268,7 +279,7 @@
             endpoint.listed = false;
             endpoint.unlisted_at = now;
         }
-        if !endpoint.present(now) {
+        if !endpoint.is_present(now) {
             endpoint.removed = true;
             let name = endpoint.name.clone();
             self.by_name.remove(&name);
@@ -277,38 +288,43 @@
         }
     }
 
-    /// Takes in a load report measured at `measured_at`.
-    pub fn report(&mut self, index: EndpointIndex, measured_at: u64, report: LoadReport) {
+    /// Records a load report that was measured at `measured_at`.
+    pub fn record_report(&mut self, index: EndpointIndex, measured_at: u64, report: LoadReport) {
         let endpoint = self.get_mut(index);
-        if let Some(foreign) = endpoint.load.take_report(measured_at, report) {
-            self.mean_foreign.observe(foreign as f32);
+        if let Some(remote_requests) = endpoint.load.apply_report(measured_at, report) {
+            self.mean_remote_requests.observe(remote_requests as f32);
         }
     }
 
-    /// Notes at `now` that the back end says it drains.
-    pub fn draining(&mut self, now: u64, index: EndpointIndex) {
-        self.get_mut(index).draining_until = now + DRAINING_MEMORY_MILLISECONDS;
+    /// Records that the back end reported at `now` that it is draining.
+    pub fn record_draining(&mut self, now: u64, index: EndpointIndex) {
+        self.get_mut(index).draining_until = now + DRAINING_MILLISECONDS;
     }
 
-    /// Notes at `now` that the back end answered, for better or worse. Returns until when it is
-    /// ejected if this outcome ejected it.
-    pub fn outcome(&mut self, now: u64, index: EndpointIndex, outcome: Outcome) -> Option<u64> {
+    /// Records the outcome of a request that ended at `now`. If the outcome causes an ejection,
+    /// returns the time at which the ejection ends.
+    pub fn record_outcome(
+        &mut self,
+        now: u64,
+        index: EndpointIndex,
+        outcome: Outcome,
+    ) -> Option<u64> {
         let endpoint = self.get_mut(index);
         match outcome {
             Outcome::Cancelled => None,
             Outcome::Refused => {
-                endpoint.answered_at = now;
-                endpoint.health.refused(now);
+                endpoint.responded_at = now;
+                endpoint.health.record_refusal(now);
                 None
             }
             Outcome::Completed => {
-                endpoint.answered_at = now;
-                endpoint.health.succeeded(now);
+                endpoint.responded_at = now;
+                endpoint.health.record_success(now);
                 self.eject_if_outlier(now, index)
             }
             Outcome::Failed => {
-                let due = endpoint.health.failed(now);
-                (due && self.may_eject(now)).then(|| self.get_mut(index).health.eject(now))
+                let should_eject = endpoint.health.record_failure(now);
+                (should_eject && self.can_eject(now)).then(|| self.get_mut(index).health.eject(now))
             }
         }
     }
@@ -316,23 +332,23 @@
     fn eject_if_outlier(&mut self, now: u64, index: EndpointIndex) -> Option<u64> {
         let mean = self.mean_slowdown();
         let speed = &self.get(index).speed;
-        let outlier = speed.samples() >= OUTLIER_SAMPLES
+        let outlier = speed.samples() >= MIN_OUTLIER_SAMPLES
             && speed.slowdown(now, mean) > OUTLIER_SLOWDOWN * mean;
-        (outlier && !self.get(index).health.ejected(now) && self.may_eject(now))
+        (outlier && !self.get(index).health.is_ejected(now) && self.can_eject(now))
             .then(|| self.get_mut(index).health.eject(now))
     }
 
-    fn may_eject(&self, now: u64) -> bool {
+    fn can_eject(&self, now: u64) -> bool {
         let total = self.indexes().count() as f32;
         let ejected = self
             .indexes()
-            .filter(|index| self.get(*index).health.ejected(now))
+            .filter(|index| self.get(*index).health.is_ejected(now))
             .count() as f32;
-        ejected + 1.0 <= total * LARGEST_EJECTED_SHARE
+        ejected + 1.0 <= total * MAX_EJECTED_FRACTION
     }
 
-    /// Takes in an observation of a back end's speed.
-    pub fn observe_speed(&mut self, now: u64, index: EndpointIndex, observation: Observation) {
+    /// Records an observation of a back end's speed.
+    pub fn observe_speed(&mut self, now: u64, index: EndpointIndex, observation: SpeedObservation) {
         let mean = self.mean_slowdown();
         let endpoint = self.get_mut(index);
         endpoint.speed.observe(now, mean, observation);
--- a/crates/firshore-routing/src/lib.rs
+++ b/crates/firshore-routing/src/lib.rs
@@ -1,5 +1,6 @@
-//! Decides which back end runs a request, and whether it is admitted at all. No I/O: the clock and
-//! random numbers are passed in.
+//! Selects the back end for a request and decides whether the request is admitted.
+//!
+//! The crate does no I/O: callers pass in the current time and the random number generator.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod affinity;
--- a/crates/firshore-routing/src/limits.rs
+++ b/crates/firshore-routing/src/limits.rs
@@ -1,49 +1,49 @@
-//! Per-tenant limits of rate and concurrency, shared among nodes: a node's part.
+//! Enforces a node's share of each tenant's rate and concurrency limits.
 //!
-//! A node admits from its share of the limit without asking anyone. Shares come as grants from the
-//! tenant's allocator ([`crate::allocator`]), a node that all agree on, in answer to the demand
-//! that the node reports. Without a valid grant a node falls back to an equal split among all
-//! nodes; a tenant that the node has just met may use the whole limit until the first answer.
+//! A node admits requests from its share of the limit without contacting other nodes. It reports
+//! its demand to the tenant's allocator ([`crate::allocator`]), a node that all nodes select alike,
+//! which responds with a grant. Without a valid grant the node's share is an equal split among all
+//! nodes. A tenant that is new to the node may use the whole limit for
+//! [`NEW_TENANT_MILLISECONDS`], until the first grant arrives.
 
 use firshore_types::declaration::Limits;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Time between two reports of demand, in milliseconds.
-pub const EXCHANGE_MILLISECONDS: u64 = 1_000;
+/// Interval between two reports of demand, in milliseconds.
+pub const REPORT_INTERVAL_MILLISECONDS: u64 = 1_000;
 
-/// Time for which a tenant just met may use the whole limit before its first grant, in
-/// milliseconds.
-pub const FIRST_CONTACT_MILLISECONDS: u64 = 250;
+/// Time for which a new tenant may use the whole limit without a grant, in milliseconds.
+pub const NEW_TENANT_MILLISECONDS: u64 = 250;
 
-/// Time for which a grant is valid, counted from when its demand was reported, in milliseconds.
+/// Time for which a grant is valid after its demand was reported, in milliseconds.
 pub const GRANT_MILLISECONDS: u64 = 3_000;
 
-/// Unused rate that may be saved up, in milliseconds of the share.
+/// Capacity of the token bucket, in milliseconds of the share's rate.
 pub const BURST_MILLISECONDS: f32 = 1_000.0;
 
-/// Time without requests after which a tenant's state is dropped, in milliseconds.
+/// Time without requests after which a tenant's state is removed, in milliseconds.
 pub const IDLE_MILLISECONDS: u64 = 30_000;
 
-/// Least number of requests that may be saved up. With one only, a node whose share is less than a
-/// request a second loses a quarter of it to the chance of arrivals.
-pub const LEAST_BURST: f32 = 2.0;
+/// Minimum capacity of the token bucket in requests. With a capacity of one, a node whose share is
+/// below one request per second would lose part of it whenever arrivals are uneven.
+pub const MIN_BURST_REQUESTS: f32 = 2.0;
 
-/// Weight of the latest interval in the demand, as long as it differs by chance only.
+/// Weight of the latest interval in the demand's moving average, for differences within the noise.
 const DEMAND_WEIGHT: f32 = 0.2;
 
-/// Standard deviations of a Poisson count beyond which a difference is no chance.
-const DEMAND_DEVIATIONS: f32 = 3.0;
+/// Standard deviations of a Poisson count beyond which a difference replaces the moving average.
+const DEMAND_NOISE_DEVIATIONS: f32 = 3.0;
 
-/// A tenant under certain limits, by hash, as tables and messages hold it. Policies may limit a
-/// tenant differently at different services; each such limit is counted on its own.
+/// Hash of a tenant's name and limits. Policies may set different limits for a tenant at different
+/// services; each of these is enforced separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TenantKey(pub u64);
 
 impl TenantKey {
-    /// The key of the tenant called `name` under `limits`.
+    /// Returns the key of the tenant `name` under `limits`.
     pub fn of(name: &str, limits: &Limits) -> Self {
         let rate = limits.requests_per_second.unwrap_or(-1.0);
         let concurrent = limits.concurrent_requests.map_or(-1, i64::from);
@@ -55,51 +55,51 @@
     }
 }
 
-/// An amount of both limited things.
+/// An amount of each limited quantity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(rename = "r")]
     pub rate: f32,
-    /// Requests at once.
+    /// Concurrent requests.
     #[serde(rename = "c")]
     pub concurrent: u32,
 }
 
-/// What a node tells a tenant's allocator.
+/// A node's report to a tenant's allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Tenant.
+    /// The tenant and its limits.
     #[serde(rename = "t")]
     pub tenant: TenantKey,
-    /// The tenant's limits over the whole cluster.
+    /// The tenant's limits for the whole cluster.
     #[serde(rename = "l")]
     pub limits: Limits,
-    /// What the tenant asked of this node, refused requests included.
+    /// The tenant's requests at this node, including refused ones.
     #[serde(rename = "w")]
     pub wanted: Share,
-    /// The grant that the node holds.
+    /// The share of the node's valid grant, or zero.
     #[serde(rename = "h")]
     pub held: Share,
 }
 
-/// A share that an allocator gives in answer.
+/// An allocator's response to a [`Demand`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Tenant.
+    /// The tenant and its limits.
     #[serde(rename = "t")]
     pub tenant: TenantKey,
-    /// What the node may admit.
+    /// The share that the node may admit.
     #[serde(rename = "s")]
     pub share: Share,
 }
 
-/// Why a request is not admitted.
+/// The limit because of which a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
-    /// The rate is used up for about this many milliseconds.
+pub enum LimitExceeded {
+    /// The rate; the next request can be admitted after about this many milliseconds.
     Rate(u64),
-    /// Too many requests at once.
+    /// The number of concurrent requests.
     Concurrency,
 }
 
@@ -108,22 +108,22 @@
     limits: Limits,
     tokens: f32,
     refilled_at: u64,
-    seen_at: u64,
-    met_at: u64,
+    last_request_at: u64,
+    created_at: u64,
     grant: Share,
-    granted_until: u64,
-    demand: f32,
+    grant_expires_at: u64,
+    demand_rate: f32,
     arrivals: u32,
     running: u32,
-    peak: u32,
-    refused_at_once: u32,
+    peak_running: u32,
+    concurrency_refusals: u32,
 }
 
-/// A node's admission against its shares.
+/// Admits requests against this node's shares.
 #[derive(Debug, Default)]
 pub struct TenantLimiter {
     tenants: HashMap<TenantKey, TenantState>,
-    nodes: u32,
+    live_nodes: u32,
 }
 
 impl TenantState {
@@ -132,145 +132,162 @@
             limits,
             tokens: f32::MAX,
             refilled_at: now,
-            seen_at: now,
-            met_at: now,
+            last_request_at: now,
+            created_at: now,
             grant: Share::default(),
-            granted_until: 0,
-            demand: 0.0,
+            grant_expires_at: 0,
+            demand_rate: 0.0,
             arrivals: 0,
             running: 0,
-            peak: 0,
-            refused_at_once: 0,
+            peak_running: 0,
+            concurrency_refusals: 0,
         }
     }
 
-    fn rate(&self, now: u64, limit: f32, nodes: u32) -> f32 {
-        if now < self.granted_until {
+    fn rate_share(&self, now: u64, limit: f32, live_nodes: u32) -> f32 {
+        if now < self.grant_expires_at {
             self.grant.rate
-        } else if now < self.met_at + FIRST_CONTACT_MILLISECONDS {
+        } else if now < self.created_at + NEW_TENANT_MILLISECONDS {
             limit
         } else {
-            limit / nodes as f32
+            limit / live_nodes as f32
         }
     }
 
-    fn concurrent(&self, now: u64, limit: u32, nodes: u32) -> u32 {
-        if now < self.granted_until {
+    fn concurrency_share(&self, now: u64, limit: u32, live_nodes: u32) -> u32 {
+        if now < self.grant_expires_at {
             self.grant.concurrent
-        } else if now < self.met_at + FIRST_CONTACT_MILLISECONDS {
+        } else if now < self.created_at + NEW_TENANT_MILLISECONDS {
             limit
         } else {
-            limit / nodes
+            limit / live_nodes
         }
     }
 
     fn refill(&mut self, now: u64, rate: f32) {
-        let earned = rate * now.saturating_sub(self.refilled_at) as f32 / 1_000.0;
-        let most = (rate * BURST_MILLISECONDS / 1_000.0).max(LEAST_BURST);
-        self.tokens = (self.tokens + earned).min(most);
+        let refilled = rate * now.saturating_sub(self.refilled_at) as f32 / 1_000.0;
+        let burst = (rate * BURST_MILLISECONDS / 1_000.0).max(MIN_BURST_REQUESTS);
+        self.tokens = (self.tokens + refilled).min(burst);
         self.refilled_at = now;
     }
 }
 
 impl TenantLimiter {
-    /// Sets the number of nodes that are alive, for the equal split.
-    pub fn set_nodes(&mut self, nodes: u32) {
-        self.nodes = nodes;
+    /// Sets the number of live nodes, for the equal split.
+    pub fn set_live_nodes(&mut self, live_nodes: u32) {
+        self.live_nodes = live_nodes;
     }
 
-    /// Tenants with state.
+    /// Returns the number of tenants with state.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether no tenant has state.
+    /// Returns whether no tenant has state.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// Admits a request at `now` (milliseconds) or says why not. Each admitted request must be
-    /// [`released`](Self::released) when it ends.
-    pub fn admit(&mut self, now: u64, tenant: TenantKey, limits: &Limits) -> Result<(), Denied> {
-        let nodes = self.nodes.max(1);
+    /// Admits a request at `now` (milliseconds). Call [`release`](Self::release) when an admitted
+    /// request ends.
+    ///
+    /// # Errors
+    ///
+    /// Returns the limit that the request would exceed.
+    pub fn admit(
+        &mut self,
+        now: u64,
+        tenant: TenantKey,
+        limits: &Limits,
+    ) -> Result<(), LimitExceeded> {
+        let live_nodes = self.live_nodes.max(1);
         let state = self.tenants.entry(tenant);
         let state = state.or_insert_with(|| TenantState::new(now, *limits));
-        state.seen_at = now;
+        state.last_request_at = now;
         state.arrivals = state.arrivals.saturating_add(1);
         if let Some(limit) = limits.concurrent_requests
-            && state.running >= state.concurrent(now, limit, nodes)
+            && state.running >= state.concurrency_share(now, limit, live_nodes)
         {
-            state.refused_at_once = state.refused_at_once.saturating_add(1);
-            return Err(Denied::Concurrency);
+            state.concurrency_refusals = state.concurrency_refusals.saturating_add(1);
+            return Err(LimitExceeded::Concurrency);
         }
         if let Some(limit) = limits.requests_per_second {
-            let rate = state.rate(now, limit as f32, nodes);
+            let rate = state.rate_share(now, limit as f32, live_nodes);
             state.refill(now, rate);
             if state.tokens < 1.0 {
                 let wait = (1.0 - state.tokens) / rate.max(0.01) * 1_000.0;
-                return Err(Denied::Rate(wait.ceil() as u64));
+                return Err(LimitExceeded::Rate(wait.ceil() as u64));
             }
             state.tokens -= 1.0;
         }
         state.running += 1;
-        state.peak = state.peak.max(state.running);
+        state.peak_running = state.peak_running.max(state.running);
         Ok(())
     }
 
-    /// Counts an admitted request as ended.
-    pub fn released(&mut self, tenant: TenantKey) {
+    /// Records that an admitted request ended.
+    pub fn release(&mut self, tenant: TenantKey) {
         if let Some(state) = self.tenants.get_mut(&tenant) {
             state.running = state.running.saturating_sub(1);
         }
     }
 
-    /// The demand to report at `now`, once every [`EXCHANGE_MILLISECONDS`]; drops idle tenants.
-    pub fn demands(&mut self, now: u64) -> Vec<Demand> {
-        self.tenants
-            .retain(|_, state| state.running > 0 || now < state.seen_at + IDLE_MILLISECONDS);
+    /// Returns the demand to report at `now` and starts the next interval. To be called once every
+    /// [`REPORT_INTERVAL_MILLISECONDS`]. Removes idle tenants.
+    pub fn take_demands(&mut self, now: u64) -> Vec<Demand> {
+        self.tenants.retain(|_, state| {
+            state.running > 0 || now < state.last_request_at + IDLE_MILLISECONDS
+        });
         let mut demands = Vec::new();
         for (tenant, state) in &mut self.tenants {
-            let arrived = state.arrivals as f32 * 1_000.0 / EXCHANGE_MILLISECONDS as f32;
-            let chance = DEMAND_DEVIATIONS * state.demand.max(1.0).sqrt();
-            if (arrived - state.demand).abs() > chance {
-                state.demand = arrived;
+            let arrival_rate =
+                state.arrivals as f32 * 1_000.0 / REPORT_INTERVAL_MILLISECONDS as f32;
+            let noise = DEMAND_NOISE_DEVIATIONS * state.demand_rate.max(1.0).sqrt();
+            if (arrival_rate - state.demand_rate).abs() > noise {
+                state.demand_rate = arrival_rate;
             } else {
-                state.demand += DEMAND_WEIGHT * (arrived - state.demand);
+                state.demand_rate += DEMAND_WEIGHT * (arrival_rate - state.demand_rate);
             }
             let wanted = Share {
-                rate: state.demand,
-                concurrent: state.peak + state.refused_at_once,
+                rate: state.demand_rate,
+                concurrent: state.peak_running + state.concurrency_refusals,
             };
             state.arrivals = 0;
-            state.peak = state.running;
-            state.refused_at_once = 0;
-            let valid = now < state.granted_until;
+            state.peak_running = state.running;
+            state.concurrency_refusals = 0;
+            let has_grant = now < state.grant_expires_at;
             if wanted.rate > 0.01 || wanted.concurrent > 0 {
                 demands.push(Demand {
                     tenant: *tenant,
                     limits: state.limits,
                     wanted,
-                    held: if valid { state.grant } else { Share::default() },
+                    held: if has_grant {
+                        state.grant
+                    } else {
+                        Share::default()
+                    },
                 });
             }
         }
         demands
     }
 
-    /// Demand of tenants met within the last exchange that hold no grant, to be reported at once.
-    pub fn first_demands(&mut self, now: u64) -> Vec<Demand> {
-        let fresh = |state: &TenantState| {
-            state.granted_until == 0 && now < state.met_at + FIRST_CONTACT_MILLISECONDS
+    /// Returns the demand of tenants that are newer than [`NEW_TENANT_MILLISECONDS`] and never had a
+    /// grant. It is reported without waiting for the next interval.
+    pub fn new_tenant_demands(&mut self, now: u64) -> Vec<Demand> {
+        let is_new = |state: &TenantState| {
+            state.grant_expires_at == 0 && now < state.created_at + NEW_TENANT_MILLISECONDS
         };
-        let states = self.tenants.iter().filter(|(_, state)| fresh(state));
+        let states = self.tenants.iter().filter(|(_, state)| is_new(state));
         states
             .map(|(tenant, state)| {
-                let elapsed = now.saturating_sub(state.met_at).max(50) as f32;
+                let elapsed = now.saturating_sub(state.created_at).max(50) as f32;
                 Demand {
                     tenant: *tenant,
                     limits: state.limits,
                     wanted: Share {
                         rate: state.arrivals as f32 * 1_000.0 / elapsed,
-                        concurrent: state.peak + state.refused_at_once,
+                        concurrent: state.peak_running + state.concurrency_refusals,
                     },
                     held: Share::default(),
                 }
@@ -278,14 +295,15 @@
             .collect()
     }
 
-    /// Takes in a grant that answers a demand reported at `reported_at`.
-    pub fn granted(&mut self, reported_at: u64, tenant: TenantKey, grant: Share) {
+    /// Applies a grant for a demand that was reported at `reported_at`, unless it is older than the
+    /// current grant.
+    pub fn apply_grant(&mut self, reported_at: u64, tenant: TenantKey, grant: Share) {
         let Some(state) = self.tenants.get_mut(&tenant) else {
             return;
         };
-        let until = reported_at + GRANT_MILLISECONDS;
-        if until >= state.granted_until {
-            state.granted_until = until;
+        let expires_at = reported_at + GRANT_MILLISECONDS;
+        if expires_at >= state.grant_expires_at {
+            state.grant_expires_at = expires_at;
             state.grant = grant;
         }
     }
--- a/crates/firshore-routing/src/load.rs
+++ b/crates/firshore-routing/src/load.rs
@@ -1,31 +1,31 @@
-//! What a node believes about a back end's load between two reports of it.
+//! Estimates a back end's load between two of its load reports.
 //!
-//! A report lags. The estimate adds what this node has sent and had answered since the report was
-//! measured, and lets the part that other nodes caused fade towards the fleet's mean as the report
-//! ages, so that nodes with the same old report do not all run to the same back end.
+//! The estimate combines this node's own requests in flight with the requests that other nodes
+//! caused according to the last report. As the report ages, the latter number moves towards the
+//! fleet's mean, so that nodes with the same stale report do not all choose the same back end.
 
 /// Width of one bucket of [`RecentCounts`] in milliseconds.
 const BUCKET_MILLISECONDS: u64 = 50;
 
-/// Buckets kept; older events count as part of any report.
+/// Number of buckets. Older events are assumed to be included in every report.
 const BUCKETS: usize = 32;
 
-/// Age in milliseconds at which half of a report's foreign part has faded towards the mean.
+/// Age in milliseconds at which a report and the fleet's mean have equal weight.
 const HALF_LIFE_MILLISECONDS: f32 = 1_000.0;
 
-/// Load as a back end reports it.
+/// The load that a back end reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running, batch items included.
+    /// Running requests, including batch items.
     pub running: u32,
-    /// Requests waiting.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests it can run at once; 0 when it does not say.
+    /// Maximum number of running requests; 0 if not reported.
     pub slots: u32,
 }
 
 impl LoadReport {
-    /// Reads the value of the `engine-load` header, `RUNNING/WAITING/SLOTS`.
+    /// Parses the value of the `engine-load` header, `RUNNING/WAITING/SLOTS`.
     pub fn from_header(value: &str) -> Option<Self> {
         let mut parts = value.trim().split('/').map(|part| part.parse().ok());
         let report = Self {
@@ -36,13 +36,13 @@
         parts.next().is_none().then_some(report)
     }
 
-    /// Requests running or waiting.
+    /// Returns the number of running and waiting requests.
     pub fn total(&self) -> u32 {
         self.running + self.waiting
     }
 }
 
-/// Counts of events over the last 1.6 seconds in a ring of buckets.
+/// Event counts of the last 1.6 seconds in a ring of buckets.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecentCounts {
     counts: [u16; BUCKETS],
@@ -66,7 +66,7 @@
         *slot = slot.saturating_add(1);
     }
 
-    /// Events after `moment`, which is rounded to the start of its bucket.
+    /// Returns the number of events in the buckets after that of `moment` (milliseconds).
     pub fn since(&self, moment: u64) -> u32 {
         let first = moment / BUCKET_MILLISECONDS + 1;
         let oldest = (self.newest + 1).saturating_sub(BUCKETS as u64);
@@ -76,99 +76,101 @@
     }
 }
 
-/// Load of one back end as estimated at one moment.
+/// The estimated load of one back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Estimate {
-    /// Requests running or waiting there.
+pub struct LoadEstimate {
+    /// Running and waiting requests.
     pub requests: f32,
-    /// Requests of other nodes waiting there for their first token.
-    pub foreign_waiting: f32,
-    /// Prompt tokens this node has sent there that have not led to a first token.
-    pub own_prefill_tokens: f32,
+    /// Waiting requests of other nodes.
+    pub remote_waiting: f32,
+    /// Uncached prompt tokens of this node's requests without a first token.
+    pub local_prefill_tokens: f32,
 }
 
-/// Reports about one back end and this node's own work there.
+/// The last load report of one back end and this node's requests there. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadState {
     report: LoadReport,
-    foreign: u32,
+    remote_requests: u32,
     measured_at: u64,
-    reported: bool,
-    own_requests: u32,
-    own_prefilling: u32,
-    own_prefill_tokens: u64,
+    has_report: bool,
+    local_requests: u32,
+    local_prefilling: u32,
+    local_prefill_tokens: u64,
     sent: RecentCounts,
     ended: RecentCounts,
 }
 
 impl LoadState {
-    /// Takes in a report measured at `measured_at`; an older one than that held is dropped.
-    /// Returns the requests in it that other nodes caused.
-    pub fn take_report(&mut self, measured_at: u64, report: LoadReport) -> Option<u32> {
-        if self.reported && measured_at < self.measured_at {
+    /// Applies a report that was measured at `measured_at` and returns the number of requests in it
+    /// that other nodes caused. Ignores the report and returns `None` if it is older than the last
+    /// one.
+    pub fn apply_report(&mut self, measured_at: u64, report: LoadReport) -> Option<u32> {
+        if self.has_report && measured_at < self.measured_at {
             return None;
         }
-        let own_then = (self.own_requests + self.ended.since(measured_at))
+        let local_at_measurement = (self.local_requests + self.ended.since(measured_at))
             .saturating_sub(self.sent.since(measured_at));
-        self.foreign = report.total().saturating_sub(own_then);
+        self.remote_requests = report.total().saturating_sub(local_at_measurement);
         self.report = report;
         self.measured_at = measured_at;
-        self.reported = true;
-        Some(self.foreign)
+        self.has_report = true;
+        Some(self.remote_requests)
     }
 
-    /// The last report.
+    /// Returns the last report, or zeros if there is none.
     pub fn report(&self) -> LoadReport {
         self.report
     }
 
-    /// When the last report was measured, if there is one.
+    /// Returns the time at which the last report was measured, if there is one.
     pub fn measured_at(&self) -> Option<u64> {
-        self.reported.then_some(self.measured_at)
+        self.has_report.then_some(self.measured_at)
     }
 
-    /// Requests of this node running or waiting there.
-    pub fn own_requests(&self) -> u32 {
-        self.own_requests
+    /// Returns the number of this node's requests in flight at the back end.
+    pub fn local_requests(&self) -> u32 {
+        self.local_requests
     }
 
-    /// Counts a request as sent.
-    pub fn sent(&mut self, now: u64, prefill_tokens: u32) {
-        self.own_requests += 1;
-        self.own_prefilling += 1;
-        self.own_prefill_tokens += u64::from(prefill_tokens);
+    /// Records that this node sent a request with `prefill_tokens` uncached prompt tokens.
+    pub fn record_sent(&mut self, now: u64, prefill_tokens: u32) {
+        self.local_requests += 1;
+        self.local_prefilling += 1;
+        self.local_prefill_tokens += u64::from(prefill_tokens);
         self.sent.add(now);
     }
 
-    /// Counts a request's prefill as over: its first token came, or it ended without one.
-    pub fn prefilled(&mut self, prefill_tokens: u32) {
-        self.own_prefilling = self.own_prefilling.saturating_sub(1);
-        self.own_prefill_tokens = self
-            .own_prefill_tokens
+    /// Records that a request's prefill ended: its first token arrived, or it ended without one.
+    pub fn record_prefill_end(&mut self, prefill_tokens: u32) {
+        self.local_prefilling = self.local_prefilling.saturating_sub(1);
+        self.local_prefill_tokens = self
+            .local_prefill_tokens
             .saturating_sub(u64::from(prefill_tokens));
     }
 
-    /// Counts a request as ended.
-    pub fn ended(&mut self, now: u64) {
-        self.own_requests = self.own_requests.saturating_sub(1);
+    /// Records that a request of this node ended.
+    pub fn record_end(&mut self, now: u64) {
+        self.local_requests = self.local_requests.saturating_sub(1);
         self.ended.add(now);
     }
 
-    /// The load at `now`, where `mean_foreign` is the fleet's mean of requests that other nodes
-    /// caused on one back end.
-    pub fn estimate(&self, now: u64, mean_foreign: f32) -> Estimate {
+    /// Returns the estimated load at `now`, where `mean_remote_requests` is the fleet's mean number
+    /// of requests of other nodes per back end.
+    pub fn estimate(&self, now: u64, mean_remote_requests: f32) -> LoadEstimate {
         let age = now.saturating_sub(self.measured_at) as f32;
-        let trust = if self.reported {
+        let report_weight = if self.has_report {
             HALF_LIFE_MILLISECONDS / (HALF_LIFE_MILLISECONDS + age)
         } else {
             0.0
         };
-        let foreign = trust * self.foreign as f32 + (1.0 - trust) * mean_foreign;
-        let waiting = self.report.waiting.saturating_sub(self.own_prefilling) as f32;
-        Estimate {
-            requests: self.own_requests as f32 + foreign,
-            foreign_waiting: trust * waiting,
-            own_prefill_tokens: self.own_prefill_tokens as f32,
+        let remote_requests = report_weight * self.remote_requests as f32
+            + (1.0 - report_weight) * mean_remote_requests;
+        let waiting = self.report.waiting.saturating_sub(self.local_prefilling) as f32;
+        LoadEstimate {
+            requests: self.local_requests as f32 + remote_requests,
+            remote_waiting: report_weight * waiting,
+            local_prefill_tokens: self.local_prefill_tokens as f32,
         }
     }
 }
--- a/crates/firshore-routing/src/queue.rs
+++ b/crates/firshore-routing/src/queue.rs
@@ -1,22 +1,22 @@
-//! A bounded queue in strict order of priority, with deadlines.
+//! A bounded queue in strict priority order, with deadlines.
 //!
-//! When it is full, the newest entry of the lowest priority makes way for one of a higher
-//! priority. What is shed, expired or withdrawn leaves the queue in the same call, so that the
-//! queue never holds a request that has been given up.
+//! When the queue is full, a request of a higher priority replaces the newest entry of the lowest
+//! priority. Entries that are shed, expired or cancelled leave the queue in the same call, so that
+//! they take up no capacity.
 
 use firshore_types::declaration::Priority;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Longest time advised for coming back, in seconds.
-const LONGEST_RETRY_AFTER_SECONDS: u64 = 30;
+/// Maximum retry delay advised to refused callers, in seconds.
+const MAX_RETRY_AFTER_SECONDS: u64 = 30;
 
-/// Weight of the latest pause between departures in their mean.
-const DEPARTURE_WEIGHT: f32 = 0.1;
+/// Weight of the latest interval between dequeued entries in the moving average.
+const INTERVAL_WEIGHT: f32 = 0.1;
 
-/// Names an entry for withdrawal.
+/// Identifies an entry. Tickets sort in dequeue order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket {
+pub struct QueueTicket {
     priority: Reverse<Priority>,
     number: u64,
 }
@@ -27,118 +27,121 @@
     item: T,
 }
 
-/// What became of an arrival.
+/// The result of [`AdmissionQueue::enqueue`].
 #[derive(Debug, PartialEq, Eq)]
-pub enum Arrival<T> {
-    /// It waits.
-    Queued(Ticket),
-    /// It waits, and this entry of a lower priority was shed for it.
-    QueuedInPlaceOf(Ticket, T),
-    /// The queue is full of entries at least as important: it is refused.
+pub enum EnqueueResult<T> {
+    /// The item was queued.
+    Queued(QueueTicket),
+    /// The item was queued, and this item of a lower priority was shed.
+    QueuedInPlaceOf(QueueTicket, T),
+    /// The item was refused: the queue is full and no entry has a lower priority.
     Refused(T),
 }
 
-/// What leaves the queue when there is room for one.
+/// The result of [`AdmissionQueue::dequeue`].
 #[derive(Debug, PartialEq, Eq)]
-pub struct Departure<T> {
-    /// The next to run.
+pub struct DequeueResult<T> {
+    /// The next item to run.
     pub next: Option<T>,
-    /// Entries whose deadline has passed.
+    /// Items removed because their deadline has passed.
     pub expired: Vec<T>,
 }
 
-/// The queue.
+/// A bounded priority queue of requests that wait for capacity. Times are in milliseconds.
 #[derive(Debug)]
 pub struct AdmissionQueue<T> {
     capacity: usize,
-    entries: BTreeMap<Ticket, Entry<T>>,
-    arrivals: u64,
-    last_departure: u64,
-    mean_pause: f32,
+    entries: BTreeMap<QueueTicket, Entry<T>>,
+    last_number: u64,
+    last_dequeue: u64,
+    mean_interval: f32,
 }
 
 impl<T> AdmissionQueue<T> {
-    /// An empty queue of at most `capacity` entries.
+    /// Creates an empty queue for at most `capacity` entries.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
             entries: BTreeMap::new(),
-            arrivals: 0,
-            last_departure: 0,
-            mean_pause: 0.0,
+            last_number: 0,
+            last_dequeue: 0,
+            mean_interval: 0.0,
         }
     }
 
-    /// Entries waiting.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes in an arrival that is given up at `deadline` (milliseconds).
-    pub fn arrive(&mut self, priority: Priority, deadline: u64, item: T) -> Arrival<T> {
-        self.arrivals += 1;
-        let ticket = Ticket {
+    /// Adds an item that expires at `deadline`, if there is capacity or a lower-priority entry to
+    /// shed.
+    pub fn enqueue(&mut self, priority: Priority, deadline: u64, item: T) -> EnqueueResult<T> {
+        self.last_number += 1;
+        let ticket = QueueTicket {
             priority: Reverse(priority),
-            number: self.arrivals,
+            number: self.last_number,
         };
         if self.entries.len() < self.capacity {
             self.entries.insert(ticket, Entry { deadline, item });
-            return Arrival::Queued(ticket);
+            return EnqueueResult::Queued(ticket);
         }
         match self.entries.last_entry() {
             Some(last) if last.key().priority > ticket.priority => {
                 let shed = last.remove().item;
                 self.entries.insert(ticket, Entry { deadline, item });
-                Arrival::QueuedInPlaceOf(ticket, shed)
+                EnqueueResult::QueuedInPlaceOf(ticket, shed)
             }
-            _ => Arrival::Refused(item),
+            _ => EnqueueResult::Refused(item),
         }
     }
 
-    /// Takes out the most important entry that is still wanted at `now`.
-    pub fn depart(&mut self, now: u64) -> Departure<T> {
+    /// Removes the oldest entry of the highest priority that has not expired at `now`, and all
+    /// expired entries before it.
+    pub fn dequeue(&mut self, now: u64) -> DequeueResult<T> {
         let mut expired = Vec::new();
         while let Some((_, entry)) = self.entries.pop_first() {
             if entry.deadline > now {
-                self.count_departure(now);
+                self.record_dequeue(now);
                 let next = Some(entry.item);
-                return Departure { next, expired };
+                return DequeueResult { next, expired };
             }
             expired.push(entry.item);
         }
-        Departure {
+        DequeueResult {
             next: None,
             expired,
         }
     }
 
-    fn count_departure(&mut self, now: u64) {
-        let pause = now.saturating_sub(self.last_departure) as f32;
-        self.mean_pause += DEPARTURE_WEIGHT * (pause - self.mean_pause);
-        self.last_departure = now;
+    fn record_dequeue(&mut self, now: u64) {
+        let interval = now.saturating_sub(self.last_dequeue) as f32;
+        self.mean_interval += INTERVAL_WEIGHT * (interval - self.mean_interval);
+        self.last_dequeue = now;
     }
 
-    /// Takes out every entry whose deadline has passed at `now`.
-    pub fn expire(&mut self, now: u64) -> Vec<T> {
-        let late = self
+    /// Removes and returns all entries whose deadline has passed at `now`.
+    pub fn remove_expired(&mut self, now: u64) -> Vec<T> {
+        let expired = self
             .entries
             .extract_if(.., |_, entry| entry.deadline <= now);
-        late.map(|(_, entry)| entry.item).collect()
+        expired.map(|(_, entry)| entry.item).collect()
     }
 
-    /// Takes out an entry whose caller has given up; `None` when it has left already.
-    pub fn withdraw(&mut self, ticket: Ticket) -> Option<T> {
+    /// Removes an entry whose caller has cancelled. Returns `None` if it has already left the queue.
+    pub fn remove(&mut self, ticket: QueueTicket) -> Option<T> {
         self.entries.remove(&ticket).map(|entry| entry.item)
     }
 
-    /// Seconds after which a refused caller finds the queue shorter, by the pace of departures.
+    /// Returns the estimated time to drain the queue at the recent dequeue rate, in seconds, from 1
+    /// to 30.
     pub fn retry_after_seconds(&self) -> u32 {
-        let drain = self.mean_pause * self.entries.len() as f32 / 1_000.0;
-        (drain.ceil() as u64).clamp(1, LONGEST_RETRY_AFTER_SECONDS) as u32
+        let drain_seconds = self.mean_interval * self.entries.len() as f32 / 1_000.0;
+        (drain_seconds.ceil() as u64).clamp(1, MAX_RETRY_AFTER_SECONDS) as u32
     }
 }
--- a/crates/firshore-routing/src/retry.rs
+++ b/crates/firshore-routing/src/retry.rs
@@ -1,88 +1,87 @@
-//! Whether a request may be sent again after an attempt that brought no answer.
+//! Decides whether a request is retried after an attempt without a response.
 //!
-//! Sending again is safe where the request certainly was not run, and free where it was not sent.
-//! Otherwise only a repeatable request is sent again, before any byte of its answer reached the
-//! caller. Whatever reached a back end, though it refused, is sent again only if the retry budget
-//! allows it: else a fleet that refuses under load gets several times the load.
+//! A request that certainly was not run can be retried safely. A request that may have run is
+//! retried only if it is repeatable, and only before any byte of a response reached the caller.
+//! Retries of a request that reached a back end, even if refused there, need the retry budget;
+//! otherwise a fleet that refuses requests under load would receive several times the load.
 
 use firshore_types::error::Execution;
 
-/// Most attempts at one request that the back ends themselves refused or could not be reached
-/// for.
-pub const MAXIMUM_UNRUN_ATTEMPTS: u32 = 4;
+/// Maximum number of attempts per request that were not sent, or were refused by the back end.
+pub const MAX_NOT_RUN_ATTEMPTS: u32 = 4;
 
-/// Most attempts at one request that may have run.
-pub const MAXIMUM_RUN_ATTEMPTS: u32 = 2;
+/// Maximum number of attempts per request that may have run.
+pub const MAX_RUN_ATTEMPTS: u32 = 2;
 
-/// How an attempt ended without an answer for the caller.
+/// How an attempt without a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No connection was made.
+    /// The connection could not be established.
     NotSent,
-    /// The back end refused it before running it (`engine-execution: none`).
+    /// The back end refused the request before running it (`engine-execution: none`).
     RefusedUnrun,
-    /// The connection ended, or the back end failed, after it may have run.
+    /// The connection closed or the back end failed after the request may have started to run.
     MaybeRun,
 }
 
-/// What may be done next.
+/// What to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
-    /// Send it to another back end.
+pub enum RetryDecision {
+    /// Retry on another back end.
     Retry,
-    /// Send it to another back end if the retry budget allows.
+    /// Retry on another back end if the retry budget allows it.
     RetryWithinBudget,
-    /// Answer the caller now.
+    /// Report the failure to the caller.
     GiveUp(Execution),
 }
 
-/// The attempts made at one request.
+/// The failed attempts of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempts {
+pub struct AttemptHistory {
     repeatable: bool,
-    unrun: u32,
-    maybe_run: u32,
+    not_run: u32,
+    may_have_run: u32,
 }
 
-impl Attempts {
-    /// None yet.
+impl AttemptHistory {
+    /// Creates an empty history. `repeatable` states whether the request may run more than once.
     pub fn new(repeatable: bool) -> Self {
         Self {
             repeatable,
-            unrun: 0,
-            maybe_run: 0,
+            not_run: 0,
+            may_have_run: 0,
         }
     }
 
-    /// Whether any attempt may have run, wholly or in part.
+    /// Returns `Unknown` if any attempt may have run, even in part, and `None` otherwise.
     pub fn execution(&self) -> Execution {
-        if self.maybe_run == 0 {
+        if self.may_have_run == 0 {
             Execution::None
         } else {
             Execution::Unknown
         }
     }
 
-    /// Decides after an attempt. To be asked only while no byte of an answer has reached the
-    /// caller.
-    pub fn after(&mut self, end: AttemptEnd) -> Decision {
+    /// Records how an attempt ended and returns what to do next. Must not be called after a byte of
+    /// a response has reached the caller.
+    pub fn decide_after(&mut self, end: AttemptEnd) -> RetryDecision {
         match end {
             AttemptEnd::NotSent | AttemptEnd::RefusedUnrun => {
-                self.unrun += 1;
-                if self.unrun >= MAXIMUM_UNRUN_ATTEMPTS {
-                    Decision::GiveUp(self.execution())
+                self.not_run += 1;
+                if self.not_run >= MAX_NOT_RUN_ATTEMPTS {
+                    RetryDecision::GiveUp(self.execution())
                 } else if end == AttemptEnd::NotSent {
-                    Decision::Retry
+                    RetryDecision::Retry
                 } else {
-                    Decision::RetryWithinBudget
+                    RetryDecision::RetryWithinBudget
                 }
             }
             AttemptEnd::MaybeRun => {
-                self.maybe_run += 1;
-                if self.repeatable && self.maybe_run < MAXIMUM_RUN_ATTEMPTS {
-                    Decision::RetryWithinBudget
+                self.may_have_run += 1;
+                if self.repeatable && self.may_have_run < MAX_RUN_ATTEMPTS {
+                    RetryDecision::RetryWithinBudget
                 } else {
-                    Decision::GiveUp(self.execution())
+                    RetryDecision::GiveUp(self.execution())
                 }
             }
         }
--- a/crates/firshore-routing/src/retry_budget.rs
+++ b/crates/firshore-routing/src/retry_budget.rs
@@ -1,25 +1,25 @@
-//! Bounds retries to a share of first attempts, so that failing back ends do not multiply load.
+//! Limits retries to a fraction of first attempts, so that failing back ends do not multiply load.
 //!
-//! Every first attempt earns a fraction of a retry; every retry costs a whole one, also where the
-//! first attempt certainly did not run, because it loads the fleet all the same. Each node keeps
-//! its own budget; as each holds its own load under the bound, so does the fleet.
+//! Each first attempt earns a fraction of a retry, and each retry costs one, even if the earlier
+//! attempt certainly did not run: the retry loads the fleet either way. Each node has its own
+//! budget; because each node keeps its load below the bound, so does the fleet.
 
 use rand::RngExt;
 
-/// Retries earned by one first attempt. The fleet's load stays under 1.1 times the offered load
-/// with some room for the reserve.
-pub const RETRIES_PER_ATTEMPT: f32 = 0.08;
+/// Retries earned by one first attempt. Keeps the fleet's load below 1.1 times the offered load,
+/// including the saved retries.
+pub const RETRIES_PER_FIRST_ATTEMPT: f32 = 0.08;
 
-/// Most retries saved up, and the balance at the start.
-pub const RESERVE: f32 = 10.0;
+/// Maximum number of saved retries, which is also the initial balance.
+pub const MAX_SAVED_RETRIES: f32 = 10.0;
 
-/// Bound of the first pause before a retry in milliseconds; doubles with each further one.
+/// Upper bound of the first backoff in milliseconds; doubles with each further retry.
 pub const FIRST_BACKOFF_MILLISECONDS: u64 = 10;
 
-/// Longest pause before a retry in milliseconds.
-pub const LONGEST_BACKOFF_MILLISECONDS: u64 = 1_000;
+/// Maximum backoff before a retry in milliseconds.
+pub const MAX_BACKOFF_MILLISECONDS: u64 = 1_000;
 
-/// The budget.
+/// A node's balance of retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     balance: f32,
@@ -27,17 +27,20 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { balance: RESERVE }
+        Self {
+            balance: MAX_SAVED_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// Counts a request's first attempt.
-    pub fn first_attempt(&mut self) {
-        self.balance = (self.balance + RETRIES_PER_ATTEMPT).min(RESERVE);
+    /// Records a request's first attempt.
+    pub fn record_first_attempt(&mut self) {
+        self.balance = (self.balance + RETRIES_PER_FIRST_ATTEMPT).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry from the budget; `false` when it is used up and the request must fail.
+    /// Takes one retry from the budget. Returns `false` if the budget is used up and the request
+    /// must fail.
     pub fn try_retry(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
@@ -47,10 +50,10 @@
     }
 }
 
-/// Pause before retry number `retry` (from 1) in milliseconds: random up to a bound that doubles,
-/// so that requests that failed together do not come back together.
+/// Returns the backoff before retry number `retry` (from 1) in milliseconds: random up to a bound
+/// that doubles, so that requests that failed together are not retried together.
 pub fn backoff(retry: u32, random: &mut impl RngExt) -> u64 {
     let doublings = retry.saturating_sub(1).min(16);
-    let bound = (FIRST_BACKOFF_MILLISECONDS << doublings).min(LONGEST_BACKOFF_MILLISECONDS);
+    let bound = (FIRST_BACKOFF_MILLISECONDS << doublings).min(MAX_BACKOFF_MILLISECONDS);
     random.random_range(0..=bound)
 }
--- a/crates/firshore-routing/src/router.rs
+++ b/crates/firshore-routing/src/router.rs
@@ -1,27 +1,28 @@
-//! Everything a node decides with when it sends a request to a back end.
+//! Combines the back end table, the prefix index and the eligible sets to route a node's requests.
 
-use crate::affinity::{AffinityIndex, DEFAULT_BUCKETS, Match};
-use crate::balance::{Choice, Decision, Features};
+use crate::affinity::{AffinityIndex, DEFAULT_BUCKETS, PrefixMatch};
+use crate::balance::{EndpointChoice, EndpointChooser, RequestFeatures};
 use crate::digest::LoadDigest;
-use crate::eligibility::{EligibleSets, SetKey};
+use crate::eligibility::{EligibleSetCache, SelectorKey};
 use crate::endpoint::{EndpointIndex, EndpointTable, Locality, Outcome};
 use crate::load::LoadReport;
-use crate::score::nominal_step;
-use crate::speed::{FIRST_TOKEN_WEIGHT, Observation, TOKEN_GAP_WEIGHT};
+use crate::score::nominal_step_time;
+use crate::speed::{FIRST_TOKEN_WEIGHT, SpeedObservation, TOKEN_GAP_WEIGHT};
 use firshore_types::labels::Selector;
 use firshore_types::machine::Machine;
 use rand::RngExt;
 
-/// A back end is full when it has this many times as many requests as slots: so many keep it busy
-/// until the next report, and more would only wait where their priority counts at one engine.
-pub const FULL_FACTOR: f32 = 2.0;
+/// Requests per slot at which a back end counts as full. Above 1, so that the back end stays busy
+/// until its next report; further requests wait in the node's queue, where priorities apply across
+/// all back ends.
+pub const MAX_REQUESTS_PER_SLOT: f32 = 2.0;
 
-/// A request at a back end, to be handed back when it ends.
+/// A request that was sent to a back end, to be passed to [`Router::record_end`] when it ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sent {
-    /// Back end.
+pub struct SentRequest {
+    /// The back end.
     pub endpoint: EndpointIndex,
-    /// When it was sent, in milliseconds.
+    /// Time of sending in milliseconds.
     pub sent_at: u64,
     uncached_tokens: u32,
     nominal: f32,
@@ -29,103 +30,112 @@
     prefilled: bool,
 }
 
-/// The router.
+/// Routes requests to back ends. Times are in milliseconds.
 #[derive(Debug)]
 pub struct Router {
-    /// Back ends.
+    /// The back ends.
     pub endpoints: EndpointTable,
-    /// Prompt prefixes.
+    /// The index of prompt prefixes.
     pub affinity: AffinityIndex,
-    sets: EligibleSets,
+    sets: EligibleSetCache,
 }
 
 impl Router {
-    /// A router of a node that stands at `locality`.
+    /// Creates a router for a node at `locality`, without back ends.
     pub fn new(locality: Locality) -> Self {
         Self {
             endpoints: EndpointTable::new(locality),
             affinity: AffinityIndex::new(DEFAULT_BUCKETS),
-            sets: EligibleSets::default(),
+            sets: EligibleSetCache::default(),
         }
     }
 
-    /// Brings the back ends in line with the machine list read at `now`.
+    /// Updates the back ends from the machine list read at `now`.
     pub fn update(&mut self, now: u64, machines: &[Machine]) {
         self.endpoints.update(now, machines);
     }
 
-    /// Chooses a back end that matches all of `selectors` and counts the request as sent to it.
+    /// Chooses a back end that matches all of `selectors` and records the request as sent to it.
+    /// Returns `None` if no such back end is available.
     pub fn choose(
         &mut self,
         now: u64,
         selectors: &[&Selector],
-        features: Features<'_>,
+        features: RequestFeatures<'_>,
         random: &mut impl RngExt,
-    ) -> Option<Sent> {
-        let key = SetKey::of(selectors);
-        let eligible = self.sets.get(&self.endpoints, key, selectors);
-        let decision = Decision {
+    ) -> Option<SentRequest> {
+        let key = SelectorKey::of(selectors);
+        let eligible = self.sets.get_or_build(&self.endpoints, key, selectors);
+        let chooser = EndpointChooser {
             table: &self.endpoints,
             eligible,
             features,
             prefix: self.affinity.lookup(features.blocks),
             now,
         };
-        let choice = decision.choose(random)?;
-        Some(self.count(now, features, choice))
+        let choice = chooser.choose(random)?;
+        Some(self.record_sent(now, features, choice))
     }
 
-    /// Whether a back end that matches all of `selectors` has room at `now`: the best of a few has
-    /// fewer requests than [`FULL_FACTOR`] times its slots. Also true when there is none at all,
-    /// which waiting would not change.
-    pub fn has_room(
+    /// Returns whether the best of a few back ends that match all of `selectors` has fewer requests
+    /// than [`MAX_REQUESTS_PER_SLOT`] times its slots at `now`. Also returns `true` if no such back
+    /// end is available, because waiting would not help, or if its slots are not reported.
+    pub fn has_capacity(
         &mut self,
         now: u64,
         selectors: &[&Selector],
         random: &mut impl RngExt,
     ) -> bool {
-        let key = SetKey::of(selectors);
-        let eligible = self.sets.get(&self.endpoints, key, selectors);
-        let decision = Decision {
+        let key = SelectorKey::of(selectors);
+        let eligible = self.sets.get_or_build(&self.endpoints, key, selectors);
+        let chooser = EndpointChooser {
             table: &self.endpoints,
             eligible,
-            features: Features::default(),
-            prefix: Match::default(),
+            features: RequestFeatures::default(),
+            prefix: PrefixMatch::default(),
             now,
         };
-        let Some(choice) = decision.choose(random) else {
+        let Some(choice) = chooser.choose(random) else {
             return true;
         };
         let load = &self.endpoints.get(choice.endpoint).load;
-        let requests = load.estimate(now, self.endpoints.mean_foreign()).requests;
+        let requests = load
+            .estimate(now, self.endpoints.mean_remote_requests())
+            .requests;
         match load.report().slots {
             0 => true,
-            slots => requests < slots as f32 * FULL_FACTOR,
+            slots => requests < slots as f32 * MAX_REQUESTS_PER_SLOT,
         }
     }
 
-    /// Takes in a digest of other nodes at `now`.
-    pub fn digest(&mut self, now: u64, digest: &LoadDigest) {
+    /// Applies a load digest that was received from another node at `now`.
+    pub fn apply_digest(&mut self, now: u64, digest: &LoadDigest) {
         for entry in digest.entries() {
-            let Some(index) = self.endpoints.find_hash(entry.name) else {
+            let Some(index) = self.endpoints.find_by_hash(entry.name) else {
                 continue;
             };
             let measured_at = now.saturating_sub(entry.age);
-            self.endpoints.report(index, measured_at, entry.report);
+            self.endpoints
+                .record_report(index, measured_at, entry.report);
             if entry.draining {
-                self.endpoints.draining(now, index);
+                self.endpoints.record_draining(now, index);
             }
         }
     }
 
-    fn count(&mut self, now: u64, features: Features<'_>, choice: Choice) -> Sent {
-        let mean = self.endpoints.mean_foreign();
+    fn record_sent(
+        &mut self,
+        now: u64,
+        features: RequestFeatures<'_>,
+        choice: EndpointChoice,
+    ) -> SentRequest {
+        let mean = self.endpoints.mean_remote_requests();
         let endpoint = self.endpoints.get_mut(choice.endpoint);
         let requests = endpoint.load.estimate(now, mean).requests;
-        endpoint.load.sent(now, choice.uncached_tokens);
+        endpoint.load.record_sent(now, choice.uncached_tokens);
         self.endpoints.observe_requests(requests);
-        self.affinity.sent(features.blocks, choice.endpoint);
-        Sent {
+        self.affinity.record_sent(features.blocks, choice.endpoint);
+        SentRequest {
             endpoint: choice.endpoint,
             sent_at: now,
             uncached_tokens: choice.uncached_tokens,
@@ -135,16 +145,16 @@
         }
     }
 
-    /// Takes in the arrival of a request's first token.
-    pub fn first_token(&mut self, now: u64, sent: &mut Sent) {
+    /// Records that a request's first token arrived at `now`. Later calls have no effect.
+    pub fn record_first_token(&mut self, now: u64, sent: &mut SentRequest) {
         if sent.prefilled {
             return;
         }
         sent.prefilled = true;
         let endpoint = self.endpoints.get_mut(sent.endpoint);
-        endpoint.load.prefilled(sent.uncached_tokens);
+        endpoint.load.record_prefill_end(sent.uncached_tokens);
         let observed = now.saturating_sub(sent.sent_at) as f32 - 2.0 * endpoint.distance;
-        let observation = Observation {
+        let observation = SpeedObservation {
             observed: observed.max(0.1),
             nominal: sent.nominal,
             weight: FIRST_TOKEN_WEIGHT,
@@ -153,34 +163,35 @@
             .observe_speed(now, sent.endpoint, observation);
     }
 
-    /// Takes in a request's mean time between tokens, in milliseconds.
-    pub fn token_gap(&mut self, now: u64, sent: &Sent, milliseconds: f32) {
-        let observation = Observation {
+    /// Records a request's mean time between tokens, in milliseconds.
+    pub fn record_token_gap(&mut self, now: u64, sent: &SentRequest, milliseconds: f32) {
+        let observation = SpeedObservation {
             observed: milliseconds,
-            nominal: nominal_step(sent.requests),
+            nominal: nominal_step_time(sent.requests),
             weight: TOKEN_GAP_WEIGHT,
         };
         self.endpoints
             .observe_speed(now, sent.endpoint, observation);
     }
 
-    /// Counts a request as ended. Returns until when the back end is ejected if this ejected it.
-    pub fn ended(&mut self, now: u64, sent: &Sent, outcome: Outcome) -> Option<u64> {
+    /// Records that a request ended at `now`. If the outcome causes an ejection of the back end,
+    /// returns the time at which the ejection ends.
+    pub fn record_end(&mut self, now: u64, sent: &SentRequest, outcome: Outcome) -> Option<u64> {
         let endpoint = self.endpoints.get_mut(sent.endpoint);
         if !sent.prefilled {
-            endpoint.load.prefilled(sent.uncached_tokens);
+            endpoint.load.record_prefill_end(sent.uncached_tokens);
         }
-        endpoint.load.ended(now);
-        self.endpoints.outcome(now, sent.endpoint, outcome)
+        endpoint.load.record_end(now);
+        self.endpoints.record_outcome(now, sent.endpoint, outcome)
     }
 
-    /// Takes in a load report measured at `measured_at`.
-    pub fn report(&mut self, endpoint: EndpointIndex, measured_at: u64, report: LoadReport) {
-        self.endpoints.report(endpoint, measured_at, report);
+    /// Records a load report that was measured at `measured_at`.
+    pub fn record_report(&mut self, endpoint: EndpointIndex, measured_at: u64, report: LoadReport) {
+        self.endpoints.record_report(endpoint, measured_at, report);
     }
 
-    /// Notes that the back end drains.
-    pub fn draining(&mut self, now: u64, endpoint: EndpointIndex) {
-        self.endpoints.draining(now, endpoint);
+    /// Records that the back end reported at `now` that it is draining.
+    pub fn record_draining(&mut self, now: u64, endpoint: EndpointIndex) {
+        self.endpoints.record_draining(now, endpoint);
     }
 }
--- a/crates/firshore-routing/src/speed.rs
+++ b/crates/firshore-routing/src/speed.rs
@@ -1,92 +1,97 @@
-//! How fast a back end serves, learnt from what this node sees of it.
+//! Estimates the speed of back ends from this node's observations.
 //!
-//! The measure is a slowdown: the observed time divided by the time that the model of
-//! [`crate::score`] predicts for a back end of nominal speed. An engine at a third of its speed
-//! has three times the slowdown of its peers, whatever the nominal figures are, and so is given a
-//! third of their work.
+//! Speed is expressed as a slowdown: the observed time divided by the time that [`crate::score`]
+//! predicts for nominal speed. An engine at a third of its normal speed has three times the
+//! slowdown of its peers, whatever the nominal constants are, and gets about a third of their
+//! requests.
 
-/// Weight of one observed time to a first token, which depends on requests that this node does
-/// not see.
+/// Weight of one observed time to first token. Low, because the time also depends on requests of
+/// other nodes.
 pub const FIRST_TOKEN_WEIGHT: f32 = 0.05;
 
-/// Weight of one observed mean time between tokens, which hardly does.
+/// Weight of one observed mean time between tokens, which depends little on other requests.
 pub const TOKEN_GAP_WEIGHT: f32 = 0.2;
 
-/// One observation moves the estimate at most as if it were this many times larger or smaller.
-const LARGEST_STEP: f32 = 4.0;
+/// Factor of the current estimate to which one observation is clamped, upwards and downwards.
+const MAX_OBSERVATION_FACTOR: f32 = 4.0;
 
-/// Bounds of a slowdown.
-const BOUNDS: (f32, f32) = (0.02, 200.0);
+/// Minimum and maximum slowdown.
+const SLOWDOWN_BOUNDS: (f32, f32) = (0.02, 200.0);
 
-/// Milliseconds without observation after which an estimate has gone back to the fleet's mean, so
-/// that an engine that was slow once is tried again.
-const FORGET_MILLISECONDS: f32 = 30_000.0;
+/// Time without observations over which an estimate returns to the fleet's mean, in milliseconds, so
+/// that an engine that was slow gets requests again.
+const EXPIRY_MILLISECONDS: f32 = 30_000.0;
 
-/// One observed time, beside the time predicted for nominal speed.
+/// An observed time and the time predicted for nominal speed.
 #[derive(Clone, Copy, Debug)]
-pub struct Observation {
-    /// Milliseconds observed.
+pub struct SpeedObservation {
+    /// Observed time in milliseconds.
     pub observed: f32,
-    /// Milliseconds predicted.
+    /// Predicted time in milliseconds.
     pub nominal: f32,
-    /// Weight from 0 to 1.
+    /// Weight of the observation, from 0 to 1.
     pub weight: f32,
 }
 
-/// Slowdown of one back end.
+/// The estimated slowdown of one back end.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Speed {
+pub struct SpeedEstimate {
     slowdown: f32,
     samples: u32,
     observed_at: u64,
 }
 
-impl Speed {
-    /// Takes in an observation. The estimate starts from the fleet's mean, so that one unlucky
+impl SpeedEstimate {
+    /// Records an observation. The estimate starts from the fleet's mean, so that a single slow
     /// request does not mark a back end as slow.
-    pub fn observe(&mut self, now: u64, fleet_mean: f32, observation: Observation) {
+    pub fn observe(&mut self, now: u64, fleet_mean: f32, observation: SpeedObservation) {
         if observation.nominal <= 0.0 {
             return;
         }
-        let ratio = (observation.observed / observation.nominal).clamp(BOUNDS.0, BOUNDS.1);
+        let ratio = (observation.observed / observation.nominal)
+            .clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
         let current = self.slowdown(now, fleet_mean);
-        let bounded = ratio.clamp(current / LARGEST_STEP, current * LARGEST_STEP);
+        let bounded = ratio.clamp(
+            current / MAX_OBSERVATION_FACTOR,
+            current * MAX_OBSERVATION_FACTOR,
+        );
         self.slowdown = current + observation.weight * (bounded - current);
         self.samples = self.samples.saturating_add(1);
         self.observed_at = now;
     }
 
-    /// The slowdown to count with at `now`, given the fleet's mean.
+    /// Returns the estimated slowdown at `now`, given the fleet's mean.
     pub fn slowdown(&self, now: u64, fleet_mean: f32) -> f32 {
         if self.samples == 0 {
             return fleet_mean;
         }
-        let idle = now.saturating_sub(self.observed_at) as f32;
-        let trust = (1.0 - idle / FORGET_MILLISECONDS).max(0.0);
-        fleet_mean + trust * (self.slowdown - fleet_mean)
+        let idle_milliseconds = now.saturating_sub(self.observed_at) as f32;
+        let weight = (1.0 - idle_milliseconds / EXPIRY_MILLISECONDS).max(0.0);
+        fleet_mean + weight * (self.slowdown - fleet_mean)
     }
 
-    /// Observations taken in.
+    /// Returns the number of recorded observations.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 }
 
-/// Running mean over the fleet: of all observations at first, later mostly of the latest.
+/// Running mean over the fleet: the plain mean of the first observations, then an exponential moving
+/// average.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetMean {
     value: f32,
     observations: f32,
 }
 
-/// Least weight of one observation in a fleet's mean.
-const FLEET_WEIGHT: f32 = 0.01;
+/// Minimum weight of one observation in a [`FleetMean`].
+const MIN_FLEET_WEIGHT: f32 = 0.01;
 
-/// Bound of one observation's effect, as a factor of the mean, where outliers are expected.
-const LARGEST_DEVIATION: f32 = 3.0;
+/// Factor of the mean to which observations with outliers are clamped, upwards and downwards.
+const MAX_OUTLIER_FACTOR: f32 = 3.0;
 
 impl FleetMean {
-    /// A mean that starts at `value` until the first observation.
+    /// Creates a mean with `value` until the first observation.
     pub fn starting_at(value: f32) -> Self {
         Self {
             value,
@@ -94,26 +99,26 @@
         }
     }
 
-    /// Takes in one observation.
+    /// Adds an observation.
     pub fn observe(&mut self, value: f32) {
         self.observations += 1.0;
-        let weight = (1.0 / self.observations).max(FLEET_WEIGHT);
+        let weight = (1.0 / self.observations).max(MIN_FLEET_WEIGHT);
         self.value += weight * (value - self.value);
     }
 
-    /// Takes in one observation of which a few may be far off: it counts as at most
-    /// `LARGEST_DEVIATION` times larger or smaller than the mean.
+    /// Adds an observation that may be an outlier: it is clamped to at most `MAX_OUTLIER_FACTOR` times
+    /// above or below the mean.
     pub fn observe_bounded(&mut self, value: f32) {
         if self.observations > 0.0 {
-            let low = self.value / LARGEST_DEVIATION;
-            let high = self.value * LARGEST_DEVIATION;
+            let low = self.value / MAX_OUTLIER_FACTOR;
+            let high = self.value * MAX_OUTLIER_FACTOR;
             self.observe(value.clamp(low, high));
         } else {
             self.observe(value);
         }
     }
 
-    /// The mean.
+    /// Returns the mean.
     pub fn value(&self) -> f32 {
         self.value
     }
--- a/crates/firshore-routing/tests/digest.rs
+++ b/crates/firshore-routing/tests/digest.rs
@@ -1,10 +1,10 @@
-//! The packed form of load digests.
+//! Tests the encoding of load digests.
 
 use firshore_routing::digest::{ENTRY_BYTES, LoadDigest, LoadEntry, NameHash};
 use firshore_routing::load::LoadReport;
 
 #[test]
-fn entries_survive_packing() {
+fn packed_entries_round_trip() {
     let entry = |name: &str, running, draining, age| LoadEntry {
         name: NameHash::of(name),
         report: LoadReport {
--- a/crates/firshore-routing/tests/limits.rs
+++ b/crates/firshore-routing/tests/limits.rs
@@ -1,29 +1,30 @@
-//! Limits shared among nodes, with an allocator that can be cut off.
+//! Tests limits that are divided among nodes, including nodes isolated from their allocator.
 
 use firshore_routing::allocator::LimitAllocator;
 use firshore_routing::limits::{
-    Denied, EXCHANGE_MILLISECONDS, GRANT_MILLISECONDS, Share, TenantKey, TenantLimiter,
+    GRANT_MILLISECONDS, LimitExceeded, REPORT_INTERVAL_MILLISECONDS, Share, TenantKey,
+    TenantLimiter,
 };
 use firshore_types::declaration::Limits;
 use firshore_types::ids::InstanceId;
 
 const TENANT: TenantKey = TenantKey(1);
 
-fn rate(limit: f64) -> Limits {
+fn rate_limit(limit: f64) -> Limits {
     Limits {
         requests_per_second: Some(limit),
         concurrent_requests: None,
     }
 }
 
-fn concurrent(limit: u32) -> Limits {
+fn concurrency_limit(limit: u32) -> Limits {
     Limits {
         requests_per_second: None,
         concurrent_requests: Some(limit),
     }
 }
 
-/// Nodes in groups that cannot reach one another; each group has an allocator of its own.
+/// Nodes in isolated groups, each with its own allocator.
 struct Cluster {
     limits: Limits,
     nodes: Vec<TenantLimiter>,
@@ -39,45 +40,49 @@
             groups: Vec::new(),
             allocators: Vec::new(),
         };
-        cluster.divide(vec![0; nodes]);
+        cluster.set_groups(vec![0; nodes]);
         cluster
     }
 
-    fn divide(&mut self, groups: Vec<usize>) {
+    fn set_groups(&mut self, groups: Vec<usize>) {
         self.groups = groups;
         while self.allocators.len() <= *self.groups.iter().max().unwrap() {
             self.allocators.push(LimitAllocator::default());
         }
         for node in 0..self.nodes.len() {
-            let alive = self.alive(node);
-            self.nodes[node].set_nodes(alive);
+            let live_nodes = self.live_nodes(node);
+            self.nodes[node].set_live_nodes(live_nodes);
         }
     }
 
-    fn alive(&self, node: usize) -> u32 {
-        let own = self.groups[node];
-        self.groups.iter().filter(|group| **group == own).count() as u32
+    fn live_nodes(&self, node: usize) -> u32 {
+        let own_group = self.groups[node];
+        self.groups
+            .iter()
+            .filter(|group| **group == own_group)
+            .count() as u32
     }
 
-    fn exchange(&mut self, now: u64, first: bool) {
+    fn exchange(&mut self, now: u64, new_tenants_only: bool) {
         for node in 0..self.nodes.len() {
             let limiter = &mut self.nodes[node];
-            let demands = if first {
-                limiter.first_demands(now)
+            let demands = if new_tenants_only {
+                limiter.new_tenant_demands(now)
             } else {
-                limiter.demands(now)
+                limiter.take_demands(now)
             };
-            let alive = self.alive(node);
+            let live_nodes = self.live_nodes(node);
             let allocator = &mut self.allocators[self.groups[node]];
             for demand in demands {
                 let instance = InstanceId(node as u64);
-                let share = allocator.grant(now, instance, demand, alive);
-                self.nodes[node].granted(now, demand.tenant, share);
+                let share = allocator.grant(now, instance, demand, live_nodes);
+                self.nodes[node].apply_grant(now, demand.tenant, share);
             }
         }
     }
 
-    /// Offers `per_second` requests to each node from `start` on and counts those admitted.
+    /// Offers `per_second` requests per second to each node from `start` for `milliseconds`, and returns
+    /// the number of admitted requests.
     fn offer(&mut self, start: u64, milliseconds: u64, per_second: &[u32]) -> u32 {
         let mut admitted = 0;
         for now in start..start + milliseconds {
@@ -85,12 +90,12 @@
                 let due = |moment: u64| moment * u64::from(*offered) / 1_000;
                 for _ in due(now)..due(now + 1) {
                     if self.nodes[node].admit(now, TENANT, &self.limits).is_ok() {
-                        self.nodes[node].released(TENANT);
+                        self.nodes[node].release(TENANT);
                         admitted += 1;
                     }
                 }
             }
-            if now % EXCHANGE_MILLISECONDS == 0 {
+            if now % REPORT_INTERVAL_MILLISECONDS == 0 {
                 self.exchange(now, false);
             } else if now % 50 == 0 {
                 self.exchange(now, true);
@@ -101,7 +106,7 @@
 }
 
 #[test]
-fn skewed_demand_gets_the_limit_and_no_more() {
+fn admitted_rate_matches_the_limit_under_skewed_demand() {
     let cases: [(&str, &[u32]); 4] = [
         ("one node", &[500, 0, 0, 0, 0, 0, 0, 0]),
         ("skewed", &[300, 100, 50, 20, 10, 5, 2, 1]),
@@ -109,18 +114,18 @@
         ("below the limit", &[40, 20, 10, 10, 5, 3, 1, 1]),
     ];
     for (name, demand) in cases {
-        let mut cluster = Cluster::new(8, rate(100.0));
+        let mut cluster = Cluster::new(8, rate_limit(100.0));
         cluster.offer(0, 5_000, demand);
         let admitted = cluster.offer(5_000, 20_000, demand);
         let offered: u32 = demand.iter().sum::<u32>() * 20;
         let expected = offered.min(2_000);
-        // The equal part of nodes without demand, and rounding.
-        let least = f64::from(expected) * 0.93;
+        // The equal split for nodes without demand, and rounding, remain unused.
+        let minimum = f64::from(expected) * 0.93;
         assert!(
-            f64::from(admitted) >= least,
+            f64::from(admitted) >= minimum,
             "{name}: {admitted} of {expected}"
         );
-        // The shares sum to the limit; saved bursts add one second's worth at most.
+        // The shares add up to the limit; full token buckets add at most one second of it.
         assert!(
             admitted <= expected + 100,
             "{name}: {admitted} of {expected}"
@@ -129,48 +134,54 @@
 }
 
 #[test]
-fn demand_that_moves_is_followed_without_exceeding_the_limit() {
-    let mut cluster = Cluster::new(4, rate(100.0));
+fn shares_follow_moving_demand_within_the_limit() {
+    let mut cluster = Cluster::new(4, rate_limit(100.0));
     cluster.offer(0, 10_000, &[200, 0, 0, 0]);
-    let moving = cluster.offer(10_000, 5_000, &[0, 200, 0, 0]);
-    assert!(moving <= 500 + 150, "{moving}");
+    let while_moving = cluster.offer(10_000, 5_000, &[0, 200, 0, 0]);
+    assert!(while_moving <= 500 + 150, "{while_moving}");
     let settled = cluster.offer(15_000, 10_000, &[0, 200, 0, 0]);
     assert!((900..=1_100).contains(&settled), "{settled}");
 }
 
 #[test]
-fn first_contact_is_not_refused_and_its_excess_is_bounded() {
-    let mut cluster = Cluster::new(8, rate(100.0));
+fn new_tenant_is_admitted_and_its_excess_is_bounded() {
+    let mut cluster = Cluster::new(8, rate_limit(100.0));
     let first = cluster.offer(0, 1_000, &[90, 0, 0, 0, 0, 0, 0, 0]);
     assert!(first >= 80, "{first}");
-    let mut cluster = Cluster::new(8, rate(100.0));
+    let mut cluster = Cluster::new(8, rate_limit(100.0));
     let all = cluster.offer(0, 1_000, &[400; 8]);
-    // 8 nodes, each with at most the limit's burst once before its first grant.
+    // Each of 8 nodes may admit at most one burst of the whole limit before its first grant.
     assert!(all <= 8 * 100 + 200, "{all}");
 }
 
 #[test]
-fn a_partition_gives_each_side_the_limit_and_heals() {
-    let mut cluster = Cluster::new(4, rate(100.0));
+fn each_side_of_a_partition_gets_the_limit_until_it_heals() {
+    let mut cluster = Cluster::new(4, rate_limit(100.0));
     let demand = [200, 200, 200, 200];
     cluster.offer(0, 10_000, &demand);
-    cluster.divide(vec![0, 0, 1, 1]);
-    let apart = cluster.offer(10_000, 10_000, &demand);
-    assert!(apart <= 2 * 1_000 + 200, "twice the limit at most: {apart}");
-    assert!(apart >= 900, "each side goes on: {apart}");
-    cluster.divide(vec![0; 4]);
+    cluster.set_groups(vec![0, 0, 1, 1]);
+    let during_partition = cluster.offer(10_000, 10_000, &demand);
+    assert!(
+        during_partition <= 2 * 1_000 + 200,
+        "at most twice the limit: {during_partition}"
+    );
+    assert!(
+        during_partition >= 900,
+        "each side still admits requests: {during_partition}"
+    );
+    cluster.set_groups(vec![0; 4]);
     cluster.offer(20_000, 2 * GRANT_MILLISECONDS, &demand);
     let healed = cluster.offer(26_000, 10_000, &demand);
     assert!(healed <= 1_100, "{healed}");
 }
 
 #[test]
-fn a_node_cut_off_from_its_allocator_falls_back_to_an_equal_split() {
+fn node_isolated_from_its_allocator_falls_back_to_equal_split() {
     let mut limiter = TenantLimiter::default();
-    limiter.set_nodes(10);
-    let limits = rate(100.0);
+    limiter.set_live_nodes(10);
+    let limits = rate_limit(100.0);
     limiter.admit(0, TENANT, &limits).unwrap();
-    limiter.granted(
+    limiter.apply_grant(
         0,
         TENANT,
         Share {
@@ -189,8 +200,8 @@
 }
 
 #[test]
-fn a_new_allocator_does_not_hand_out_twice_what_others_hold() {
-    let limits = rate(100.0);
+fn new_allocator_does_not_grant_shares_that_others_hold() {
+    let limits = rate_limit(100.0);
     let mut allocator = LimitAllocator::default();
     let mut total = 0.0;
     for node in 0..4 {
@@ -213,45 +224,54 @@
 
 #[test]
 fn concurrency_is_shared_and_released() {
-    let limits = concurrent(10);
+    let limits = concurrency_limit(10);
     let mut cluster = Cluster::new(2, limits);
     let node = &mut cluster.nodes[0];
     for _ in 0..10 {
         node.admit(0, TENANT, &limits).unwrap();
     }
-    assert_eq!(node.admit(0, TENANT, &limits), Err(Denied::Concurrency));
-    node.released(TENANT);
+    assert_eq!(
+        node.admit(0, TENANT, &limits),
+        Err(LimitExceeded::Concurrency)
+    );
+    node.release(TENANT);
     assert_eq!(node.admit(0, TENANT, &limits), Ok(()));
     cluster.exchange(50, true);
     cluster.nodes[1].admit(60, TENANT, &limits).unwrap();
-    cluster.nodes[1].released(TENANT);
+    cluster.nodes[1].release(TENANT);
     cluster.exchange(100, true);
-    let denied = cluster.nodes[1].admit(110, TENANT, &limits);
+    let refusal = cluster.nodes[1].admit(110, TENANT, &limits);
     assert_eq!(
-        denied,
-        Err(Denied::Concurrency),
-        "the first node holds all ten"
+        refusal,
+        Err(LimitExceeded::Concurrency),
+        "the first node holds all ten slots"
     );
 }
 
 #[test]
-fn a_denial_says_when_to_come_back() {
+fn refusal_reports_the_time_until_admission() {
     let mut limiter = TenantLimiter::default();
-    limiter.set_nodes(1);
-    let limits = rate(2.0);
-    let denied = (0..10).find_map(|_| limiter.admit(0, TENANT, &limits).err());
-    assert_eq!(denied, Some(Denied::Rate(500)));
+    limiter.set_live_nodes(1);
+    let limits = rate_limit(2.0);
+    let refusal = (0..10).find_map(|_| limiter.admit(0, TENANT, &limits).err());
+    assert_eq!(refusal, Some(LimitExceeded::Rate(500)));
 }
 
 #[test]
-fn idle_tenants_are_dropped() {
+fn idle_tenants_are_removed() {
     let mut limiter = TenantLimiter::default();
     for tenant in 0..1_000 {
-        limiter.admit(0, TenantKey(tenant), &rate(1.0)).unwrap();
+        limiter
+            .admit(0, TenantKey(tenant), &rate_limit(1.0))
+            .unwrap();
         if tenant > 0 {
-            limiter.released(TenantKey(tenant));
+            limiter.release(TenantKey(tenant));
         }
     }
-    limiter.demands(60_000);
-    assert_eq!(limiter.len(), 1, "the tenant with a running request stays");
+    limiter.take_demands(60_000);
+    assert_eq!(
+        limiter.len(),
+        1,
+        "the tenant with a running request remains"
+    );
 }
--- a/crates/firshore-routing/tests/retry.rs
+++ b/crates/firshore-routing/tests/retry.rs
@@ -1,16 +1,16 @@
-//! Which attempts are followed by another, and what the caller is told in the end.
+//! Tests which attempts are retried and what is reported to the caller after the last.
 
-use firshore_routing::retry::{AttemptEnd, Attempts, Decision};
+use firshore_routing::retry::{AttemptEnd, AttemptHistory, RetryDecision};
 use firshore_types::error::Execution;
 
 use AttemptEnd::{MaybeRun, NotSent, RefusedUnrun};
-use Decision::{GiveUp, Retry, RetryWithinBudget};
+use RetryDecision::{GiveUp, Retry, RetryWithinBudget};
 
 #[test]
-fn decisions_follow_from_what_may_have_run() {
+fn decision_depends_on_what_may_have_run() {
     let none = GiveUp(Execution::None);
     let unknown = GiveUp(Execution::Unknown);
-    let rows: [(bool, &[AttemptEnd], Decision); 10] = [
+    let rows: [(bool, &[AttemptEnd], RetryDecision); 10] = [
         (true, &[NotSent], Retry),
         (false, &[NotSent], Retry),
         (true, &[RefusedUnrun], RetryWithinBudget),
@@ -27,25 +27,26 @@
         ),
     ];
     for (repeatable, ends, expected) in rows {
-        let mut attempts = Attempts::new(repeatable);
-        let decisions: Vec<Decision> = ends.iter().map(|end| attempts.after(*end)).collect();
+        let mut attempts = AttemptHistory::new(repeatable);
+        let decisions: Vec<RetryDecision> =
+            ends.iter().map(|end| attempts.decide_after(*end)).collect();
         let last = decisions.last().copied();
         assert_eq!(last, Some(expected), "repeatable {repeatable}, {ends:?}");
     }
 }
 
 #[test]
-fn a_non_repeatable_request_that_may_have_run_is_never_sent_again() {
+fn non_repeatable_request_that_may_have_run_is_not_retried() {
     let ends = [NotSent, RefusedUnrun, MaybeRun];
     for number in 0..81 {
-        let mut attempts = Attempts::new(false);
+        let mut attempts = AttemptHistory::new(false);
         let mut may_have_run = false;
-        let mut left = number;
+        let mut remaining = number;
         for _ in 0..4 {
-            let end = ends[left % 3];
-            left /= 3;
+            let end = ends[remaining % 3];
+            remaining /= 3;
             may_have_run |= end == MaybeRun;
-            let decision = attempts.after(end);
+            let decision = attempts.decide_after(end);
             if !may_have_run {
                 continue;
             }
--- a/crates/firshore-routing/tests/retry_budget.rs
+++ b/crates/firshore-routing/tests/retry_budget.rs
@@ -1,17 +1,19 @@
-//! Retries stay a small share of the load whatever fails.
+//! Tests that retries stay a small fraction of the load.
 
 mod support;
 
-use firshore_routing::retry_budget::{LONGEST_BACKOFF_MILLISECONDS, RESERVE, RetryBudget, backoff};
+use firshore_routing::retry_budget::{
+    MAX_BACKOFF_MILLISECONDS, MAX_SAVED_RETRIES, RetryBudget, backoff,
+};
 use support::random;
 
 #[test]
-fn load_stays_under_one_point_one_times_the_offered() {
+fn load_stays_below_1_1_times_the_offered_load() {
     for failing_percent in [0_u32, 10, 33, 100] {
         let mut budget = RetryBudget::default();
         let (offered, mut attempts) = (100_000, 0);
         for request in 0..offered {
-            budget.first_attempt();
+            budget.record_first_attempt();
             attempts += 1;
             let fails = (request * 37) % 100 < failing_percent;
             while fails && budget.try_retry() {
@@ -24,24 +26,24 @@
 }
 
 #[test]
-fn a_quiet_node_can_retry_a_few_times() {
+fn saved_retries_allow_a_few_retries_without_first_attempts() {
     let mut budget = RetryBudget::default();
     let allowed = (0..100).filter(|_| budget.try_retry()).count();
-    assert_eq!(allowed, RESERVE as usize);
+    assert_eq!(allowed, MAX_SAVED_RETRIES as usize);
 }
 
 #[test]
-fn pauses_grow_and_are_spread() {
+fn backoff_grows_and_is_randomized() {
     let mut random = random();
-    let mut longest = |retry| {
+    let mut max_backoff = |retry| {
         (0..1000)
             .map(|_| backoff(retry, &mut random))
             .max()
             .unwrap()
     };
-    let bounds = [1, 2, 3, 60].map(&mut longest);
+    let bounds = [1, 2, 3, 60].map(&mut max_backoff);
     assert!(bounds.is_sorted(), "{bounds:?}");
-    assert!(bounds[3] <= LONGEST_BACKOFF_MILLISECONDS);
+    assert!(bounds[3] <= MAX_BACKOFF_MILLISECONDS);
     let mut random = support::random();
     let distinct: std::collections::BTreeSet<u64> =
         (0..100).map(|_| backoff(5, &mut random)).collect();
--- a/crates/firshore-routing/tests/support/mod.rs
+++ b/crates/firshore-routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Machines and routers for tests.
+//! Machines and routers that the tests share.
 #![allow(dead_code)]
 
 use firshore_routing::endpoint::{EndpointIndex, Locality};
@@ -38,7 +38,7 @@
     router
 }
 
-pub fn pool() -> Selector {
+pub fn pool_selector() -> Selector {
     Selector::matching([("pool", "engines")])
 }
 
--- a/crates/firshore-server/src/admission.rs
+++ b/crates/firshore-server/src/admission.rs
@@ -4,8 +4,8 @@
 use crate::limits;
 use crate::routing::Target;
 use crate::shared::{ConfigurationView, Shared};
-use firshore_routing::eligibility::SetKey;
-use firshore_routing::queue::{AdmissionQueue, Arrival, Ticket};
+use firshore_routing::eligibility::SelectorKey;
+use firshore_routing::queue::{AdmissionQueue, EnqueueResult, QueueTicket};
 use firshore_types::declaration::{Metadata, Priority, TenantSpec};
 use firshore_types::error::{ApiError, ErrorCode, Execution};
 use firshore_types::labels::Selector;
@@ -42,21 +42,21 @@
 /// the router's lock after this one.
 #[derive(Default)]
 pub struct Admission {
-    queues: Mutex<HashMap<SetKey, Waiting>>,
+    queues: Mutex<HashMap<SelectorKey, Waiting>>,
 }
 
 /// Takes the request out of its queue when its caller is no longer there.
 struct Place<'a> {
     admission: &'a Admission,
-    key: SetKey,
-    ticket: Ticket,
+    key: SelectorKey,
+    ticket: QueueTicket,
 }
 
 impl Drop for Place<'_> {
     fn drop(&mut self) {
         let mut queues = self.admission.queues.lock();
         if let Some(waiting) = queues.get_mut(&self.key) {
-            waiting.queue.withdraw(self.ticket);
+            waiting.queue.remove(self.ticket);
         }
     }
 }
@@ -98,7 +98,7 @@
 fn has_room(shared: &Shared, selectors: &[&Selector]) -> bool {
     let now = shared.clock.now();
     let mut router = shared.router.lock();
-    router.has_room(now, selectors, &mut rand::rng())
+    router.has_capacity(now, selectors, &mut rand::rng())
 }
 
 async fn wait(
@@ -108,7 +108,7 @@
     deadline: Deadline,
 ) -> Result<(), ApiError> {
     let selectors = target.selectors();
-    let key = SetKey::of(&selectors);
+    let key = SelectorKey::of(&selectors);
     let (ticket, turn) = {
         let mut queues = shared.admission.queues.lock();
         let empty = queues
@@ -124,13 +124,13 @@
         let longest = (deadline.remaining().as_millis() as u64).min(LONGEST_WAIT_MILLISECONDS);
         let (sender, turn) = oneshot::channel();
         let until = shared.clock.now() + longest;
-        match waiting.queue.arrive(priority, until, sender) {
-            Arrival::Queued(ticket) => (ticket, turn),
-            Arrival::QueuedInPlaceOf(ticket, shed) => {
+        match waiting.queue.enqueue(priority, until, sender) {
+            EnqueueResult::Queued(ticket) => (ticket, turn),
+            EnqueueResult::QueuedInPlaceOf(ticket, shed) => {
                 let _ = shed.send(Turn::Shed);
                 (ticket, turn)
             }
-            Arrival::Refused(_) => return Err(overloaded(&waiting.queue)),
+            EnqueueResult::Refused(_) => return Err(overloaded(&waiting.queue)),
         }
     };
     let admission = &shared.admission;
@@ -175,13 +175,13 @@
 fn let_go(shared: &Shared, waiting: &mut Waiting) {
     let now = shared.clock.now();
     // Dropping a sender tells its request that it has waited too long.
-    drop(waiting.queue.expire(now));
+    drop(waiting.queue.remove_expired(now));
     let selectors: Vec<&Selector> = waiting.selectors.iter().collect();
     for _ in 0..DEPARTURES_PER_LOOK {
         if waiting.queue.is_empty() || !has_room(shared, &selectors) {
             return;
         }
-        if let Some(next) = waiting.queue.depart(now).next {
+        if let Some(next) = waiting.queue.dequeue(now).next {
             let _ = next.send(Turn::Go);
         }
     }
--- a/crates/firshore-server/src/gateway/dispatch.rs
+++ b/crates/firshore-server/src/gateway/dispatch.rs
@@ -14,7 +14,7 @@
 use firshore_exchange::exchange::{self, Exchange, ExchangeBody, ExchangeError, Reuse};
 use firshore_exchange::framing::BodyEnd;
 use firshore_routing::endpoint::Outcome;
-use firshore_routing::retry::{AttemptEnd, Attempts, Decision};
+use firshore_routing::retry::{AttemptEnd, AttemptHistory, RetryDecision};
 use firshore_types::error::{ApiError, ErrorCode, Execution};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -112,7 +112,7 @@
 
 /// Sends a request and waits for the head of its answer, or for all of it.
 pub async fn send(shared: &Arc<Shared>, request: &Dispatch) -> Result<Answer, ApiError> {
-    let mut attempts = Attempts::new(request.terms.repeatable);
+    let mut attempts = AttemptHistory::new(request.terms.repeatable);
     let mut tried = Vec::new();
     let mut last = (AttemptEnd::NotSent, String::new());
     loop {
@@ -128,15 +128,15 @@
             Attempt::Final(error) => return Err(error),
             Attempt::Ended(end, reason) => last = (end, reason),
         }
-        match attempts.after(last.0) {
-            Decision::Retry => {}
-            Decision::RetryWithinBudget if routing::may_retry(shared) => {
+        match attempts.decide_after(last.0) {
+            RetryDecision::Retry => {}
+            RetryDecision::RetryWithinBudget if routing::may_retry(shared) => {
                 if request.terms.deadline.bound(pause()).await.is_none() {
                     return Err(Deadline::exceeded(attempts.execution()));
                 }
             }
-            Decision::RetryWithinBudget => return Err(given_up(attempts.execution(), last)),
-            Decision::GiveUp(execution) => return Err(given_up(execution, last)),
+            RetryDecision::RetryWithinBudget => return Err(given_up(attempts.execution(), last)),
+            RetryDecision::GiveUp(execution) => return Err(given_up(execution, last)),
         }
         shared.metrics.retries.inc();
     }
--- a/crates/firshore-server/src/limits.rs
+++ b/crates/firshore-server/src/limits.rs
@@ -4,7 +4,7 @@
 use firshore_protocol::message::{Request, Response};
 use firshore_routing::allocator::LimitAllocator;
 use firshore_routing::limits::{
-    Demand, Denied, EXCHANGE_MILLISECONDS, Grant, TenantKey, TenantLimiter,
+    Demand, Grant, LimitExceeded, REPORT_INTERVAL_MILLISECONDS, TenantKey, TenantLimiter,
 };
 use firshore_types::declaration::Limits;
 use firshore_types::error::{ApiError, ErrorCode};
@@ -19,7 +19,7 @@
 /// Time between two looks for tenants just met.
 const TICK: Duration = Duration::from_millis(100);
 
-const TICKS_PER_EXCHANGE: u64 = EXCHANGE_MILLISECONDS / 100;
+const TICKS_PER_EXCHANGE: u64 = REPORT_INTERVAL_MILLISECONDS / 100;
 
 /// A grant that comes later than this is of no use.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -42,7 +42,7 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        self.shared.limits.lock().limiter.released(self.tenant);
+        self.shared.limits.lock().limiter.release(self.tenant);
     }
 }
 
@@ -65,13 +65,13 @@
     }))
 }
 
-fn refusal(denied: Denied) -> ApiError {
+fn refusal(denied: LimitExceeded) -> ApiError {
     let (message, seconds) = match denied {
-        Denied::Rate(milliseconds) => {
+        LimitExceeded::Rate(milliseconds) => {
             let seconds = milliseconds.div_ceil(1_000).clamp(1, 60) as u32;
             ("The tenant's requests a second are used up.", seconds)
         }
-        Denied::Concurrency => {
+        LimitExceeded::Concurrency => {
             let message = "The tenant has as many requests at once as it may have.";
             (message, CONCURRENCY_RETRY_SECONDS)
         }
@@ -100,12 +100,12 @@
     };
     let demands = {
         let mut tables = shared.limits.lock();
-        tables.limiter.set_nodes(members.len() as u32);
+        tables.limiter.set_live_nodes(members.len() as u32);
         if whole {
-            tables.allocator.expire(now);
-            tables.limiter.demands(now)
+            tables.allocator.remove_expired(now);
+            tables.limiter.take_demands(now)
         } else {
-            tables.limiter.first_demands(now)
+            tables.limiter.new_tenant_demands(now)
         }
     };
     let owner_of = |demand: &Demand| {
@@ -146,7 +146,7 @@
     let mut tables = shared.limits.lock();
     for grant in grants {
         let Grant { tenant, share } = grant;
-        tables.limiter.granted(reported_at, tenant, share);
+        tables.limiter.apply_grant(reported_at, tenant, share);
     }
 }
 
--- a/crates/firshore-server/src/load_exchange.rs
+++ b/crates/firshore-server/src/load_exchange.rs
@@ -150,10 +150,10 @@
     let Some(index) = router.endpoints.find(&machine.name) else {
         return;
     };
-    let was_draining = !router.endpoints.get(index).available(now);
-    router.report(index, now.saturating_sub(entry.age), entry.report);
+    let was_draining = !router.endpoints.get(index).is_available(now);
+    router.record_report(index, now.saturating_sub(entry.age), entry.report);
     if entry.draining {
-        router.draining(now, index);
+        router.record_draining(now, index);
     }
     drop(router);
     if entry.draining && !was_draining {
@@ -179,15 +179,15 @@
     };
     if page.next < after {
         // The engine counts anew: it was restarted, with an empty cache.
-        router.affinity.forget(index);
+        router.affinity.remove_endpoint(index);
     }
     for event in &page.events {
         let Ok(block) = u64::from_str_radix(&event.block, 16) else {
             continue;
         };
         match event.kind {
-            CacheEventKind::Stored => router.affinity.stored(block, index),
-            CacheEventKind::Evicted => router.affinity.evicted(block, index),
+            CacheEventKind::Stored => router.affinity.record_stored(block, index),
+            CacheEventKind::Evicted => router.affinity.record_evicted(block, index),
         }
     }
     drop(router);
--- a/crates/firshore-server/src/peers.rs
+++ b/crates/firshore-server/src/peers.rs
@@ -44,7 +44,7 @@
             Request::Gossip(envelope) => membership::received(shared, envelope),
             Request::LoadDigest(digest) => {
                 let now = shared.clock.now();
-                shared.router.lock().digest(now, &digest);
+                shared.router.lock().apply_digest(now, &digest);
             }
             Request::OnlineArrival(engine) => shared.online_arrivals.received(engine),
             Request::Replication {
--- a/crates/firshore-server/src/routing.rs
+++ b/crates/firshore-server/src/routing.rs
@@ -4,10 +4,10 @@
 use crate::limits::Admitted;
 use crate::shared::Shared;
 use actix_http::header::{HeaderMap, HeaderName};
-use firshore_routing::balance::Features;
+use firshore_routing::balance::RequestFeatures;
 use firshore_routing::endpoint::{EndpointIndex, Outcome};
 use firshore_routing::load::LoadReport;
-use firshore_routing::router::Sent;
+use firshore_routing::router::SentRequest;
 use firshore_types::declaration::PoolSpec;
 use firshore_types::hash::prompt_block_hashes;
 use firshore_types::ids::MachineName;
@@ -95,7 +95,7 @@
 /// A request at a back end. Dropped before [`RunningRequest::ended`], it counts as given up.
 pub struct RunningRequest {
     shared: Arc<Shared>,
-    sent: Sent,
+    sent: SentRequest,
     name: MachineName,
     address: SocketAddr,
     first_chunk_at: Option<u64>,
@@ -114,13 +114,13 @@
 ) -> Option<RunningRequest> {
     let now = shared.clock.now();
     let selectors = target.selectors();
-    let features = Features {
+    let features = RequestFeatures {
         prompt_tokens: target.prompt_tokens,
         blocks: &target.blocks,
         tried,
     };
     if tried.is_empty() {
-        shared.retry_budget.lock().first_attempt();
+        shared.retry_budget.lock().record_first_attempt();
     }
     let mut router = shared.router.lock();
     let sent = router.choose(now, &selectors, features, &mut rand::rng())?;
@@ -169,10 +169,10 @@
         let draining = text(&ENGINE_STATE_HEADER) == Some(DRAINING);
         let mut router = self.shared.router.lock();
         if let Some(report) = load {
-            router.report(self.sent.endpoint, now, report);
+            router.record_report(self.sent.endpoint, now, report);
         }
         if draining {
-            router.draining(now, self.sent.endpoint);
+            router.record_draining(now, self.sent.endpoint);
         }
         drop(router);
         if draining {
@@ -185,7 +185,10 @@
         let now = self.shared.clock.now();
         if self.first_chunk_at.is_none() {
             self.first_chunk_at = Some(now);
-            self.shared.router.lock().first_token(now, &mut self.sent);
+            self.shared
+                .router
+                .lock()
+                .record_first_token(now, &mut self.sent);
         }
         self.last_chunk_at = now;
         self.chunks += 1;
@@ -209,9 +212,9 @@
         let gap = self.mean_gap();
         let mut router = self.shared.router.lock();
         if let Some(milliseconds) = gap {
-            router.token_gap(now, &self.sent, milliseconds);
+            router.record_token_gap(now, &self.sent, milliseconds);
         }
-        let ejected_until = router.ended(now, &self.sent, self.outcome);
+        let ejected_until = router.record_end(now, &self.sent, self.outcome);
         drop(router);
         if let Some(until) = ejected_until {
             let milliseconds = until - now;
