--- a/crates/firshore-node/src/journal/client.rs
+++ b/crates/firshore-node/src/journal/client.rs
@@ -30,16 +30,16 @@
 use tokio::time::timeout;
 
 /// Longest time for one question, all tries together, beyond any wait asked for.
-const DEADLINE: Duration = Duration::from_millis(2_500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Longest wait for one node's answer, beyond any wait asked for.
-pub(super) const TRY_TIMEOUT: Duration = Duration::from_millis(500);
+pub(super) const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Pause after every node was asked in vain.
-const ROUND_PAUSE: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time after which items that wait may have made room, in seconds: items take some seconds each.
-const WAITING_RETRY_SECONDS: u32 = 2;
+const QUEUE_RETRY_SECONDS: u32 = 2;
 
 const DISK_FULL: &str = "The journal's disk has no space left for new work.";
 const MEMORY_FULL: &str = "The journal's leader has no memory left for new work.";
@@ -83,14 +83,14 @@
     }
 }
 
-enum Tried {
+enum AttemptOutcome {
     Answered(PeerResponse),
-    Elsewhere(Option<NodeName>),
-    Full(ApiError),
+    Redirected(Option<NodeName>),
+    Refused(ApiError),
     NotSent,
     /// It answered that the outcome is not known.
     Unknown,
-    Unanswered,
+    NoResponse,
 }
 
 fn unavailable(unknown: bool) -> ApiError {
@@ -102,16 +102,16 @@
     }
 }
 
-fn no_room(message: &str) -> ApiError {
+fn out_of_capacity(message: &str) -> ApiError {
     ApiError::not_run(ErrorCode::JournalUnavailable, message)
 }
 
-fn too_much_waiting() -> ApiError {
+fn too_many_queued_tokens() -> ApiError {
     let message = "The tenant has as many tokens waiting on the route as it may.";
-    ApiError::not_run(ErrorCode::RateLimited, message).retry_after(WAITING_RETRY_SECONDS)
+    ApiError::not_run(ErrorCode::RateLimited, message).retry_after(QUEUE_RETRY_SECONDS)
 }
 
-fn unexpected() -> ApiError {
+fn unexpected_response() -> ApiError {
     let message = "A peer answered with another kind of message.";
     ApiError::maybe_run(ErrorCode::Internal, message)
 }
@@ -130,8 +130,8 @@
         }
     }
 
-    async fn ask(&self, request: PeerRequest, wait: Duration) -> Result<PeerResponse, ApiError> {
-        let deadline = firshore_clock::now().into_std() + DEADLINE + wait;
+    async fn query(&self, request: PeerRequest, wait: Duration) -> Result<PeerResponse, ApiError> {
+        let deadline = firshore_clock::now().into_std() + REQUEST_TIMEOUT + wait;
         let mut unknown = false;
         let mut hint = self.leader.borrow().clone();
         let mut round: Vec<NodeName> = Vec::new();
@@ -143,30 +143,34 @@
                     .get()
                     .is_hopeless(firshore_clock::now().into_std())
             {
-                return Err(unavailable(request.changes() && unknown));
+                return Err(unavailable(request.is_mutation() && unknown));
             }
             let Some(target) = hint.take().or_else(|| round.pop()) else {
                 if rounds > 0 {
-                    actix_rt::time::sleep(ROUND_PAUSE).await;
+                    actix_rt::time::sleep(ROUND_INTERVAL).await;
                 }
                 if rounds > 0 || self.registry.names().is_empty() {
                     self.registry.refresh().await;
                 }
                 rounds += 1;
-                round = self.nodes();
+                round = self.rotated_nodes();
                 continue;
             };
-            match self.try_one(&target, request.clone(), wait).await {
-                Tried::Answered(response) => {
+            match self.query_node(&target, request.clone(), wait).await {
+                AttemptOutcome::Answered(response) => {
                     *self.leader.borrow_mut() = Some(target);
                     return Ok(response);
                 }
                 // What an earlier try may have done is not undone by a later refusal.
-                Tried::Full(_) if unknown && request.changes() => return Err(unavailable(true)),
-                Tried::Full(error) => return Err(error),
-                Tried::Elsewhere(leader) => hint = leader.filter(|leader| *leader != target),
-                Tried::NotSent => *self.leader.borrow_mut() = None,
-                Tried::Unknown | Tried::Unanswered => {
+                AttemptOutcome::Refused(_) if unknown && request.is_mutation() => {
+                    return Err(unavailable(true));
+                }
+                AttemptOutcome::Refused(error) => return Err(error),
+                AttemptOutcome::Redirected(leader) => {
+                    hint = leader.filter(|leader| *leader != target)
+                }
+                AttemptOutcome::NotSent => *self.leader.borrow_mut() = None,
+                AttemptOutcome::Unknown | AttemptOutcome::NoResponse => {
                     unknown = true;
                     *self.leader.borrow_mut() = None;
                 }
@@ -181,17 +185,17 @@
 
     /// Tells the leader what is under way, `sums` if a relay does so for several nodes. Learns what all
     /// others have. Asks once: what is missed is told again a moment later.
-    pub async fn tell_leader(&self, told: ToldLoad, sums: bool) -> Option<OthersLoad> {
+    pub async fn tell_leader(&self, report: ToldLoad, sums: bool) -> Option<OthersLoad> {
         let leader = self.leader();
-        let target = match leader.or_else(|| self.nodes().pop()) {
+        let target = match leader.or_else(|| self.rotated_nodes().pop()) {
             Some(target) => target,
             None => {
                 self.registry.refresh().await;
                 return None;
             }
         };
-        match self.tell(&target, told, sums).await {
-            Tried::Answered(PeerResponse::Load {
+        match self.send_load(&target, report, sums).await {
+            AttemptOutcome::Answered(PeerResponse::Load {
                 counts,
                 pause,
                 news,
@@ -202,7 +206,7 @@
                 let others = OthersLoad::new(counts, pause, 0, news);
                 Some(OthersLoad { paces, ..others })
             }
-            Tried::Elsewhere(leader) => {
+            AttemptOutcome::Redirected(leader) => {
                 *self.leader.borrow_mut() = leader;
                 None
             }
@@ -218,9 +222,9 @@
     }
 
     /// Tells a relay what this node has under way, and learns what all others have.
-    pub async fn tell_relay(&self, relay: &NodeName, told: ToldLoad) -> Option<OthersLoad> {
-        match self.tell(relay, told, false).await {
-            Tried::Answered(PeerResponse::Load {
+    pub async fn tell_relay(&self, relay: &NodeName, report: ToldLoad) -> Option<OthersLoad> {
+        match self.send_load(relay, report, false).await {
+            AttemptOutcome::Answered(PeerResponse::Load {
                 counts,
                 pause,
                 age,
@@ -234,7 +238,7 @@
                 let others = OthersLoad::new(counts, pause, age, news);
                 Some(OthersLoad { paces, ..others })
             }
-            Tried::Elsewhere(Some(leader)) => {
+            AttemptOutcome::Redirected(Some(leader)) => {
                 *self.leader.borrow_mut() = Some(leader);
                 None
             }
@@ -243,23 +247,25 @@
     }
 
     /// Takes back what was told a node before, as another is told from now on.
-    pub async fn retract(&self, node: &NodeName, told: ToldLoad) {
-        if let Tried::NotSent | Tried::Unanswered = self.tell(node, told, false).await {
+    pub async fn retract(&self, node: &NodeName, report: ToldLoad) {
+        if let AttemptOutcome::NotSent | AttemptOutcome::NoResponse =
+            self.send_load(node, report, false).await
+        {
             info!(self.log, "load: Not taken back."; "told" => %node);
         }
     }
 
-    async fn tell(&self, target: &NodeName, told: ToldLoad, sums: bool) -> Tried {
+    async fn send_load(&self, target: &NodeName, report: ToldLoad, sums: bool) -> AttemptOutcome {
         let request = PeerRequest::Load {
             node: self.node.clone(),
-            counts: told.counts,
-            urgent: told.urgent,
+            counts: report.counts,
+            urgent: report.urgent,
             sums,
-            pressures: told.pressures,
-            uses: told.uses,
-            paces: told.paces,
+            pressures: report.pressures,
+            uses: report.uses,
+            paces: report.paces,
         };
-        self.try_one(target, request, Duration::ZERO).await
+        self.query_node(target, request, Duration::ZERO).await
     }
 
     /// Returns the nodes with disks.
@@ -268,7 +274,7 @@
     }
 
     /// The nodes to ask, in a random order.
-    fn nodes(&self) -> Vec<NodeName> {
+    fn rotated_nodes(&self) -> Vec<NodeName> {
         let mut names = self.registry.names();
         if !names.is_empty() {
             let first = rand::rng().random_range(0..names.len());
@@ -289,39 +295,52 @@
         lost
     }
 
-    fn note(&self, change: impl FnOnce(&mut PeerContact)) {
+    fn update_contact(&self, change: impl FnOnce(&mut PeerContact)) {
         let mut contact = self.contact.get();
         change(&mut contact);
         self.contact.set(contact);
     }
 
     /// Asks one node, and takes in whether it answers at all.
-    async fn try_one(&self, target: &NodeName, request: PeerRequest, wait: Duration) -> Tried {
+    async fn query_node(
+        &self,
+        target: &NodeName,
+        request: PeerRequest,
+        wait: Duration,
+    ) -> AttemptOutcome {
         let now = firshore_clock::now().into_std();
-        self.note(|contact| contact.asked(now, now + wait));
-        let tried = self.call(target, request, wait).await;
-        if !matches!(tried, Tried::NotSent | Tried::Unanswered) {
-            self.note(PeerContact::heard);
+        self.update_contact(|contact| contact.asked(now, now + wait));
+        let outcome = self.call(target, request, wait).await;
+        if !matches!(
+            outcome,
+            AttemptOutcome::NotSent | AttemptOutcome::NoResponse
+        ) {
+            self.update_contact(PeerContact::heard);
         }
-        tried
+        outcome
     }
 
-    async fn call(&self, target: &NodeName, request: PeerRequest, wait: Duration) -> Tried {
+    async fn call(
+        &self,
+        target: &NodeName,
+        request: PeerRequest,
+        wait: Duration,
+    ) -> AttemptOutcome {
         let Some(address) = self.registry.address(target) else {
-            return Tried::NotSent;
+            return AttemptOutcome::NotSent;
         };
         let call = self.peers.call(address, request);
-        match timeout(TRY_TIMEOUT + wait, call).await {
+        match timeout(ATTEMPT_TIMEOUT + wait, call).await {
             Ok(Ok(PeerResponse::Refused(refusal))) => match refusal {
-                JournalRefusal::NotLeader { leader } => Tried::Elsewhere(leader),
-                JournalRefusal::StorageFull => Tried::Full(no_room(DISK_FULL)),
-                JournalRefusal::MemoryFull => Tried::Full(no_room(MEMORY_FULL)),
-                JournalRefusal::TooMuchWaiting => Tried::Full(too_much_waiting()),
-                JournalRefusal::Unsettled => Tried::Unknown,
+                JournalRefusal::NotLeader { leader } => AttemptOutcome::Redirected(leader),
+                JournalRefusal::StorageFull => AttemptOutcome::Refused(out_of_capacity(DISK_FULL)),
+                JournalRefusal::MemoryFull => AttemptOutcome::Refused(out_of_capacity(MEMORY_FULL)),
+                JournalRefusal::TooMuchWaiting => AttemptOutcome::Refused(too_many_queued_tokens()),
+                JournalRefusal::Unsettled => AttemptOutcome::Unknown,
             },
-            Ok(Ok(response)) => Tried::Answered(response),
-            Ok(Err(PeerError::NotSent)) => Tried::NotSent,
-            Ok(Err(PeerError::Unanswered)) | Err(_) => Tried::Unanswered,
+            Ok(Ok(response)) => AttemptOutcome::Answered(response),
+            Ok(Err(PeerError::NotSent)) => AttemptOutcome::NotSent,
+            Ok(Err(PeerError::Unanswered)) | Err(_) => AttemptOutcome::NoResponse,
         }
     }
 }
@@ -353,9 +372,9 @@
                 most_waiting_tokens: terms.and_then(|terms| terms.most_waiting_tokens),
             };
             let request = PeerRequest::Submit { header, items };
-            match self.ask(request, Duration::ZERO).await? {
+            match self.query(request, Duration::ZERO).await? {
                 PeerResponse::Done => Ok(()),
-                _ => Err(unexpected()),
+                _ => Err(unexpected_response()),
             }
         }
         .boxed_local()
@@ -373,9 +392,9 @@
                 from,
                 wait: wait.as_millis() as u64,
             };
-            match self.ask(request, wait).await? {
+            match self.query(request, wait).await? {
                 PeerResponse::Results(page) => Ok(page),
-                _ => Err(unexpected()),
+                _ => Err(unexpected_response()),
             }
         }
         .boxed_local()
@@ -385,9 +404,9 @@
         async move {
             let job = job.journal_key();
             let request = PeerRequest::Body { job, item };
-            match self.ask(request, Duration::ZERO).await? {
+            match self.query(request, Duration::ZERO).await? {
                 PeerResponse::Body(body) => Ok(body),
-                _ => Err(unexpected()),
+                _ => Err(unexpected_response()),
             }
         }
         .boxed_local()
@@ -396,10 +415,10 @@
     fn end<'a>(&'a self, job: JobId) -> JobAnswer<'a, bool> {
         async move {
             let job = job.journal_key();
-            match self.ask(PeerRequest::End { job }, Duration::ZERO).await? {
+            match self.query(PeerRequest::End { job }, Duration::ZERO).await? {
                 PeerResponse::Done => Ok(true),
                 PeerResponse::UnknownJob => Ok(false),
-                _ => Err(unexpected()),
+                _ => Err(unexpected_response()),
             }
         }
         .boxed_local()
--- a/crates/firshore-node/src/journal/contact.rs
+++ b/crates/firshore-node/src/journal/contact.rs
@@ -8,20 +8,20 @@
 
 /// Time after a question for which no other one is needed to learn that the contact is back: the time
 /// that it waits, and the pause of a node that tells its load.
-const PROBED_WITHIN: Duration = Duration::from_millis(1_500);
+const PROBE_WINDOW: Duration = Duration::from_millis(1_500);
 
 /// The contact to the journal's nodes, whichever answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerContact {
     /// Since when an answer is due.
     unanswered_since: Option<Instant>,
-    asked_at: Option<Instant>,
+    queried_at: Option<Instant>,
 }
 
 impl PeerContact {
     /// Takes in that a question was asked now, to be answered at `due` at the latest.
     pub fn asked(&mut self, now: Instant, due: Instant) {
-        self.asked_at = Some(now);
+        self.queried_at = Some(now);
         let since = self.unanswered_since.get_or_insert(due);
         *since = due.min(*since);
     }
@@ -34,8 +34,8 @@
     /// Returns whether a question is given up unasked: the contact is lost, and another question was
     /// asked a moment ago, whose answer would tell that it is back.
     pub fn is_hopeless(&self, now: Instant) -> bool {
-        let recent = |asked_at| now.saturating_duration_since(asked_at) < PROBED_WITHIN;
-        self.is_lost(now) && self.asked_at.is_some_and(recent)
+        let recent = |queried_at| now.saturating_duration_since(queried_at) < PROBE_WINDOW;
+        self.is_lost(now) && self.queried_at.is_some_and(recent)
     }
 
     /// Returns whether no node answers any more.
--- a/crates/firshore-node/src/journal/duties.rs
+++ b/crates/firshore-node/src/journal/duties.rs
@@ -19,10 +19,10 @@
 const INTERVAL: Duration = Duration::from_millis(500);
 
 /// Pause after a change of the nodes or of the wishes to empty some.
-const SPACING: Duration = Duration::from_millis(500);
+const CHANGE_SPACING: Duration = Duration::from_millis(500);
 
 /// Longest wait for a change of these, so that a swallowed watch is noticed: 24 calls a minute in all.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// What a leader follows.
 pub struct Duties {
@@ -57,7 +57,7 @@
             }
             if !leads && !tasks.is_empty() {
                 tasks.clear();
-                self.forget();
+                self.discard();
             }
             let _ = timeout(INTERVAL, changes.changed()).await;
         }
@@ -65,8 +65,8 @@
 
     fn follow(&self) -> Vec<Task> {
         let terms = Terms {
-            longest_wait: LONGEST_WAIT,
-            ..environment::terms(&self.objects, SPACING)
+            longest_wait: MAX_WATCH_WAIT,
+            ..environment::terms(&self.objects, CHANGE_SPACING)
         };
         let store = &self.gateway.adapter.objects;
         let log = &self.gateway.log;
@@ -78,13 +78,13 @@
             terms,
             renewal: Rc::default(),
         };
-        let nodes = watcher::follow(watcher(KIND), move |learned| registry.learn(learned));
+        let node_watch = watcher::follow(watcher(KIND), move |observed| registry.learn(observed));
         let (retirements, gateway) = (self.retirements.clone(), self.gateway.clone());
         let kind = self.gateway.adapter.decoder.retirement_kind();
-        let wishes = watcher::follow(watcher(kind), move |learned| {
-            retirements.learn(&gateway.adapter, &gateway.log, learned);
+        let retirement_watch = watcher::follow(watcher(kind), move |observed| {
+            retirements.learn(&gateway.adapter, &gateway.log, observed);
         });
-        let mut tasks = vec![Task::spawn(nodes), Task::spawn(wishes)];
+        let mut tasks = vec![Task::spawn(node_watch), Task::spawn(retirement_watch)];
         if let Some(asker) = &self.asker {
             let asker = asker.clone();
             tasks.extend(environment::follow(&self.gateway, &self.objects, || {
@@ -95,8 +95,8 @@
     }
 
     /// What is not followed any more must not be acted on.
-    fn forget(&self) {
-        self.retirements.unfollow();
+    fn discard(&self) {
+        self.retirements.stop_watching();
         if self.asker.is_some() {
             self.gateway.forget();
         }
--- a/crates/firshore-node/src/journal/group_keeper.rs
+++ b/crates/firshore-node/src/journal/group_keeper.rs
@@ -16,15 +16,15 @@
 /// Part of the time in which a new disk has to hold everything after which one of a pair goes on
 /// without the other although no other disk could take its place: cuts mostly end sooner, and a
 /// lone replica may promise nothing, but lets what is listed be read.
-const LONE_SHARE: f64 = 1.0;
+const LONE_FRACTION: f64 = 1.0;
 
 /// Part of that time for which a voter stays silent beyond the limit until the group does without it though
 /// no other disk takes its place: with the silence itself and a change of leader this ends before the
 /// machine that replaces it counts as recovered, after which the next loss may come.
-const GIVEN_UP_SHARE: f64 = 0.4;
+const GIVE_UP_FRACTION: f64 = 0.4;
 
 /// The same for a disk that answers and does not catch up, where another one could be tried.
-const LEARNER_SHARE: f64 = 2.0;
+const LEARNER_FRACTION: f64 = 2.0;
 
 /// What a group is to be.
 #[derive(Clone, Copy, Debug)]
@@ -140,7 +140,7 @@
     /// The record of voters as it was seen last, and since when.
     recorded: Option<(VoterRecord, Instant)>,
     /// Since when voters are silent for longer than the limit.
-    silent_since: BTreeMap<DiskId, Instant>,
+    unresponsive_since: BTreeMap<DiskId, Instant>,
     /// The disk that is to catch up, and since when.
     learner: Option<(DiskId, Instant)>,
 }
@@ -153,21 +153,21 @@
             passed_over: PassedOver::default(),
             leaderless_since: None,
             recorded: None,
-            silent_since: BTreeMap::new(),
+            unresponsive_since: BTreeMap::new(),
             learner: None,
         }
     }
 
     /// Takes in what the replica told, before the store is asked for what a step rests on.
     pub fn observe(&mut self, now: Instant, status: &GroupStatus) {
-        self.note_leader(now, status);
-        self.note_silent(now, status);
+        self.update_leader(now, status);
+        self.update_unresponsive(now, status);
     }
 
     /// Takes in what is known now, and returns what to do.
     pub fn step(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
         self.observe(now, view.status);
-        self.note_record(now, view.recorded);
+        self.update_record(now, view.recorded);
         if !view.status.holds_log {
             return KeeperStep::Rest;
         }
@@ -175,10 +175,10 @@
             return KeeperStep::JoinHistory(history);
         }
         if view.status.leads {
-            return self.place(now, view);
+            return self.place_replicas(now, view);
         }
         if view.status.leader.is_none() {
-            return self.without_leader(now, view);
+            return self.step_leaderless(now, view);
         }
         KeeperStep::Rest
     }
@@ -193,7 +193,7 @@
         !holds && view.status.membership_committed && whole
     }
 
-    fn note_leader(&mut self, now: Instant, status: &GroupStatus) {
+    fn update_leader(&mut self, now: Instant, status: &GroupStatus) {
         if status.leader.is_some() {
             self.leaderless_since = None;
         } else {
@@ -201,7 +201,7 @@
         }
     }
 
-    fn note_record(&mut self, now: Instant, recorded: Option<&VoterRecord>) {
+    fn update_record(&mut self, now: Instant, recorded: Option<&VoterRecord>) {
         let Some(record) = recorded else {
             return;
         };
@@ -211,27 +211,27 @@
         }
     }
 
-    fn note_silent(&mut self, now: Instant, status: &GroupStatus) {
-        self.silent_since
+    fn update_unresponsive(&mut self, now: Instant, status: &GroupStatus) {
+        self.unresponsive_since
             .retain(|disk, _| status.silent.contains(disk));
         for disk in &status.silent {
-            self.silent_since.entry(*disk).or_insert(now);
+            self.unresponsive_since.entry(*disk).or_insert(now);
         }
     }
 
     /// Voters that stayed silent for so long that a disk in their place would soon have caught up. The
     /// group is better off without them, also where no disk is there: of three voters one of which is gone
     /// for good, a further loss leaves no quorum and no proof, of two it leaves one that can go on.
-    fn given_up(&self, now: Instant) -> impl Iterator<Item = DiskId> {
-        let least = self.terms.catch_up.mul_f64(GIVEN_UP_SHARE);
-        let silent = self.silent_since.iter();
+    fn unresponsive_voters(&self, now: Instant) -> impl Iterator<Item = DiskId> {
+        let least = self.terms.catch_up.mul_f64(GIVE_UP_FRACTION);
+        let silent = self.unresponsive_since.iter();
         silent
             .filter(move |(_, since)| now.saturating_duration_since(**since) >= least)
             .map(|(disk, _)| *disk)
     }
 
     /// Keeps as many replicas as are to be, on disks that are there.
-    fn place(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
+    fn place_replicas(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
         // A leader that does not know yet who is to be emptied would take such a node in.
         let Some(leaving) = view.leaving else {
             return KeeperStep::Rest;
@@ -252,18 +252,18 @@
         if let Some(learner) = self.overdue_learner(now, &group)
             && !usable.is_empty()
         {
-            let pause = self.passed_over.stayed_silent(now, learner);
-            return KeeperStep::PassOver(learner, pause);
+            let backoff = self.passed_over.stayed_silent(now, learner);
+            return KeeperStep::PassOver(learner, backoff);
         }
         let change = group.next_change(&usable);
         let present = voters_of(&status.membership);
         let Some(change) = change else {
-            return settle(view, present);
+            return settle_record(view, present);
         };
         let voters = voters_after(&status.membership, &change);
         if voters != present && !is_recorded(view, &voters) {
             return KeeperStep::Record(VoterRecord {
-                gone: gone_before(view, &voters),
+                gone: lost_before(view, &voters),
                 voters,
                 settled: false,
                 term: status.term,
@@ -277,8 +277,8 @@
             && !present.contains(disk)
         {
             // A learner that never answered: its node is registered, but gone.
-            let pause = self.passed_over.stayed_silent(now, *disk);
-            return KeeperStep::PassOver(*disk, pause);
+            let backoff = self.passed_over.stayed_silent(now, *disk);
+            return KeeperStep::PassOver(*disk, backoff);
         }
         KeeperStep::Change(change)
     }
@@ -296,7 +296,7 @@
             silent: status.silent.clone(),
             gone: superseded
                 .map(|(disk, _)| *disk)
-                .chain(self.given_up(now))
+                .chain(self.unresponsive_voters(now))
                 .collect(),
             leaving: on_leaving.map(|(disk, _)| *disk).collect(),
             caught_up: status.caught_up.clone(),
@@ -311,9 +311,9 @@
         if self.learner.map(|(disk, _)| disk) != learner {
             self.learner = learner.map(|disk| (disk, now));
         }
-        let most = self.terms.catch_up.mul_f64(LEARNER_SHARE);
+        let limit = self.terms.catch_up.mul_f64(LEARNER_FRACTION);
         let (disk, since) = self.learner?;
-        (now.saturating_duration_since(since) >= most).then_some(disk)
+        (now.saturating_duration_since(since) >= limit).then_some(disk)
     }
 
     /// Disks that could be taken in: on nodes that are to stay, but for those that stayed silent a moment
@@ -346,7 +346,7 @@
         }
         // A node that is gone for good stays listed: those that failed less often go first, so that it does
         // not keep one out that could be reached meanwhile.
-        let failures = |one: &&Candidate| self.passed_over.pause(one.disk);
+        let failures = |one: &&Candidate| self.passed_over.backoff(one.disk);
         if membership.voters().count() < self.terms.target {
             let fewest = usable.iter().map(failures).min();
             usable.retain(|one| Some(failures(one)) == fewest);
@@ -354,25 +354,25 @@
         usable.into_iter().cloned().collect()
     }
 
-    fn without_leader(&self, now: Instant, view: &KeeperView) -> KeeperStep {
+    fn step_leaderless(&self, now: Instant, view: &KeeperView) -> KeeperStep {
         if !self.is_listed_since(view) {
             return KeeperStep::Rest;
         }
         let since = self.leaderless_since;
         let recorded = self.recorded.as_ref().map(|(_, since)| *since);
-        let leaderless = self.waited(now, since);
-        let unchanged = self.waited(now, since.max(recorded));
+        let leaderless = self.leaderless_time(now, since);
+        let unchanged = self.leaderless_time(now, since.max(recorded));
         lost_quorum::step(view, self.terms.least, leaderless, unchanged)
     }
 
-    fn waited(&self, now: Instant, since: Option<Instant>) -> LeaderlessTime {
+    fn leaderless_time(&self, now: Instant, since: Option<Instant>) -> LeaderlessTime {
         let lasts = |share: f64| {
             let least = self.terms.catch_up.mul_f64(share);
             since.is_some_and(|since| now.saturating_duration_since(since) >= least)
         };
         LeaderlessTime {
-            late: lasts(SILENCE_SHARE),
-            overdue: lasts(LONE_SHARE),
+            timed_out: lasts(SILENCE_SHARE),
+            catch_up_elapsed: lasts(LONE_FRACTION),
         }
     }
 
@@ -385,7 +385,7 @@
 
 /// Those of these voters whose disks are known to be gone before they become the voters. A record that names
 /// them already was written earlier, when more of them may have been there.
-fn gone_before(view: &KeeperView, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
+fn lost_before(view: &KeeperView, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
     let recorded = view.recorded.filter(|record| record.voters == *voters);
     if let Some(record) = recorded {
         return record.gone.clone();
@@ -409,7 +409,7 @@
 }
 
 /// Records that the change to these voters is committed.
-fn settle(view: &KeeperView, voters: BTreeSet<DiskId>) -> KeeperStep {
+fn settle_record(view: &KeeperView, voters: BTreeSet<DiskId>) -> KeeperStep {
     let Some(record) = view.recorded else {
         return KeeperStep::Rest;
     };
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderlessTime {
     /// Longer than a replica may be silent.
-    pub late: bool,
+    pub timed_out: bool,
     /// As long as a new disk has to catch up.
-    pub overdue: bool,
+    pub catch_up_elapsed: bool,
 }
 
 fn quorum_of(voters: &BTreeSet<DiskId>) -> usize {
@@ -53,25 +53,25 @@
     }
     let present = voters_of(&view.status.membership);
     let superseded = present.iter().any(|disk| is_superseded(view, *disk));
-    if !(leaderless.late || superseded) || !record.tells_groups() {
+    if !(leaderless.timed_out || superseded) || !record.names_groups() {
         return KeeperStep::Rest;
     }
     let Some(leaving) = view.leaving else {
         return KeeperStep::ListLeaving;
     };
     let possible = possible_groups(view, leaving, record, least);
-    let census = census(view, leaving, &possible, leaderless);
-    let left = &census.left;
-    let lost_quorum = present.intersection(left).count() < quorum_of(&present);
+    let sets = sets(view, leaving, &possible, leaderless);
+    let remaining = &sets.remaining;
+    let lost_quorum = present.intersection(remaining).count() < quorum_of(&present);
     let certain = possible.iter().all(|voters| {
         let never_held = record.never_held(voters);
-        hold_everything(left, voters, &never_held) && commit_together(&census, voters)
+        intersects_quorums(remaining, voters, &never_held) && excludes_other_commits(&sets, voters)
     });
-    if !lost_quorum || !certain || !left.contains(&own) {
+    if !lost_quorum || !certain || !remaining.contains(&own) {
         return KeeperStep::Rest;
     }
-    match survivors(view, left) {
-        Some(replicas) => go_on_with(view, leaving, record, replicas, possible),
+    match survivors(view, remaining) {
+        Some(replicas) => continue_with(view, leaving, record, replicas, possible),
         None => KeeperStep::Rest,
     }
 }
@@ -93,62 +93,69 @@
         possible.retain(|voters| *voters == present || quorum_of(voters) >= least);
     }
     // A node is reported as empty only once the change that removed its disk is committed.
-    possible.retain(|voters| !voters.iter().any(|disk| is_done(view, leaving, *disk)));
+    possible.retain(|voters| {
+        !voters
+            .iter()
+            .any(|disk| is_drained_disk(view, leaving, *disk))
+    });
     possible
 }
 
 /// The disks of the groups that may be in force.
-struct DiskCensus {
+struct DiskSets {
     /// Those that go on.
-    left: BTreeSet<DiskId>,
+    remaining: BTreeSet<DiskId>,
     /// Those that do not answer, and may come back with what they hold.
-    silent: BTreeSet<DiskId>,
+    unresponsive: BTreeSet<DiskId>,
 }
 
 /// Returns which disks of these groups are left. Those that do not answer are waited for: the whole time
 /// that a new disk has to catch up, or less where another disk can take their place. Meanwhile what was
 /// promised lies on too few disks, and the next loss that is allowed may take it.
-fn census(
+fn sets(
     view: &KeeperView,
     leaving: &LeavingNodes,
     possible: &[BTreeSet<DiskId>],
     leaderless: LeaderlessTime,
-) -> DiskCensus {
+) -> DiskSets {
     let all: BTreeSet<DiskId> = possible.iter().flatten().copied().collect();
     let alive = all.iter().copied();
     let alive: BTreeSet<DiskId> = alive.filter(|disk| !is_superseded(view, *disk)).collect();
-    let early = leaderless.late && has_replacement(view, leaving, &all);
-    if !early && !leaderless.overdue {
-        return DiskCensus {
-            left: alive,
-            silent: BTreeSet::new(),
+    let early = leaderless.timed_out && has_replacement(view, leaving, &all);
+    if !early && !leaderless.catch_up_elapsed {
+        return DiskSets {
+            remaining: alive,
+            unresponsive: BTreeSet::new(),
         };
     }
     let answers = |disk: &DiskId| *disk == view.status.disk || view.status.heard.contains(disk);
-    let (left, silent) = alive.iter().copied().partition(answers);
-    DiskCensus { left, silent }
+    let (remaining, unresponsive) = alive.iter().copied().partition(answers);
+    DiskSets {
+        remaining,
+        unresponsive,
+    }
 }
 
 /// Whether whatever those left commit is known to one of each quorum that the silent ones could gather with
 /// their help, under these voters: then nobody commits anything else.
-fn commit_together(census: &DiskCensus, voters: &BTreeSet<DiskId>) -> bool {
-    let silent = census.silent.intersection(voters).count();
-    let helpers = quorum_of(voters).saturating_sub(silent);
-    quorum_of(&census.left) + helpers > census.left.len()
+fn excludes_other_commits(sets: &DiskSets, voters: &BTreeSet<DiskId>) -> bool {
+    let unresponsive = sets.unresponsive.intersection(voters).count();
+    let helpers = quorum_of(voters).saturating_sub(unresponsive);
+    quorum_of(&sets.remaining) + helpers > sets.remaining.len()
 }
 
 /// Whether each quorum of these voters that may have committed something contains one of those that are left.
-fn hold_everything(
-    left: &BTreeSet<DiskId>,
+fn intersects_quorums(
+    remaining: &BTreeSet<DiskId>,
     voters: &BTreeSet<DiskId>,
     never_held: &BTreeSet<DiskId>,
 ) -> bool {
-    let lost = voters.difference(left);
+    let lost = voters.difference(remaining);
     lost.filter(|disk| !never_held.contains(*disk)).count() < quorum_of(voters)
 }
 
 /// Whether a disk went with a node that was reported as empty.
-fn is_done(view: &KeeperView, leaving: &LeavingNodes, disk: DiskId) -> bool {
+fn is_drained_disk(view: &KeeperView, leaving: &LeavingNodes, disk: DiskId) -> bool {
     let mut listed = view.candidates.iter();
     listed.any(|one| one.disk == disk && leaving.done.contains(&one.node))
 }
@@ -165,28 +172,28 @@
 ) -> KeeperStep {
     let own = view.status.disk;
     let others = record.voters.iter().copied().filter(|disk| *disk != own);
-    let (gone, there): (Vec<DiskId>, Vec<DiskId>) =
+    let (gone, present): (Vec<DiskId>, Vec<DiskId>) =
         others.partition(|disk| is_superseded(view, *disk));
-    match (&gone[..], &there[..]) {
-        (_, []) => begin_with(view, record, BTreeSet::from([own]), Vec::new(), None),
+    match (&gone[..], &present[..]) {
+        (_, []) => record_next_history(view, record, BTreeSet::from([own]), Vec::new(), None),
         ([], [lone]) => {
-            if !unchanged.late {
+            if !unchanged.timed_out {
                 return KeeperStep::Rest;
             }
             let Some(leaving) = view.leaving else {
                 return KeeperStep::ListLeaving;
             };
             let pair = BTreeSet::from([own, *lone]);
-            if !unchanged.overdue && !has_replacement(view, leaving, &pair) {
+            if !unchanged.catch_up_elapsed && !has_replacement(view, leaving, &pair) {
                 return KeeperStep::Rest;
             }
-            begin_with(view, record, BTreeSet::from([own]), Vec::new(), Some(*lone))
+            record_next_history(view, record, BTreeSet::from([own]), Vec::new(), Some(*lone))
         }
         // The lone voter was about to make another disk a voter. That one holds everything if the change is
         // in its log, which is the longer one then; otherwise this disk does.
         ([lone], [learner]) if record.before == [BTreeSet::from([*lone])] => {
             let before = vec![record.voters.clone()];
-            begin_with(view, record, BTreeSet::from([own, *learner]), before, None)
+            record_next_history(view, record, BTreeSet::from([own, *learner]), before, None)
         }
         _ => KeeperStep::Rest,
     }
@@ -194,7 +201,7 @@
 
 /// Records that these disks begin the next history. While they have not, one of them may hold what only a
 /// group `before` has committed.
-fn begin_with(
+fn record_next_history(
     view: &KeeperView,
     record: &VoterRecord,
     voters: BTreeSet<DiskId>,
@@ -238,7 +245,7 @@
     disks.iter().map(place).collect()
 }
 
-fn go_on_with(
+fn continue_with(
     view: &KeeperView,
     leaving: &LeavingNodes,
     record: &VoterRecord,
@@ -256,7 +263,7 @@
         });
     }
     KeeperStep::Record(VoterRecord {
-        left_behind: fellow_of(view, leaving, record, &voters),
+        left_behind: other_of_pair(view, leaving, record, &voters),
         voters,
         settled: false,
         term: view.status.term,
@@ -269,7 +276,7 @@
 
 /// Returns the other disk of a pair that one goes on without. Where the pair may not be in force yet, that
 /// disk need not hold what the one promised before with another.
-fn fellow_of(
+fn other_of_pair(
     view: &KeeperView,
     leaving: &LeavingNodes,
     record: &VoterRecord,
@@ -277,7 +284,11 @@
 ) -> Option<DiskId> {
     let pair = voters_of(&view.status.membership);
     let mut recorded = record.possible();
-    recorded.retain(|voters| !voters.iter().any(|disk| is_done(view, leaving, *disk)));
+    recorded.retain(|voters| {
+        !voters
+            .iter()
+            .any(|disk| is_drained_disk(view, leaving, *disk))
+    });
     let in_force = recorded.iter().all(|voters| *voters == pair)
         || pair == voters_of(&view.status.committed_membership);
     let alone = voters.len() == 1 && pair.len() == 2 && in_force;
@@ -287,9 +298,9 @@
 /// Whether a disk beyond these could hold a replica: on any node that is there, as one that is to be
 /// emptied is better than none.
 fn has_replacement(view: &KeeperView, leaving: &LeavingNodes, pair: &BTreeSet<DiskId>) -> bool {
-    let mut there = view
+    let mut present = view
         .candidates
         .iter()
         .filter(|candidate| !leaving.done.contains(&candidate.node));
-    there.any(|candidate| !pair.contains(&candidate.disk))
+    present.any(|candidate| !pair.contains(&candidate.disk))
 }
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -46,7 +46,7 @@
 pub async fn run(upkeep: Upkeep) {
     let mut forget_at = Instant::now() + FORGET_INTERVAL;
     loop {
-        upkeep.look().await;
+        upkeep.run_once().await;
         if Instant::now() >= forget_at {
             forget_at = Instant::now() + FORGET_INTERVAL;
             upkeep.forget().await;
@@ -56,11 +56,11 @@
 }
 
 impl Upkeep {
-    async fn look(&self) {
+    async fn run_once(&self) {
         let registry = &self.journal.registry;
         let status = self.journal.replica.status();
         self.keeper.borrow_mut().observe(Instant::now(), &status);
-        if self.misses_nodes(&status) || registry.is_unsettled() {
+        if self.needs_listing(&status) || registry.has_pending_write() {
             registry.refresh().await;
         }
         if !registry.is_listed() {
@@ -70,7 +70,7 @@
         if !status.holds_log {
             self.found().await;
         }
-        self.keep_group(&status).await;
+        self.maintain_group(&status).await;
         if status.leads {
             self.report().await;
         }
@@ -79,7 +79,7 @@
     /// Tells how far the emptying of nodes is. A quorum has to confirm first that this node leads: one that
     /// stood still and was deposed would report a node as empty that the group rests on by now.
     async fn report(&self) {
-        if !self.retirements.wants_report() || self.journal.replica.read().await.is_err() {
+        if !self.retirements.has_unreported() || self.journal.replica.read().await.is_err() {
             return;
         }
         let status = self.journal.replica.status();
@@ -95,7 +95,7 @@
     }
 
     /// Does what the group's replicas need next.
-    async fn keep_group(&self, status: &GroupStatus) {
+    async fn maintain_group(&self, status: &GroupStatus) {
         // Only the leader follows the wishes to empty nodes.
         let followed = status.leads;
         let mut step = self.step(status, followed);
@@ -111,9 +111,9 @@
             KeeperStep::StepAside(heir) => replica.hand_over(heir).await,
             KeeperStep::Record(record) => self.journal.registry.record_voters(&record).await,
             KeeperStep::Change(change) => replica.change(change),
-            KeeperStep::PassOver(disk, pause) => {
+            KeeperStep::PassOver(disk, backoff) => {
                 info!(self.journal.log, "journal: Disk passed over."; "disk" => %disk,
-                    "pause_ms" => pause.as_millis() as u64);
+                    "pause_ms" => backoff.as_millis() as u64);
                 replica.change(MembershipChange::Remove(disk));
             }
             KeeperStep::ContinueWith(survivors) => replica.continue_with(survivors),
@@ -125,21 +125,21 @@
         }
     }
 
-    fn step(&self, status: &GroupStatus, knows_leaving: bool) -> KeeperStep {
+    fn step(&self, status: &GroupStatus, leaving_known: bool) -> KeeperStep {
         let now = Instant::now();
-        self.with_view(status, knows_leaving, |keeper, view| keeper.step(now, view))
+        self.with_view(status, leaving_known, |keeper, view| keeper.step(now, view))
     }
 
     /// Gives the keeper what is known now.
     fn with_view<T>(
         &self,
         status: &GroupStatus,
-        knows_leaving: bool,
+        leaving_known: bool,
         decide: impl FnOnce(&mut GroupKeeper, &KeeperView) -> T,
     ) -> T {
         let registry = &self.journal.registry;
         let candidates = registry.candidates();
-        let leaving = self.retirements.leaving().filter(|_| knows_leaving);
+        let leaving = self.retirements.leaving().filter(|_| leaving_known);
         let recorded = registry.recorded_voters();
         let view = KeeperView {
             node: &self.node,
@@ -147,7 +147,7 @@
             candidates: &candidates,
             leaving: leaving.as_ref(),
             recorded: recorded.as_ref(),
-            doubtful: registry.is_doubtful(),
+            doubtful: registry.has_unconfirmed_write(),
             listed_at: registry.last_listing(),
         };
         decide(&mut self.keeper.borrow_mut(), &view)
@@ -173,7 +173,7 @@
     /// Whether the nodes are to be listed anew: this one is not listed as it is, or a replica knows no
     /// leader, which may be at another address or on another node. A node without a replica is found by
     /// the leader, and has nothing to look for once founders are named.
-    fn misses_nodes(&self, status: &GroupStatus) -> bool {
+    fn needs_listing(&self, status: &GroupStatus) -> bool {
         let registry = &self.journal.registry;
         if status.leads {
             return false;
--- a/crates/firshore-node/src/journal/messages.rs
+++ b/crates/firshore-node/src/journal/messages.rs
@@ -148,7 +148,7 @@
 
 impl PeerRequest {
     /// Whether it changes something, so that an answer that is missing leaves that unknown.
-    pub fn changes(&self) -> bool {
+    pub fn is_mutation(&self) -> bool {
         matches!(self, Self::Submit { .. } | Self::End { .. })
     }
 }
--- a/crates/firshore-node/src/journal/missing_results.rs
+++ b/crates/firshore-node/src/journal/missing_results.rs
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 /// Shortest time between two lines: readers ask again many times a second.
-const LINE_PAUSE: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Writes a line now and then about results that cannot be read.
 pub struct MissingResults {
     log: Logger,
-    told_at: Cell<Option<Instant>>,
+    logged_at: Cell<Option<Instant>>,
     /// Readers turned away since the last line.
-    untold: Cell<u64>,
+    suppressed: Cell<u64>,
 }
 
 impl MissingResults {
@@ -24,21 +24,21 @@
     pub fn new(log: Logger) -> Self {
         Self {
             log,
-            told_at: Cell::new(None),
-            untold: Cell::new(0),
+            logged_at: Cell::new(None),
+            suppressed: Cell::new(0),
         }
     }
 
     /// Takes in that a reader of `job` was turned away, as the replica lacks the commands of these
     /// `entries`.
     pub fn note(&self, now: Instant, job: &str, entries: &BTreeSet<LogIndex>) {
-        let quiet = |told_at: Instant| now.saturating_duration_since(told_at) < LINE_PAUSE;
-        if self.told_at.get().is_some_and(quiet) {
-            return self.untold.set(self.untold.get() + 1);
+        let quiet = |logged_at: Instant| now.saturating_duration_since(logged_at) < LOG_INTERVAL;
+        if self.logged_at.get().is_some_and(quiet) {
+            return self.suppressed.set(self.suppressed.get() + 1);
         }
-        self.told_at.set(Some(now));
-        let untold = self.untold.replace(0);
+        self.logged_at.set(Some(now));
+        let suppressed = self.suppressed.replace(0);
         warn!(self.log, "journal: Results missing."; "job" => caller_id(job),
-            "first" => entries.first(), "entries" => entries.len(), "untold" => untold);
+            "first" => entries.first(), "entries" => entries.len(), "untold" => suppressed);
     }
 }
--- a/crates/firshore-node/src/journal/mod.rs
+++ b/crates/firshore-node/src/journal/mod.rs
@@ -57,20 +57,20 @@
 
 /// Silence of a leader after which an election starts, in milliseconds. Jobs are to be accepted
 /// within some hundred milliseconds, also when a leader is lost.
-const ELECTION_TIMEOUT: u64 = 300;
+const ELECTION_TIMEOUT_MS: u64 = 300;
 
-const HEARTBEAT_INTERVAL: u64 = 60;
+const HEARTBEAT_INTERVAL_MS: u64 = 60;
 
 /// Free space of the data folder below which new jobs are refused, in bytes.
 const RESERVE_BYTES: u64 = 32 * 1024 * 1024;
 
 /// Parts that the log's share of the memory is divided into: entries kept before a snapshot, twice as
 /// many after it, and the pages of the database.
-const LOG_PARTS: f64 = 4.0;
+const LOG_MEMORY_DIVISOR: f64 = 4.0;
 
 /// Bounds of that part, in bytes.
-const LEAST_LOG_BYTES: usize = 256 * 1024;
-const MOST_LOG_BYTES: usize = 8 * 1024 * 1024;
+const MIN_LOG_BYTES: usize = 256 * 1024;
+const MAX_LOG_BYTES: usize = 8 * 1024 * 1024;
 
 /// Handle through which peers are asked.
 pub type PeerClient = link::PeerClient<PeerRequest, PeerResponse>;
@@ -79,8 +79,8 @@
 pub type Replica = Group<JobTable>;
 
 fn log_bytes(memory: usize) -> usize {
-    let part = memory as f64 * LOG_SHARE / LOG_PARTS;
-    (part as usize).clamp(LEAST_LOG_BYTES, MOST_LOG_BYTES)
+    let unit = memory as f64 * LOG_SHARE / LOG_MEMORY_DIVISOR;
+    (unit as usize).clamp(MIN_LOG_BYTES, MAX_LOG_BYTES)
 }
 
 fn may_promise(replica: &Replica, least: usize) -> bool {
@@ -152,8 +152,8 @@
         };
         let replica_settings = ReplicaSettings {
             timing: Timing {
-                election_timeout: ELECTION_TIMEOUT,
-                heartbeat_interval: HEARTBEAT_INTERVAL,
+                election_timeout: ELECTION_TIMEOUT_MS,
+                heartbeat_interval: HEARTBEAT_INTERVAL_MS,
                 trailing_bytes: log_bytes,
                 ..Timing::default()
             },
--- a/crates/firshore-node/src/journal/passed_over.rs
+++ b/crates/firshore-node/src/journal/passed_over.rs
@@ -9,44 +9,44 @@
 use std::time::{Duration, Instant};
 
 /// Pause after a disk stayed silent for the first time; doubled with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Longest pause: bounds the time from the end of a cut until the disk is tried again, while a node
 /// that is gone for good costs two entries of the log each time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug)]
-struct Silence {
-    pause: Duration,
+struct DiskExclusion {
+    backoff: Duration,
     until: Instant,
 }
 
 /// Disks that stayed silent, and until when each is passed over.
 #[derive(Debug, Default)]
 pub struct PassedOver {
-    disks: BTreeMap<DiskId, Silence>,
+    disks: BTreeMap<DiskId, DiskExclusion>,
 }
 
 impl PassedOver {
     /// Takes in that a disk was tried and stayed silent. Returns for how long it is passed over.
     pub fn stayed_silent(&mut self, now: Instant, disk: DiskId) -> Duration {
-        let before = self.disks.get(&disk).map(|silence| silence.pause);
-        let pause = before.map_or(FIRST_PAUSE, |pause| (pause * 2).min(LONGEST_PAUSE));
-        let until = now + pause;
-        self.disks.insert(disk, Silence { pause, until });
-        pause
+        let before = self.disks.get(&disk).map(|exclusion| exclusion.backoff);
+        let backoff = before.map_or(INITIAL_BACKOFF, |backoff| (backoff * 2).min(MAX_BACKOFF));
+        let until = now + backoff;
+        self.disks.insert(disk, DiskExclusion { backoff, until });
+        backoff
     }
 
     /// Returns whether a disk is not to be tried yet.
     pub fn holds(&self, now: Instant, disk: DiskId) -> bool {
-        let silence = self.disks.get(&disk);
-        silence.is_some_and(|silence| now < silence.until)
+        let exclusion = self.disks.get(&disk);
+        exclusion.is_some_and(|exclusion| now < exclusion.until)
     }
 
     /// Returns the pause of a disk after it stayed silent last: the longer the more often it did.
-    pub fn pause(&self, disk: DiskId) -> Duration {
-        let silence = self.disks.get(&disk);
-        silence.map_or(Duration::ZERO, |silence| silence.pause)
+    pub fn backoff(&self, disk: DiskId) -> Duration {
+        let exclusion = self.disks.get(&disk);
+        exclusion.map_or(Duration::ZERO, |exclusion| exclusion.backoff)
     }
 
     /// Returns whether a disk stayed silent when it was tried last.
--- a/crates/firshore-node/src/journal/pending_submissions.rs
+++ b/crates/firshore-node/src/journal/pending_submissions.rs
@@ -12,10 +12,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-type Committed = Result<Outcome, JournalRefusal>;
+type CommitResult = Result<Outcome, JournalRefusal>;
 
 /// A job's commit, which any number of tries await.
-pub(super) type SharedCommit = Shared<LocalBoxFuture<'static, Committed>>;
+pub(super) type SharedCommit = Shared<LocalBoxFuture<'static, CommitResult>>;
 
 #[derive(Clone)]
 struct PendingCommit {
@@ -42,11 +42,11 @@
         &self,
         term: Term,
         job: String,
-        committing: LocalBoxFuture<'static, Committed>,
+        commit: LocalBoxFuture<'static, CommitResult>,
     ) -> SharedCommit {
         let (commits, key) = (self.commits.clone(), job.clone());
-        let noted = async move {
-            let committed = committing.await;
+        let tracked = async move {
+            let committed = commit.await;
             let mut commits = commits.borrow_mut();
             if commits.get(&key).is_some_and(|one| one.term == term) {
                 commits.remove(&key);
@@ -54,7 +54,7 @@
             drop(commits);
             committed
         };
-        let commit = noted.boxed_local().shared();
+        let commit = tracked.boxed_local().shared();
         let pending = PendingCommit {
             term,
             commit: commit.clone(),
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -35,7 +35,7 @@
 
 /// Revision at which the store lists this node as it is, 0 while that was not seen; shared with the
 /// replica's thread.
-pub type OwnRevision = Arc<AtomicU64>;
+pub type LocalRevision = Arc<AtomicU64>;
 
 /// A node with a disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,17 +52,17 @@
 const REFRESH_INTERVAL: Duration = Duration::from_millis(1_000);
 
 #[derive(Debug, Default)]
-struct Known {
+struct RegistryState {
     listed: bool,
     nodes: BTreeMap<NodeName, (Revision, NodeRecord)>,
     /// Nodes whose record cannot be read as it is now, and its revision. They are reached as listed before.
-    mangled: BTreeMap<NodeName, Revision>,
+    unreadable: BTreeMap<NodeName, Revision>,
     founding: Option<Membership>,
-    voters: KnownVoters,
+    voters: VotersState,
     /// Revision on which a write of the voters was conditional that was not answered.
-    doubtful: Option<Revision>,
+    unconfirmed_write: Option<Revision>,
     /// Nodes that told where they listen themselves, and as of which revision.
-    heard: BTreeMap<NodeName, Revision>,
+    reported: BTreeMap<NodeName, Revision>,
 }
 
 /// The voters of the journal, written before any change of them enters the log.
@@ -108,7 +108,7 @@
 
     /// Returns whether the record says which groups may be in force: one that was written before records
     /// named them does not.
-    pub fn tells_groups(&self) -> bool {
+    pub fn names_groups(&self) -> bool {
         self.settled || self.term > 0
     }
 
@@ -137,7 +137,7 @@
 
 /// What is known of the record of the voters.
 #[derive(Debug, Default)]
-enum KnownVoters {
+enum VotersState {
     /// None was listed.
     #[default]
     Absent,
@@ -148,7 +148,7 @@
     Unreadable,
 }
 
-impl KnownVoters {
+impl VotersState {
     /// Returns the revision of the record, where one can be read.
     fn revision(&self) -> Option<Revision> {
         match self {
@@ -162,13 +162,13 @@
 pub struct Registry {
     store: Rc<dyn ObjectStore>,
     log: Logger,
-    known: RefCell<Known>,
+    state: RefCell<RegistryState>,
     addresses: Addresses,
-    own_revision: OwnRevision,
+    local_revision: LocalRevision,
     refreshed_at: Cell<Option<Instant>>,
     listed_at: Cell<Option<std::time::Instant>>,
     /// Something was written that no listing has shown yet.
-    unsettled: Cell<bool>,
+    write_pending: Cell<bool>,
     refusals: RefCell<RefusalLog>,
 }
 
@@ -178,12 +178,12 @@
         Self {
             store,
             log,
-            known: RefCell::default(),
+            state: RefCell::default(),
             addresses: Addresses::default(),
-            own_revision: OwnRevision::default(),
+            local_revision: LocalRevision::default(),
             refreshed_at: Cell::new(None),
             listed_at: Cell::new(None),
-            unsettled: Cell::new(false),
+            write_pending: Cell::new(false),
             refusals: RefCell::default(),
         }
     }
@@ -240,81 +240,84 @@
         if self.addresses.read().get(node) == Some(&address) {
             return;
         }
-        let known = self.known.borrow();
-        let listed = known.nodes.get(node).map_or(0, |(listed, _)| *listed);
-        let heard = known.heard.get(node).copied().unwrap_or(0);
-        drop(known);
-        if revision <= listed || revision < heard {
+        let state = self.state.borrow();
+        let listed = state.nodes.get(node).map_or(0, |(listed, _)| *listed);
+        let reported = state.reported.get(node).copied().unwrap_or(0);
+        drop(state);
+        if revision <= listed || revision < reported {
             return;
         }
         info!(self.log, "registry: Node heard."; "node" => %node, "address" => %address,
             "revision" => revision);
-        self.known.borrow_mut().heard.insert(node.clone(), revision);
+        self.state
+            .borrow_mut()
+            .reported
+            .insert(node.clone(), revision);
         self.addresses.write().insert(node.clone(), address);
     }
 
     /// Returns the revision at which the store lists this node, shared with the replica's thread.
-    pub fn own_revision(&self) -> OwnRevision {
-        self.own_revision.clone()
+    pub fn local_revision(&self) -> LocalRevision {
+        self.local_revision.clone()
     }
 
     /// Names of the nodes with a disk.
     pub fn names(&self) -> Vec<NodeName> {
-        self.known.borrow().nodes.keys().cloned().collect()
+        self.state.borrow().nodes.keys().cloned().collect()
     }
 
     /// Where a node listens.
     pub fn address(&self, node: &NodeName) -> Option<SocketAddr> {
-        let known = self.known.borrow();
-        known.nodes.get(node).map(|(_, record)| record.address)
+        let state = self.state.borrow();
+        state.nodes.get(node).map(|(_, record)| record.address)
     }
 
     /// The founders of the journal, once they are named.
     pub fn founding(&self) -> Option<Membership> {
-        self.known.borrow().founding.clone()
+        self.state.borrow().founding.clone()
     }
 
     /// The voters as recorded last.
     pub fn recorded_voters(&self) -> Option<VoterRecord> {
-        match &self.known.borrow().voters {
-            KnownVoters::Recorded(_, record) => Some(record.clone()),
-            KnownVoters::Absent | KnownVoters::Unreadable => None,
+        match &self.state.borrow().voters {
+            VotersState::Recorded(_, record) => Some(record.clone()),
+            VotersState::Absent | VotersState::Unreadable => None,
         }
     }
 
     /// Returns whether a write of the voters may still take effect that this node sent and that nobody
     /// answered: until something else was written, nothing may rest on the record.
-    pub fn is_doubtful(&self) -> bool {
-        let known = self.known.borrow();
-        known.doubtful == Some(known.voters.revision().unwrap_or(0))
+    pub fn has_unconfirmed_write(&self) -> bool {
+        let state = self.state.borrow();
+        state.unconfirmed_write == Some(state.voters.revision().unwrap_or(0))
     }
 
     /// Records the voters, if nobody else has meanwhile. The next listing tells what was recorded.
     pub async fn record_voters(&self, record: &VoterRecord) {
-        if self.is_unsettled() {
+        if self.has_pending_write() {
             return;
         }
         let spec = serde_json::to_value(record).expect("records serialise");
-        if matches!(self.known.borrow().voters, KnownVoters::Unreadable) {
+        if matches!(self.state.borrow().voters, VotersState::Unreadable) {
             return;
         }
-        let known = self.known.borrow().voters.revision();
-        let written = match known {
+        let state = self.state.borrow().voters.revision();
+        let written = match state {
             None => self.store.create(KIND, VOTERS, spec).await,
             Some(revision) => self.store.replace(KIND, VOTERS, revision, spec).await,
         };
         info!(self.log, "registry: Recording voters."; "voters" => ?record.voters,
             "settled" => record.settled);
         if let Err(ObjectError::Unanswered(_)) = &written {
-            self.known.borrow_mut().doubtful = Some(known.unwrap_or(0));
+            self.state.borrow_mut().unconfirmed_write = Some(state.unwrap_or(0));
         }
-        self.note("Voters recorded.", written);
+        self.record_write("Voters recorded.", written);
     }
 
     /// Disks that could hold a replica.
     pub fn candidates(&self) -> Vec<Candidate> {
-        let known = self.known.borrow();
-        let nodes = known.nodes.iter();
+        let state = self.state.borrow();
+        let nodes = state.nodes.iter();
         let candidates = nodes.map(|(node, (_, record))| Candidate {
             disk: record.disk,
             node: node.clone(),
@@ -325,7 +328,7 @@
 
     /// Whether the store has been listed.
     pub fn is_listed(&self) -> bool {
-        self.known.borrow().listed
+        self.state.borrow().listed
     }
 
     /// Returns when the last listing that this node asked for began.
@@ -334,57 +337,57 @@
     }
 
     /// Whether a write waits for the listing that shows what became of it.
-    pub fn is_unsettled(&self) -> bool {
-        self.unsettled.get()
+    pub fn has_pending_write(&self) -> bool {
+        self.write_pending.get()
     }
 
     /// Takes in what was observed.
-    pub fn learn(&self, learned: Learned) {
-        self.unsettled.set(false);
-        match learned {
+    pub fn learn(&self, observed: Learned) {
+        self.write_pending.set(false);
+        match observed {
             Learned::All(objects) => {
-                self.known.borrow_mut().mangled.clear();
+                self.state.borrow_mut().unreadable.clear();
                 for object in &objects {
-                    self.take(object);
+                    self.apply_object(object);
                 }
                 let listed: BTreeSet<&str> = objects.iter().map(|one| one.name.as_str()).collect();
-                let mut known = self.known.borrow_mut();
-                known.listed = true;
-                known
+                let mut state = self.state.borrow_mut();
+                state.listed = true;
+                state
                     .nodes
                     .retain(|node, _| listed.contains(format!("{NODE_PREFIX}{node}").as_str()));
             }
             Learned::Changed(changes) => {
                 for change in changes {
                     match change {
-                        Change::Written(object) => self.take(&object),
+                        Change::Written(object) => self.apply_object(&object),
                         Change::Removed(name) => self.forget(&name),
                     }
                 }
             }
         }
-        let known = self.known.borrow();
-        let nodes = known.nodes.iter();
+        let state = self.state.borrow();
+        let nodes = state.nodes.iter();
         *self.addresses.write() = nodes
             .map(|(name, (_, record))| (name.clone(), record.address))
             .collect();
     }
 
-    fn take(&self, object: &Object) {
-        let mut known = self.known.borrow_mut();
+    fn apply_object(&self, object: &Object) {
+        let mut state = self.state.borrow_mut();
         if object.name == FOUNDING {
             match Membership::deserialize(&object.spec) {
-                Ok(founding) => known.founding = Some(founding),
+                Ok(founding) => state.founding = Some(founding),
                 Err(error) => self.refuse(object, "Founders unreadable.", &error),
             }
             return;
         }
         if object.name == VOTERS {
-            known.voters = match VoterRecord::deserialize(&object.spec) {
-                Ok(record) => KnownVoters::Recorded(object.revision, record),
+            state.voters = match VoterRecord::deserialize(&object.spec) {
+                Ok(record) => VotersState::Recorded(object.revision, record),
                 Err(error) => {
                     self.refuse(object, "Voters unreadable.", &error);
-                    KnownVoters::Unreadable
+                    VotersState::Unreadable
                 }
             };
             return;
@@ -394,17 +397,17 @@
         };
         match NodeRecord::deserialize(&object.spec) {
             Ok(record) => {
-                let before = known.nodes.get(&NodeName::from(name));
+                let before = state.nodes.get(&NodeName::from(name));
                 if before.is_none_or(|(_, before)| *before != record) {
                     info!(self.log, "registry: Node."; "node" => name, "disk" => %record.disk,
                         "address" => %record.address, "revision" => object.revision);
                 }
-                known.mangled.remove(&NodeName::from(name));
-                known.nodes.insert(name.into(), (object.revision, record));
+                state.unreadable.remove(&NodeName::from(name));
+                state.nodes.insert(name.into(), (object.revision, record));
             }
             Err(error) => {
                 self.refuse(object, "Node unreadable.", &error);
-                known.mangled.insert(name.into(), object.revision);
+                state.unreadable.insert(name.into(), object.revision);
             }
         }
     }
@@ -412,72 +415,72 @@
     fn refuse(&self, object: &Object, what: &'static str, error: &serde_json::Error) {
         let now = firshore_clock::now();
         let mut refusals = self.refusals.borrow_mut();
-        if let Some(untold) = refusals.admit(now, &object.name, object.revision) {
+        if let Some(suppressed) = refusals.admit(now, &object.name, object.revision) {
             warn!(self.log, "registry: {}", what; "object" => &object.name,
-                "revision" => object.revision, "reason" => brief(error), "untold" => untold);
+                "revision" => object.revision, "reason" => brief(error), "untold" => suppressed);
         }
     }
 
     fn forget(&self, object: &str) {
         if let Some(name) = object.strip_prefix(NODE_PREFIX) {
-            let mut known = self.known.borrow_mut();
-            known.nodes.remove(&NodeName::from(name));
-            known.mangled.remove(&NodeName::from(name));
+            let mut state = self.state.borrow_mut();
+            state.nodes.remove(&NodeName::from(name));
+            state.unreadable.remove(&NodeName::from(name));
         }
     }
 
     /// Whether the store lists this record.
     pub fn is_registered(&self, node: &NodeName, record: &NodeRecord) -> bool {
-        let known = self.known.borrow();
-        let listed = known
+        let state = self.state.borrow();
+        let listed = state
             .nodes
             .get(node)
-            .filter(|_| !known.mangled.contains_key(node));
+            .filter(|_| !state.unreadable.contains_key(node));
         listed.is_some_and(|(_, listed)| listed == record)
     }
 
     /// Writes a node's own record, if the store does not list it as it is.
     pub async fn register(&self, node: &NodeName, record: &NodeRecord) {
-        if self.is_unsettled() {
+        if self.has_pending_write() {
             return;
         }
         if self.is_registered(node, record) {
-            let known = self.known.borrow();
-            let listed = known.nodes.get(node).map_or(0, |(listed, _)| *listed);
-            return self.own_revision.store(listed, Ordering::Relaxed);
+            let state = self.state.borrow();
+            let listed = state.nodes.get(node).map_or(0, |(listed, _)| *listed);
+            return self.local_revision.store(listed, Ordering::Relaxed);
         }
         let listed = self.listed_at(node);
-        self.own_revision.store(0, Ordering::Relaxed);
+        self.local_revision.store(0, Ordering::Relaxed);
         let name = format!("{NODE_PREFIX}{node}");
         let spec = serde_json::to_value(record).expect("records serialise");
         let written = match listed {
             None => self.store.create(KIND, &name, spec).await,
             Some(revision) => self.store.replace(KIND, &name, revision, spec).await,
         };
-        self.note("Node registered.", written);
+        self.record_write("Node registered.", written);
     }
 
     /// Revision at which a node's record stands in the store, whether it can be read or not: a node whose
     /// record somebody else has mangled writes it anew.
     fn listed_at(&self, node: &NodeName) -> Option<Revision> {
-        let known = self.known.borrow();
-        let readable = known.nodes.get(node).map(|(revision, _)| *revision);
-        known.mangled.get(node).copied().or(readable)
+        let state = self.state.borrow();
+        let readable = state.nodes.get(node).map(|(revision, _)| *revision);
+        state.unreadable.get(node).copied().or(readable)
     }
 
     /// Names the founders, unless somebody has.
     pub async fn found(&self, founders: &Membership) {
-        if self.is_unsettled() {
+        if self.has_pending_write() {
             return;
         }
         let spec = serde_json::to_value(founders).expect("memberships serialise");
         let created = self.store.create(KIND, FOUNDING, spec).await;
-        self.note("Founders named.", created);
+        self.record_write("Founders named.", created);
     }
 
     /// The store's own listing, not the answer, tells what was done.
-    fn note(&self, what: &'static str, written: Result<(), ObjectError>) {
-        self.unsettled.set(true);
+    fn record_write(&self, what: &'static str, written: Result<(), ObjectError>) {
+        self.write_pending.set(true);
         self.refreshed_at.set(None);
         match written {
             Ok(()) => info!(self.log, "registry: {}", what),
--- a/crates/firshore-node/src/journal/retirement.rs
+++ b/crates/firshore-node/src/journal/retirement.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
-struct Wish {
+struct RetirementRequest {
     revision: Revision,
     retirement: Retirement,
     /// Progress that was written last by this node.
@@ -27,7 +27,7 @@
 /// Wishes to empty nodes, as the store lists them.
 #[derive(Debug, Default)]
 pub struct Retirements {
-    wishes: RefCell<BTreeMap<NodeName, Wish>>,
+    requests: RefCell<BTreeMap<NodeName, RetirementRequest>>,
     refusals: RefCell<RefusalLog>,
     /// Whether they were listed since this node follows them.
     listed: Cell<bool>,
@@ -35,27 +35,27 @@
 
 impl Retirements {
     /// Takes in what was observed.
-    pub fn learn(&self, adapter: &Adapter, log: &Logger, learned: Learned) {
-        match learned {
+    pub fn learn(&self, adapter: &Adapter, log: &Logger, observed: Learned) {
+        match observed {
             Learned::All(objects) => {
                 self.listed.set(true);
                 let listed: BTreeSet<&str> = objects.iter().map(|one| one.name.as_str()).collect();
-                let mut wishes = self.wishes.borrow_mut();
-                wishes.retain(|node, _| listed.contains(node.as_str()));
-                for wish in wishes.values_mut() {
-                    wish.written = None;
+                let mut requests = self.requests.borrow_mut();
+                requests.retain(|node, _| listed.contains(node.as_str()));
+                for request in requests.values_mut() {
+                    request.written = None;
                 }
-                drop(wishes);
+                drop(requests);
                 for object in &objects {
-                    self.take(adapter, log, object);
+                    self.apply_object(adapter, log, object);
                 }
             }
             Learned::Changed(changes) => {
                 for change in changes {
                     match change {
-                        Change::Written(object) => self.take(adapter, log, &object),
+                        Change::Written(object) => self.apply_object(adapter, log, &object),
                         Change::Removed(name) => {
-                            self.wishes.borrow_mut().remove(&NodeName(name));
+                            self.requests.borrow_mut().remove(&NodeName(name));
                         }
                     }
                 }
@@ -63,46 +63,46 @@
         }
     }
 
-    fn take(&self, adapter: &Adapter, log: &Logger, object: &Object) {
+    fn apply_object(&self, adapter: &Adapter, log: &Logger, object: &Object) {
         match adapter.decoder.retirement(object) {
             Ok(retirement) => {
                 info!(log, "retirement: Listed."; "node" => &retirement.node,
                     "done" => retirement.done, "revision" => object.revision);
                 let node = NodeName(retirement.node.clone());
-                let mut wishes = self.wishes.borrow_mut();
-                let known = wishes.get(&node);
-                let written = known.and_then(|wish| wish.written);
-                let sent_done = known.is_some_and(|wish| wish.sent_done);
-                let wish = Wish {
+                let mut requests = self.requests.borrow_mut();
+                let known = requests.get(&node);
+                let written = known.and_then(|request| request.written);
+                let sent_done = known.is_some_and(|request| request.sent_done);
+                let request = RetirementRequest {
                     revision: object.revision,
                     retirement,
                     written,
                     sent_done,
                     readable: true,
                 };
-                wishes.insert(node, wish);
+                requests.insert(node, request);
             }
             // A node that was to be emptied stays so: it must not be filled again meanwhile.
             Err(error) => {
-                if let Some(wish) = self
-                    .wishes
+                if let Some(request) = self
+                    .requests
                     .borrow_mut()
                     .get_mut(&NodeName(object.name.clone()))
                 {
-                    wish.readable = false;
+                    request.readable = false;
                 }
                 let mut refusals = self.refusals.borrow_mut();
                 let admitted = refusals.admit(firshore_clock::now(), &object.name, object.revision);
-                if let Some(untold) = admitted {
+                if let Some(suppressed) = admitted {
                     warn!(log, "retirement: Unreadable."; "revision" => object.revision,
-                        "reason" => %error, "untold" => untold);
+                        "reason" => %error, "untold" => suppressed);
                 }
             }
         }
     }
 
     /// Takes in that they are not followed any more: what is known says nothing of later wishes.
-    pub fn unfollow(&self) {
+    pub fn stop_watching(&self) {
         self.listed.set(false);
     }
 
@@ -113,8 +113,8 @@
             return None;
         }
         let mut leaving = LeavingNodes::default();
-        for (node, wish) in self.wishes.borrow().iter() {
-            match wish.retirement.done || wish.sent_done {
+        for (node, request) in self.requests.borrow().iter() {
+            match request.retirement.done || request.sent_done {
                 true => leaving.done.insert(node.clone()),
                 false => leaving.open.insert(node.clone()),
             };
@@ -123,9 +123,9 @@
     }
 
     /// Returns whether a node is to be emptied of which that is not reported yet.
-    pub fn wants_report(&self) -> bool {
-        let wishes = self.wishes.borrow();
-        wishes.values().any(|wish| !wish.retirement.done)
+    pub fn has_unreported(&self) -> bool {
+        let requests = self.requests.borrow();
+        requests.values().any(|request| !request.retirement.done)
     }
 
     /// Tells the operators how far the emptying is. Called by the leader only: it is done once nothing
@@ -136,44 +136,44 @@
         log: &Logger,
         is_emptied: impl Fn(&NodeName) -> bool,
     ) {
-        let wishes = self.wishes.borrow().clone();
-        for (node, wish) in wishes
+        let requests = self.requests.borrow().clone();
+        for (node, request) in requests
             .iter()
-            .filter(|(_, wish)| wish.readable && !wish.retirement.done)
+            .filter(|(_, request)| request.readable && !request.retirement.done)
         {
             let progress = match is_emptied(node) {
                 true => RetirementProgress::Done,
                 false => RetirementProgress::Running,
             };
-            if wish.written == Some(progress) {
+            if request.written == Some(progress) {
                 continue;
             }
             if progress == RetirementProgress::Done {
-                self.note_sent(node, true);
+                self.record_done_sent(node, true);
             }
             let status = adapter.decoder.retirement_status(progress);
             let kind = adapter.decoder.retirement_kind();
             let written = adapter
                 .objects
-                .replace_status(kind, node.as_str(), wish.revision, status)
+                .replace_status(kind, node.as_str(), request.revision, status)
                 .await;
             info!(log, "retirement: Reported."; "node" => %node, "progress" => ?progress,
                 "written" => written.is_ok());
             match written {
                 Ok(()) => {
-                    if let Some(wish) = self.wishes.borrow_mut().get_mut(node) {
-                        wish.written = Some(progress);
+                    if let Some(request) = self.requests.borrow_mut().get_mut(node) {
+                        request.written = Some(progress);
                     }
                 }
                 Err(ObjectError::Unanswered(_)) => {}
-                Err(_) => self.note_sent(node, false),
+                Err(_) => self.record_done_sent(node, false),
             }
         }
     }
 
-    fn note_sent(&self, node: &NodeName, done: bool) {
-        if let Some(wish) = self.wishes.borrow_mut().get_mut(node) {
-            wish.sent_done = done;
+    fn record_done_sent(&self, node: &NodeName, done: bool) {
+        if let Some(request) = self.requests.borrow_mut().get_mut(node) {
+            request.sent_done = done;
         }
     }
 }
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -1,6 +1,6 @@
 //! Answers peers about jobs, on the node whose replica leads.
 
-use super::client::{JournalClient, TRY_TIMEOUT};
+use super::client::{ATTEMPT_TIMEOUT, JournalClient};
 use super::messages::{PeerRequest, PeerResponse};
 use super::missing_results::MissingResults;
 use super::pending_submissions::PendingSubmissions;
@@ -43,21 +43,21 @@
 
 /// Pause of an answer for which there is no memory yet: those before it are sent within some
 /// milliseconds.
-const RESULTS_PAUSE: Duration = Duration::from_millis(10);
+const RESULTS_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Longest wait for a result that is granted.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// Exchanges of loads that the leader answers in a second, however many nodes there are.
 const EXCHANGES_PER_SECOND: u64 = 600;
 
 /// Shortest time between two exchanges of one node.
-const LEAST_EXCHANGE_PAUSE: Duration = Duration::from_millis(15);
+const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Time until a node is to tell again, when `nodes` of them do.
-fn exchange_pause(nodes: usize) -> Duration {
+fn exchange_interval(nodes: usize) -> Duration {
     let fair = Duration::from_millis(1_000 * nodes as u64 / EXCHANGES_PER_SECOND);
-    fair.max(LEAST_EXCHANGE_PAUSE)
+    fair.max(MIN_EXCHANGE_INTERVAL)
 }
 
 /// What a node with a replica answers.
@@ -130,7 +130,7 @@
         let now = firshore_clock::now().into_std();
         let news = told
             .uses
-            .map(|uses| self.take_in_uses(now, term, &node, &uses));
+            .map(|uses| self.record_usage(now, term, &node, &uses));
         self.pressure.borrow_mut().told(&told.pressures);
         let mut table = self.table.borrow_mut();
         table.told(now, node.clone(), told.counts);
@@ -138,24 +138,24 @@
         for (backend, count) in self.own.borrow().iter() {
             *others.entry(backend.clone()).or_default() += count;
         }
-        let asker = PaceSource::Node(node);
+        let client = PaceSource::Node(node);
         let mut paces = self.paces.borrow_mut();
-        paces.told(now, &asker, told.paces);
+        paces.told(now, &client, told.paces);
         self.told.notify_one();
         if told.urgent {
             self.crowded.notify_one();
         }
         PeerResponse::Load {
             counts: as_counts(others),
-            pause: exchange_pause(table.nodes()).as_millis() as u64,
+            pause: exchange_interval(table.nodes()).as_millis() as u64,
             age: 0,
             leader: None,
             news,
-            paces: paces.news(now, &asker),
+            paces: paces.news(now, &client),
         }
     }
 
-    fn take_in_uses(
+    fn record_usage(
         &self,
         now: std::time::Instant,
         term: u64,
@@ -201,7 +201,7 @@
             None => PeerResponse::Refused(JournalRefusal::NotLeader { leader }),
             Some(relayed) => PeerResponse::Load {
                 counts: relayed.others,
-                pause: exchange_pause(relayed.nodes).as_millis() as u64,
+                pause: exchange_interval(relayed.nodes).as_millis() as u64,
                 age: relayed.age.as_millis() as u64,
                 leader,
                 news: relayed.news,
@@ -223,7 +223,7 @@
         let (leads, term) = (status.leads, status.term);
         let pending = self.submissions.pending(term, &header.job);
         if let Some(pending) = pending.filter(|_| leads) {
-            return pending.map(settled).boxed_local();
+            return pending.map(commit_response).boxed_local();
         }
         let bytes = items.iter().map(JobItem::held_bytes).sum();
         let state = self.replica.applied_state();
@@ -250,7 +250,7 @@
             outcome
         };
         let pending = self.submissions.begin(term, job, committing.boxed_local());
-        pending.map(settled).boxed_local()
+        pending.map(commit_response).boxed_local()
     }
 }
 
@@ -324,7 +324,7 @@
             }
             _ => {}
         }
-        if request.changes() && !super::may_promise(&replica, self.least) {
+        if request.is_mutation() && !super::may_promise(&replica, self.least) {
             // Too few disks to keep a promise on; others may have them soon.
             let refusal = JournalRefusal::NotLeader { leader: None };
             return std::future::ready(PeerResponse::Refused(refusal)).boxed_local();
@@ -339,8 +339,8 @@
         match request {
             PeerRequest::Submit { header, items } => self.submit(header, items),
             request => async move {
-                let answered = answer(&replica, &reader, request).await;
-                answered.unwrap_or_else(PeerResponse::Refused)
+                let outcome_response = answer(&replica, &reader, request).await;
+                outcome_response.unwrap_or_else(PeerResponse::Refused)
             }
             .boxed_local(),
         }
@@ -355,8 +355,8 @@
     match request {
         PeerRequest::End { job } => propose(replica, Action::End { job }).await,
         PeerRequest::Results { job, from, wait } => {
-            let wait = Duration::from_millis(wait).min(LONGEST_WAIT);
-            let deadline = Instant::now() + wait + TRY_TIMEOUT;
+            let wait = Duration::from_millis(wait).min(MAX_WAIT);
+            let deadline = Instant::now() + wait + ATTEMPT_TIMEOUT;
             let listed = listed(replica, reader.least, &job, from, wait).await?;
             reader.results(&job, listed, deadline).await
         }
@@ -377,10 +377,10 @@
 }
 
 async fn propose(replica: &Replica, action: Action) -> Result<PeerResponse, JournalRefusal> {
-    answered(replica.propose(action.into()).await?)
+    outcome_response(replica.propose(action.into()).await?)
 }
 
-fn answered(outcome: Outcome) -> Result<PeerResponse, JournalRefusal> {
+fn outcome_response(outcome: Outcome) -> Result<PeerResponse, JournalRefusal> {
     match outcome {
         Outcome::Done => Ok(PeerResponse::Done),
         Outcome::UnknownJob => Ok(PeerResponse::UnknownJob),
@@ -388,9 +388,9 @@
     }
 }
 
-fn settled(committed: Result<Outcome, JournalRefusal>) -> PeerResponse {
+fn commit_response(committed: Result<Outcome, JournalRefusal>) -> PeerResponse {
     committed
-        .and_then(answered)
+        .and_then(outcome_response)
         .unwrap_or_else(PeerResponse::Refused)
 }
 
@@ -407,7 +407,7 @@
     let deadline = Instant::now() + wait;
     // What this replica applies meanwhile is committed, so while it leads a group that keeps promises it may
     // be shown without asking again. One that joins a later history takes back what it committed alone.
-    while waits(&state, job, from) {
+    while awaits_results(&state, job, from) {
         let changed = timeout_at(deadline, changes.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
             break;
@@ -449,24 +449,24 @@
             if Instant::now() >= deadline {
                 return Err(JournalRefusal::Unsettled);
             }
-            actix_rt::time::sleep(RESULTS_PAUSE).await;
+            actix_rt::time::sleep(RESULTS_RETRY_INTERVAL).await;
         }
         let _counted = held.count(bytes);
-        let mut lacking = listed.entries();
-        let commands = self.replica.load(lacking.clone()).await;
-        lacking.retain(|index| !commands.contains_key(index));
+        let mut missing_entries = listed.entries();
+        let commands = self.replica.load(missing_entries.clone()).await;
+        missing_entries.retain(|index| !commands.contains_key(index));
         match listed.filled(commands) {
             Some(page) => Ok(PeerResponse::Results(Some(page))),
             // Never shown as absent: the reader asks again.
             None => {
                 let now = firshore_clock::now().into_std();
-                self.missing.note(now, job, &lacking);
+                self.missing.note(now, job, &missing_entries);
                 Err(JournalRefusal::Unsettled)
             }
         }
     }
 }
 
-fn waits(state: &SharedState<JobTable>, job: &str, from: u64) -> bool {
+fn awaits_results(state: &SharedState<JobTable>, job: &str, from: u64) -> bool {
     state.read().may_grow_beyond(job, from)
 }
--- a/crates/firshore-node/src/journal/standing.rs
+++ b/crates/firshore-node/src/journal/standing.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// Shortest time between two reports, however often the standing changes: bounds the log.
-const REPORT_PAUSE: Duration = Duration::from_secs(1);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time between two reports of one standing that holds work back: a lasting hold stays visible at the
 /// end of a long log.
@@ -152,14 +152,14 @@
             self.standing = standing;
             self.since = now;
         }
-        let pause = match standing == self.reported {
-            false => REPORT_PAUSE,
+        let interval = match standing == self.reported {
+            false => MIN_REPORT_INTERVAL,
             true if standing.holds_back() => REPEAT_INTERVAL,
             true => return None,
         };
         let last = self.reported_at.unwrap_or(self.since);
         let first_change = self.reported_at.is_none() && standing != self.reported;
-        if !first_change && now.saturating_duration_since(last) < pause {
+        if !first_change && now.saturating_duration_since(last) < interval {
             return None;
         }
         self.reported = standing;
--- a/crates/firshore-node/src/journal/transport.rs
+++ b/crates/firshore-node/src/journal/transport.rs
@@ -2,7 +2,7 @@
 
 use super::PeerClient;
 use super::messages::PeerRequest;
-use super::registry::{Addresses, OwnRevision, Registry};
+use super::registry::{Addresses, LocalRevision, Registry};
 use firshore_log::machine::Transport;
 use firshore_replication::message::Envelope;
 use firshore_replication::types::GroupId;
@@ -11,24 +11,24 @@
 use std::sync::atomic::Ordering;
 
 struct PeerTransport {
-    own: NodeName,
-    own_address: SocketAddr,
-    own_revision: OwnRevision,
+    node: NodeName,
+    local_address: SocketAddr,
+    local_revision: LocalRevision,
     addresses: Addresses,
     peers: PeerClient,
 }
 
 /// The transport of a node's replica.
 pub fn new(
-    own: NodeName,
-    own_address: SocketAddr,
+    node: NodeName,
+    local_address: SocketAddr,
     registry: &Registry,
     peers: PeerClient,
 ) -> Box<dyn Transport> {
     Box::new(PeerTransport {
-        own,
-        own_address,
-        own_revision: registry.own_revision(),
+        node,
+        local_address,
+        local_revision: registry.local_revision(),
         addresses: registry.addresses(),
         peers,
     })
@@ -43,9 +43,9 @@
         };
         let request = PeerRequest::Replication {
             group,
-            node: self.own.clone(),
-            address: self.own_address,
-            revision: self.own_revision.load(Ordering::Relaxed),
+            node: self.node.clone(),
+            address: self.local_address,
+            revision: self.local_revision.load(Ordering::Relaxed),
             envelope,
         };
         self.peers.notify(address, request);
--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/asker.rs
@@ -33,12 +33,12 @@
     /// Told what a relay's answer says of the relay itself.
     pub heard: RelayHeard,
     /// Relays that were of no use since they answered last, and until when they are passed over.
-    pub passed_over: RefCell<HashMap<NodeName, RelayPause>>,
+    pub passed_over: RefCell<HashMap<NodeName, RelayExclusion>>,
 }
 
 /// Why a relay was of no use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Useless {
+enum RelayFailure {
     /// It said that it is out of contact with the store.
     OutOfContact,
     /// It could not be reached; that is known at once.
@@ -49,29 +49,29 @@
 
 /// For how long a relay is passed over, and why.
 #[derive(Clone, Copy, Debug)]
-pub struct RelayPause {
+pub struct RelayExclusion {
     until: Instant,
-    reason: Useless,
+    reason: RelayFailure,
     /// Questions in a row that came to nothing.
-    questions: u32,
+    attempts: u32,
 }
 
 /// What a relay answered.
-pub struct RelayAnswer {
+pub struct RelayResponse {
     relay: NodeName,
     /// When it was asked, by the clock of ages.
-    asked_at: Instant,
+    queried_at: Instant,
     /// What it said.
     pub response: PeerResponse,
 }
 
-impl RelayAnswer {
+impl RelayResponse {
     /// The moment as of which the relay tells the store: not later than its answer was sent, however
     /// long that was under way.
     pub fn as_of(&self, contact: RelayContact) -> Instant {
-        let sent_at = self.asked_at + Duration::from_millis(contact.held);
+        let sent_at = self.queried_at + Duration::from_millis(contact.held);
         let age = Duration::from_millis(contact.age);
-        sent_at.checked_sub(age).unwrap_or(self.asked_at)
+        sent_at.checked_sub(age).unwrap_or(self.queried_at)
     }
 
     /// Returns whom to name as the source of what it told.
@@ -81,13 +81,13 @@
 }
 
 /// What came of asking relays in turn.
-pub enum Asked {
+pub enum QueryOutcome {
     /// One of them was of use.
-    Answered(RelayAnswer),
+    Answered(RelayResponse),
     /// Some answered that they are out of contact with the store.
     NoContact,
     /// Nobody has answered.
-    Nobody,
+    NoResponse,
 }
 
 /// A question that is answered at once.
@@ -111,103 +111,104 @@
         request: &PeerRequest,
         limit: Duration,
         budget: FreshnessBudget,
-    ) -> Asked {
+    ) -> QueryOutcome {
         let mut request = request.clone();
-        let mut asked = Asked::Nobody;
-        for relay in self.order() {
-            let pause = self.pause(&relay);
-            if let Some(pause) = pause.filter(|pause| Instant::now() < pause.until) {
-                if pause.reason == Useless::OutOfContact {
-                    asked = Asked::NoContact;
+        let mut outcome = QueryOutcome::NoResponse;
+        for relay in self.query_order() {
+            let exclusion = self.exclusion(&relay);
+            if let Some(exclusion) = exclusion.filter(|exclusion| Instant::now() < exclusion.until)
+            {
+                if exclusion.reason == RelayFailure::OutOfContact {
+                    outcome = QueryOutcome::NoContact;
                 }
                 continue;
             }
             let Some(address) = self.registry.address(&relay) else {
                 continue;
             };
-            let asked_at = firshore_clock::now();
+            let queried_at = firshore_clock::now();
             let call = self.peers.call(address, request.clone());
-            let useless = match timeout(limit, call).await {
-                Ok(Ok(PeerResponse::NoContact)) => Useless::OutOfContact,
+            let failure = match timeout(limit, call).await {
+                Ok(Ok(PeerResponse::NoContact)) => RelayFailure::OutOfContact,
                 Ok(Ok(mut response)) => {
                     self.passed_over.borrow_mut().remove(&relay);
                     if let Some(contact) = response.contact_mut() {
                         (self.heard)(&relay, contact);
                     }
-                    return Asked::Answered(RelayAnswer {
+                    return QueryOutcome::Answered(RelayResponse {
                         relay,
-                        asked_at,
+                        queried_at,
                         response,
                     });
                 }
-                Ok(Err(_)) => Useless::Unreachable,
-                Err(_) => Useless::Silent,
+                Ok(Err(_)) => RelayFailure::Unreachable,
+                Err(_) => RelayFailure::Silent,
             };
-            match useless {
-                Useless::OutOfContact => asked = Asked::NoContact,
-                Useless::Silent => request = without_wait(request),
-                Useless::Unreachable => {}
+            match failure {
+                RelayFailure::OutOfContact => outcome = QueryOutcome::NoContact,
+                RelayFailure::Silent => request = without_wait(request),
+                RelayFailure::Unreachable => {}
             }
-            self.pass_over(kind, relay, asked_at, useless, budget);
+            self.exclude(kind, relay, queried_at, failure, budget);
         }
-        asked
+        outcome
     }
 
-    fn pause(&self, relay: &NodeName) -> Option<RelayPause> {
+    fn exclusion(&self, relay: &NodeName) -> Option<RelayExclusion> {
         self.passed_over.borrow().get(relay).copied()
     }
 
     /// Relays in the order in which they are asked: of those that were silent last time one at most comes
     /// before the others, so that no more than one wait is lost on them.
-    fn order(&self) -> Vec<NodeName> {
+    fn query_order(&self) -> Vec<NodeName> {
         let candidates = self.registry.candidates();
         let order = ranking::order(&candidates, &self.zone, &self.node);
-        let was_silent = |relay: &NodeName| {
-            let pause = self.pause(relay);
-            pause.is_some_and(|pause| {
-                pause.reason == Useless::Silent && pause.until <= Instant::now()
+        let timed_out = |relay: &NodeName| {
+            let exclusion = self.exclusion(relay);
+            exclusion.is_some_and(|exclusion| {
+                exclusion.reason == RelayFailure::Silent && exclusion.until <= Instant::now()
             })
         };
-        let mut seen_silent = false;
+        let mut seen_timeout = false;
         let (first, last): (Vec<NodeName>, Vec<NodeName>) = order.into_iter().partition(|relay| {
-            let silent = was_silent(relay);
-            let comes_first = !(silent && seen_silent);
-            seen_silent |= silent;
+            let timed_out = timed_out(relay);
+            let comes_first = !(timed_out && seen_timeout);
+            seen_timeout |= timed_out;
             comes_first
         });
         first.into_iter().chain(last).collect()
     }
 
-    fn pass_over(
+    fn exclude(
         &self,
         kind: &str,
         relay: NodeName,
-        asked_at: Instant,
-        reason: Useless,
+        queried_at: Instant,
+        reason: RelayFailure,
         budget: FreshnessBudget,
     ) {
-        let before = self.pause(&relay);
-        let questions = before.map_or(1, |before| before.questions + 1);
+        let before = self.exclusion(&relay);
+        let attempts = before.map_or(1, |before| before.attempts + 1);
         // A relay that is gone for long costs a wait each time that it is asked.
-        let doubled = 2_u32.pow(questions.min(8) - 1);
-        let pause = match reason {
-            Useless::OutOfContact => budget.contact_pause(),
-            Useless::Unreachable => budget.contact_pause() * doubled,
-            Useless::Silent => budget.silence_pause() * doubled,
+        let doubled = 2_u32.pow(attempts.min(8) - 1);
+        let backoff = match reason {
+            RelayFailure::OutOfContact => budget.no_contact_backoff(),
+            RelayFailure::Unreachable => budget.no_contact_backoff() * doubled,
+            RelayFailure::Silent => budget.unresponsive_backoff() * doubled,
         };
-        let pause = pause.min(budget.longest_pause());
+        let backoff = backoff.min(budget.max_backoff());
         // A relay that stays as it is is named once.
         if before.is_none_or(|before| before.reason != reason) {
             info!(self.log, "relay: Passed over."; "relay" => %relay, "kind" => kind,
-                "asked_ms" => firshore_clock::elapsed(asked_at).as_millis() as u64,
-                "out_of_contact" => reason == Useless::OutOfContact, "reason" => ?reason,
-                "pause_ms" => pause.as_millis() as u64);
+                "asked_ms" => firshore_clock::elapsed(queried_at).as_millis() as u64,
+                "out_of_contact" => reason == RelayFailure::OutOfContact, "reason" => ?reason,
+                "pause_ms" => backoff.as_millis() as u64);
         }
-        let pause = RelayPause {
-            until: Instant::now() + pause,
+        let exclusion = RelayExclusion {
+            until: Instant::now() + backoff,
             reason,
-            questions,
+            attempts,
         };
-        self.passed_over.borrow_mut().insert(relay, pause);
+        self.passed_over.borrow_mut().insert(relay, exclusion);
     }
 }
--- a/crates/firshore-node/src/relay/cache.rs
+++ b/crates/firshore-node/src/relay/cache.rs
@@ -16,10 +16,10 @@
 const PAGE_BYTES: usize = 256 * 1024;
 
 /// Gaps that are kept. Observers that know less than the end of an older one list anew.
-const MOST_GAPS: usize = 16;
+const MAX_GAPS: usize = 16;
 
 /// Names of objects that are gone that are kept. Observers that know less list anew.
-const MOST_REMOVED: usize = 1_024;
+const MAX_REMOVED_NAMES: usize = 1_024;
 
 /// An object as it travels: encoded once, sent many times.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -95,24 +95,24 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedObject {
     object: RelayedObject,
     /// Revision up to which the store was known when this was learned.
-    learned_at: Revision,
+    observed_at: Revision,
 }
 
 /// Revisions between those up to which the store was known before a listing and by it. An object that came
 /// to be and was removed meanwhile was never known here: whoever learned of it from somebody else cannot be
 /// told that it is gone, and kept it for 20 s and more.
 #[derive(Clone, Copy, Debug)]
-struct KnowledgeGap {
+struct RevisionGap {
     from: Revision,
     to: Revision,
 }
 
-impl KnowledgeGap {
+impl RevisionGap {
     /// Whether somebody who knows the store at `known` may have learned what was missed here.
-    fn holds(&self, known: Revision) -> bool {
+    fn contains(&self, known: Revision) -> bool {
         self.from < known && known < self.to
     }
 }
@@ -120,12 +120,12 @@
 /// Objects of one kind.
 #[derive(Debug, Default)]
 pub struct KindCache {
-    objects: BTreeMap<String, Kept>,
+    objects: BTreeMap<String, CachedObject>,
     removed: BTreeMap<String, Revision>,
     /// From this revision on all changes are kept.
     complete_from: Revision,
     /// Gaps in what was learned, oldest first.
-    gaps: VecDeque<KnowledgeGap>,
+    gaps: VecDeque<RevisionGap>,
     /// Revision up to which the store is known; none before the first listing.
     revision: Option<Revision>,
     /// Revision at which something changed last.
@@ -181,8 +181,8 @@
     }
 
     /// Takes in what was learned, and up to which revision the store is known now.
-    pub fn learn(&mut self, learned: Option<Learned>, revision: Revision) {
-        match learned {
+    pub fn learn(&mut self, observed: Option<Learned>, revision: Revision) {
+        match observed {
             None => {}
             Some(Learned::All(objects)) => self.replace(objects, revision),
             Some(Learned::Changed(changes)) => {
@@ -200,7 +200,7 @@
     fn replace(&mut self, objects: Vec<Object>, revision: Revision) {
         match self.revision {
             None => self.complete_from = revision,
-            Some(known) => self.note_gap(known, revision),
+            Some(known) => self.record_gap(known, revision),
         }
         let listed: BTreeSet<&str> = objects.iter().map(|one| one.name.as_str()).collect();
         let kept = self.objects.keys();
@@ -217,9 +217,9 @@
         }
     }
 
-    fn note_gap(&mut self, from: Revision, to: Revision) {
-        self.gaps.push_back(KnowledgeGap { from, to });
-        if self.gaps.len() <= MOST_GAPS {
+    fn record_gap(&mut self, from: Revision, to: Revision) {
+        self.gaps.push_back(RevisionGap { from, to });
+        if self.gaps.len() <= MAX_GAPS {
             return;
         }
         if let Some(oldest) = self.gaps.pop_front() {
@@ -227,19 +227,22 @@
         }
     }
 
-    fn write(&mut self, object: Object, learned_at: Revision) {
+    fn write(&mut self, object: Object, observed_at: Revision) {
         self.removed.remove(&object.name);
         let object = RelayedObject::of(object);
-        let kept = Kept { object, learned_at };
+        let kept = CachedObject {
+            object,
+            observed_at,
+        };
         self.objects.insert(kept.object.name.clone(), kept);
-        self.changed_at = self.changed_at.max(learned_at);
+        self.changed_at = self.changed_at.max(observed_at);
     }
 
-    fn remove(&mut self, name: String, learned_at: Revision) {
+    fn remove(&mut self, name: String, observed_at: Revision) {
         self.objects.remove(&name);
-        self.removed.insert(name, learned_at);
-        self.changed_at = self.changed_at.max(learned_at);
-        if self.removed.len() <= MOST_REMOVED {
+        self.removed.insert(name, observed_at);
+        self.changed_at = self.changed_at.max(observed_at);
+        if self.removed.len() <= MAX_REMOVED_NAMES {
             return;
         }
         let oldest = self.removed.iter().min_by_key(|(_, at)| **at);
@@ -250,7 +253,7 @@
     }
 
     /// The revision of an answer to who knows the store at `known`.
-    fn answerable(&self, known: Revision) -> Result<Revision, CacheMiss> {
+    fn response_revision(&self, known: Revision) -> Result<Revision, CacheMiss> {
         match self.revision {
             None => Err(CacheMiss::Empty),
             Some(revision) if revision < known => Err(CacheMiss::Behind),
@@ -264,7 +267,7 @@
     ///
     /// Fails where less is known here.
     pub fn list(&self, after: Option<&str>, known: Revision) -> Result<RelayedPage, CacheMiss> {
-        let revision = self.answerable(known)?;
+        let revision = self.response_revision(known)?;
         let mut page = RelayedPage {
             revision,
             ..RelayedPage::default()
@@ -290,15 +293,15 @@
     ///
     /// Fails where less is known here, or changes since then are not kept.
     pub fn changes(&self, known: Revision) -> Result<Option<RelayedChanges>, CacheMiss> {
-        let revision = self.answerable(known)?;
-        if known < self.complete_from || self.gaps.iter().any(|gap| gap.holds(known)) {
+        let revision = self.response_revision(known)?;
+        if known < self.complete_from || self.gaps.iter().any(|gap| gap.contains(known)) {
             return Err(CacheMiss::Forgotten);
         }
         if self.changed_at <= known {
             return Ok(None);
         }
         let written = self.objects.values();
-        let written = written.filter(|kept| kept.learned_at > known);
+        let written = written.filter(|kept| kept.observed_at > known);
         let removed = self.removed.iter().filter(|(_, at)| **at > known);
         Ok(Some(RelayedChanges {
             written: written.map(|kept| kept.object.clone()).collect(),
--- a/crates/firshore-node/src/relay/loads.rs
+++ b/crates/firshore-node/src/relay/loads.rs
@@ -25,7 +25,7 @@
 const URGENT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Age at which what the leader told is not passed on any more: nodes ask the leader themselves.
-const LONGEST_AGE: Duration = Duration::from_millis(800);
+const MAX_VIEW_AGE: Duration = Duration::from_millis(800);
 
 /// What a relay tells a node.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
 }
 
 /// What the leader told last.
-struct FleetPicture {
+struct FleetView {
     /// Requests of all nodes that do not tell this relay.
     counts: HashMap<BackendName, u32>,
     at: Instant,
@@ -52,7 +52,7 @@
 /// Loads of the nodes that tell this one.
 pub struct LoadRelay {
     table: RefCell<LoadTable>,
-    picture: RefCell<Option<FleetPicture>>,
+    view: RefCell<Option<FleetView>>,
     /// What back ends told these nodes, and all others, of their pace.
     paces: RefCell<PaceTable>,
     /// How online requests of these nodes pressed, until the leader is told.
@@ -60,11 +60,11 @@
     /// What tenants have asked these nodes, and may still ask.
     uses: RefCell<UsageRelay>,
     /// Whether a node told that tenants have limits.
-    limits: Cell<bool>,
-    told: Notify,
+    has_limits: Cell<bool>,
+    reported: Notify,
     crowded: Notify,
     /// Woken when what tenants have asked has to be told at once.
-    limits_pressing: Notify,
+    limits_urgent: Notify,
 }
 
 impl LoadRelay {
@@ -72,48 +72,48 @@
     pub fn new(rate_span: Duration) -> Self {
         Self {
             table: RefCell::default(),
-            picture: RefCell::default(),
+            view: RefCell::default(),
             paces: RefCell::default(),
             pressure: RefCell::default(),
             uses: UsageRelay::new(rate_span).into(),
-            limits: Cell::default(),
-            told: Notify::new(),
+            has_limits: Cell::default(),
+            reported: Notify::new(),
             crowded: Notify::new(),
-            limits_pressing: Notify::new(),
+            limits_urgent: Notify::new(),
         }
     }
 
     /// Takes in what a node has under way. Returns what all others have; `None` while the leader's
     /// picture is missing or old.
-    pub fn exchange(&self, now: Instant, node: NodeName, told: ToldLoad) -> Option<RelayedLoad> {
+    pub fn exchange(&self, now: Instant, node: NodeName, report: ToldLoad) -> Option<RelayedLoad> {
         let mut table = self.table.borrow_mut();
-        table.told(now, node.clone(), told.counts);
-        let asker = PaceSource::Node(node.clone());
+        table.told(now, node.clone(), report.counts);
+        let client = PaceSource::Node(node.clone());
         let mut paces = self.paces.borrow_mut();
-        paces.told(now, &asker, told.paces);
-        self.told.notify_one();
-        if told.urgent {
+        paces.told(now, &client, report.paces);
+        self.reported.notify_one();
+        if report.urgent {
             self.crowded.notify_one();
         }
-        let picture = self.picture.borrow();
-        let picture = picture.as_ref()?;
-        let age = now.saturating_duration_since(picture.at);
-        if age > LONGEST_AGE {
+        let view = self.view.borrow();
+        let view = view.as_ref()?;
+        let age = now.saturating_duration_since(view.at);
+        if age > MAX_VIEW_AGE {
             // The node tells the leader itself: what its tenants have asked counts once.
             return None;
         }
-        self.pressure.borrow_mut().told(&told.pressures);
-        let news = told.uses.map(|uses| {
-            self.limits.set(true);
+        self.pressure.borrow_mut().told(&report.pressures);
+        let news = report.uses.map(|uses| {
+            self.has_limits.set(true);
             let mut relayed = self.uses.borrow_mut();
             let news = relayed.told(now, &node, &uses);
             if relayed.has_to_tell() {
-                self.limits_pressing.notify_one();
+                self.limits_urgent.notify_one();
             }
             news
         });
         let mut others = table.others(&node);
-        for (backend, count) in &picture.counts {
+        for (backend, count) in &view.counts {
             *others.entry(backend.clone()).or_default() += count;
         }
         Some(RelayedLoad {
@@ -121,7 +121,7 @@
             age,
             nodes: table.nodes(),
             news,
-            paces: paces.news(now, &asker),
+            paces: paces.news(now, &client),
         })
     }
 
@@ -138,15 +138,15 @@
             counts: counts.unwrap_or_default(),
             urgent,
             pressures: self.pressure.borrow_mut().take(),
-            uses: self.limits.get().then(|| uses.report(now)),
+            uses: self.has_limits.get().then(|| uses.report(now)),
             paces: self.paces.borrow_mut().news(now, &PaceSource::Leader),
         })
     }
 
     /// Takes in the leader's answer to what was told at a moment, or that there was none.
-    fn answered(&self, asked_at: Instant, told: Option<OthersLoad>) {
+    fn record_response(&self, queried_at: Instant, response: Option<OthersLoad>) {
         let mut uses = self.uses.borrow_mut();
-        let Some(others) = told else {
+        let Some(others) = response else {
             uses.unanswered();
             return;
         };
@@ -156,14 +156,14 @@
         }
         drop(uses);
         let mut paces = self.paces.borrow_mut();
-        paces.told(asked_at, &PaceSource::Leader, others.paces);
+        paces.told(queried_at, &PaceSource::Leader, others.paces);
         drop(paces);
-        self.learned(asked_at, others.counts);
+        self.learned(queried_at, others.counts);
     }
 
     /// Takes in what the leader told at a moment.
     pub fn learned(&self, at: Instant, counts: HashMap<BackendName, u32>) {
-        *self.picture.borrow_mut() = Some(FleetPicture { counts, at });
+        *self.view.borrow_mut() = Some(FleetView { counts, at });
     }
 
     /// Returns the sums of what nodes told a moment ago; `None` if none did.
@@ -178,26 +178,26 @@
     pub async fn run(self: Rc<Self>, journal: Rc<JournalClient>, leads: impl Fn() -> bool) {
         let mut urgent = false;
         loop {
-            let asked_at = firshore_clock::now().into_std();
+            let queried_at = firshore_clock::now().into_std();
             let sums = match leads() {
                 true => None,
-                false => self.sums_to_tell(asked_at, urgent),
+                false => self.sums_to_tell(queried_at, urgent),
             };
             let Some(sums) = sums else {
-                self.told.notified().await;
+                self.reported.notified().await;
                 continue;
             };
-            let told = journal.tell_leader(sums, true).await;
-            let interval = match told {
+            let response = journal.tell_leader(sums, true).await;
+            let interval = match response {
                 Some(_) => LEADER_INTERVAL,
                 None => URGENT_INTERVAL,
             };
-            self.answered(asked_at, told);
+            self.record_response(queried_at, response);
             actix_rt::time::sleep(URGENT_INTERVAL).await;
             let rest = interval - URGENT_INTERVAL;
             urgent = tokio::select! {
                 () = self.crowded.notified() => true,
-                () = self.limits_pressing.notified() => false,
+                () = self.limits_urgent.notified() => false,
                 () = actix_rt::time::sleep(rest) => false,
             };
         }
--- a/crates/firshore-node/src/relay/mod.rs
+++ b/crates/firshore-node/src/relay/mod.rs
@@ -28,7 +28,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Longest wait for a change that is granted.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// Time without a question after which a kind is not followed any more.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -51,7 +51,7 @@
     kinds: Vec<RelayedKind>,
     /// Tells the other relays that something of a kind has changed, and at which revision.
     announce: Announce,
-    served: RefCell<HashMap<String, Rc<ServedKind>>>,
+    served_kinds: RefCell<HashMap<String, Rc<ServedKind>>>,
 }
 
 /// Tells other relays of a change.
@@ -64,20 +64,20 @@
     /// Whether the store is in reach, as far as is known.
     connected: Cell<bool>,
     /// Whether everything is listed and a watch is asked for, or is after the pause.
-    watches: Cell<bool>,
+    is_watching: Cell<bool>,
     /// As of when the store is known.
-    heard_at: Cell<Instant>,
+    confirmed_at: Cell<Instant>,
     /// When a listing or a watch was answered last.
     answered_at: Cell<Instant>,
     /// Until when nothing is asked after a change: what happens meanwhile is not known.
-    pauses_until: Cell<Instant>,
+    paused_until: Cell<Instant>,
     /// Counts whatever may let an answer be given that waits.
     steps: watch::Sender<u64>,
     /// Wakes the watch that waits, to ask the store anew.
     renewal: Rc<Notify>,
     renewed_at: Cell<Option<Instant>>,
-    asked_at: Cell<Instant>,
-    following: RefCell<Option<Task>>,
+    queried_at: Cell<Instant>,
+    task: RefCell<Option<Task>>,
 }
 
 impl ServedKind {
@@ -87,30 +87,30 @@
             budget,
             cache: RefCell::default(),
             connected: Cell::new(true),
-            watches: Cell::new(false),
-            heard_at: Cell::new(now),
+            is_watching: Cell::new(false),
+            confirmed_at: Cell::new(now),
             answered_at: Cell::new(now),
-            pauses_until: Cell::new(now),
+            paused_until: Cell::new(now),
             steps: watch::Sender::new(0),
             renewal: Rc::default(),
             renewed_at: Cell::new(None),
-            asked_at: Cell::new(now),
-            following: RefCell::new(None),
+            queried_at: Cell::new(now),
+            task: RefCell::new(None),
         }
     }
 
     /// Takes in what was learned. Returns the revision of a change that others may not know yet.
     fn learn(
         &self,
-        learned: Option<Learned>,
+        observed: Option<Learned>,
         observation: &Observation,
         as_of: Instant,
     ) -> Option<Revision> {
-        self.note_contact(observation, as_of);
+        self.update_contact(observation, as_of);
         let mut cache = self.cache.borrow_mut();
         let before = cache.changed_at();
         if let Some(revision) = observation.revision() {
-            cache.learn(learned, revision);
+            cache.learn(observed, revision);
         }
         self.steps.send_modify(|steps| *steps += 1);
         let changed_at = cache.changed_at();
@@ -120,16 +120,16 @@
     /// Takes in whether the store has answered, as of when. A watch that failed once says nothing of the
     /// store, which cuts those of all relays at the same moment: whoever asks waits for the listing that
     /// follows. Without this, nodes passed all relays over for 0.8 s.
-    fn note_contact(&self, observation: &Observation, as_of: Instant) {
+    fn update_contact(&self, observation: &Observation, as_of: Instant) {
         let failures = observation.failures();
-        let watches = failures == 0 && observation.revision().is_some();
-        self.watches.set(watches);
-        if watches {
+        let is_watching = failures == 0 && observation.revision().is_some();
+        self.is_watching.set(is_watching);
+        if is_watching {
             let now = firshore_clock::now();
             self.connected.set(true);
-            self.heard_at.set(as_of);
+            self.confirmed_at.set(as_of);
             self.answered_at.set(now);
-            self.pauses_until.set(now + observation.pause());
+            self.paused_until.set(now + observation.pause());
         } else if failures > 1 {
             self.connected.set(false);
         }
@@ -139,7 +139,7 @@
     /// finds out about the store only later.
     fn is_current(&self) -> bool {
         self.connected.get()
-            && firshore_clock::elapsed(self.heard_at.get()) < self.budget.relay_age()
+            && firshore_clock::elapsed(self.confirmed_at.get()) < self.budget.relay_age()
     }
 
     fn is_behind(&self, revision: Revision) -> bool {
@@ -156,17 +156,17 @@
         }
     }
 
-    /// The store has answered what it was asked at `asked_at`, and had reached `revision`.
+    /// The store has answered what it was asked at `queried_at`, and had reached `revision`.
     ///
     /// That shows the way to the store, not that the watch lives: all relays' watches may be swallowed by
     /// the same moment of silence. So it counts for a while after an answer to the watch only, and for a
     /// shorter one where the store has changed since: mostly objects of another kind have, of which this
     /// watch is not told. Then the store is asked anew.
-    fn reached(&self, asked_at: Instant, revision: Revision) {
+    fn record_probe(&self, queried_at: Instant, revision: Revision) {
         if !self.connected.get() {
             return self.renew();
         }
-        if !self.watches.get() || asked_at < self.pauses_until.get() {
+        if !self.is_watching.get() || queried_at < self.paused_until.get() {
             return;
         }
         let trust = match self.is_behind(revision) {
@@ -174,7 +174,9 @@
             false => self.budget.watch_trust(),
         };
         match firshore_clock::elapsed(self.answered_at.get()) < trust {
-            true => self.heard_at.set(asked_at.max(self.heard_at.get())),
+            true => self
+                .confirmed_at
+                .set(queried_at.max(self.confirmed_at.get())),
             false => self.renew(),
         }
     }
@@ -191,44 +193,44 @@
     }
 
     /// Answers, and tells how old the answer is.
-    async fn answer(
+    async fn respond(
         &self,
         wait: Duration,
-        news: bool,
-        try_answer: impl Fn(&KindCache) -> Result<Option<PeerResponse>, CacheMiss>,
+        allow_stale: bool,
+        look_up: impl Fn(&KindCache) -> Result<Option<PeerResponse>, CacheMiss>,
     ) -> PeerResponse {
-        let asked_at = firshore_clock::now();
-        let mut answer = self.find_answer(wait, news, try_answer).await;
+        let queried_at = firshore_clock::now();
+        let mut response = self.find_response(wait, allow_stale, look_up).await;
         let contact = RelayContact {
-            held: firshore_clock::elapsed(asked_at).as_millis() as u64,
-            age: firshore_clock::elapsed(self.heard_at.get()).as_millis() as u64,
+            held: firshore_clock::elapsed(queried_at).as_millis() as u64,
+            age: firshore_clock::elapsed(self.confirmed_at.get()).as_millis() as u64,
             crashes: None,
         };
-        if let Some(told) = answer.contact_mut() {
-            *told = contact;
+        if let Some(contact_slot) = response.contact_mut() {
+            *contact_slot = contact;
         }
-        answer
+        response
     }
 
-    /// Tries until there is an answer or the wait is over. Out of contact with the store, only `news` is
+    /// Tries until there is an answer or the wait is over. Out of contact with the store, only `allow_stale` is
     /// told: what the asker does not know, however old.
-    async fn find_answer(
+    async fn find_response(
         &self,
         wait: Duration,
-        news: bool,
-        try_answer: impl Fn(&KindCache) -> Result<Option<PeerResponse>, CacheMiss>,
+        allow_stale: bool,
+        look_up: impl Fn(&KindCache) -> Result<Option<PeerResponse>, CacheMiss>,
     ) -> PeerResponse {
         let mut steps = self.steps.subscribe();
         let start = Instant::now();
         loop {
             let current = self.is_current();
-            let tried = try_answer(&self.cache.borrow());
-            let tells_news = news && matches!(tried, Ok(Some(_)));
-            if !current && !tells_news {
+            let result = look_up(&self.cache.borrow());
+            let has_changes = allow_stale && matches!(result, Ok(Some(_)));
+            if !current && !has_changes {
                 return PeerResponse::NoContact;
             }
-            let until = match tried {
-                Ok(Some(answer)) => return answer,
+            let until = match result {
+                Ok(Some(response)) => return response,
                 Ok(None) => start + wait,
                 Err(CacheMiss::Forgotten) => return PeerResponse::HistoryGone,
                 Err(CacheMiss::Empty) => start + self.budget.relay_wait(),
@@ -238,14 +240,14 @@
                 }
             };
             if !matches!(timeout_at(until, steps.changed()).await, Ok(Ok(()))) {
-                return self.without_news(tried);
+                return self.no_changes(result);
             }
         }
     }
 
-    fn without_news(&self, tried: Result<Option<PeerResponse>, CacheMiss>) -> PeerResponse {
+    fn no_changes(&self, result: Result<Option<PeerResponse>, CacheMiss>) -> PeerResponse {
         let revision = self.cache.borrow().revision();
-        match (tried, revision) {
+        match (result, revision) {
             (Ok(_), Some(revision)) => PeerResponse::Changes(RelayedChanges {
                 revision,
                 ..RelayedChanges::default()
@@ -268,24 +270,24 @@
             log,
             kinds,
             announce,
-            served: RefCell::default(),
+            served_kinds: RefCell::default(),
         })
     }
 
     /// Returns what is followed of a kind, which begins with the first question; `None` for a kind that
     /// is not relayed.
-    fn served(&self, kind: &str) -> Option<Rc<ServedKind>> {
+    fn served_kind(&self, kind: &str) -> Option<Rc<ServedKind>> {
         let relayed = self.kinds.iter().find(|one| one.name == kind);
         let Some(relayed) = relayed else {
             warn!(self.log, "relay: Question refused."; "kind" => kind,
                 "reason" => "a kind that is not relayed");
             return None;
         };
-        let mut served = self.served.borrow_mut();
+        let mut served = self.served_kinds.borrow_mut();
         let one = served
             .entry(relayed.name.clone())
             .or_insert_with(|| self.follow(relayed));
-        one.asked_at.set(firshore_clock::now());
+        one.queried_at.set(firshore_clock::now());
         Some(one.clone())
     }
 
@@ -299,52 +301,52 @@
             terms: relayed.terms,
             renewal: served.renewal.clone(),
         };
-        let learning = Rc::downgrade(&served);
+        let weak_kind = Rc::downgrade(&served);
         let (announce, kind) = (self.announce.clone(), relayed.name.clone());
-        let following = watcher::observe(watcher, move |learned, observation, as_of| {
-            let served = learning.upgrade();
+        let task = watcher::observe(watcher, move |observed, observation, as_of| {
+            let served = weak_kind.upgrade();
             if let Some(changed) =
-                served.and_then(|served| served.learn(learned, observation, as_of))
+                served.and_then(|served| served.learn(observed, observation, as_of))
             {
                 announce(&kind, changed);
             }
         });
-        *served.following.borrow_mut() = Some(Task::spawn(following));
+        *served.task.borrow_mut() = Some(Task::spawn(task));
         served
     }
 
     /// Answers with objects of a kind after a name, to who knows the store at `known`.
     pub async fn list(&self, kind: &str, after: Option<&str>, known: Revision) -> PeerResponse {
-        let Some(served) = self.served(kind) else {
+        let Some(served) = self.served_kind(kind) else {
             return PeerResponse::NoContact;
         };
         let page = |cache: &KindCache| cache.list(after, known).map(PeerResponse::Page).map(Some);
         let wait = served.budget.relay_wait();
-        served.answer(wait, false, page).await
+        served.respond(wait, false, page).await
     }
 
     /// Answers with what changed of a kind, to who knows the store at `known`.
     pub async fn watch(&self, kind: &str, known: Revision, wait: Duration) -> PeerResponse {
-        let Some(served) = self.served(kind) else {
+        let Some(served) = self.served_kind(kind) else {
             return PeerResponse::NoContact;
         };
         let changes = |cache: &KindCache| {
             let changes = cache.changes(known)?;
             Ok(changes.map(PeerResponse::Changes))
         };
-        served.answer(wait.min(LONGEST_WAIT), true, changes).await
+        served.respond(wait.min(MAX_WAIT), true, changes).await
     }
 
     /// Takes in that another relay has learned of a change. Where this one does not soon, its watch may
     /// be lost: a store that falls silent, or a cut that nobody has noticed yet.
     pub async fn heard(&self, kind: &str, changed: Revision) {
-        let served = self.served.borrow().get(kind).cloned();
+        let served = self.served_kinds.borrow().get(kind).cloned();
         let Some(served) = served.filter(|served| served.is_behind(changed)) else {
             return;
         };
         let relayed = self.kinds.iter().find(|one| one.name == kind);
         let spacing = relayed.map_or(Duration::ZERO, |one| one.terms.spacing);
-        actix_rt::time::sleep(spacing + served.budget.hint_patience()).await;
+        actix_rt::time::sleep(spacing + served.budget.hint_timeout()).await;
         if served.is_behind(changed) {
             info!(self.log, "relay: Store asked anew."; "kind" => kind, "changed" => changed,
                 "known" => served.cache.borrow().revision());
@@ -360,38 +362,39 @@
             return;
         };
         let (interval, limit) = (budget.probe_interval(), budget.probe_timeout());
-        let mut reached = true;
+        let mut was_reachable = true;
         loop {
             actix_rt::time::sleep(interval).await;
-            self.tidy();
-            if self.served.borrow().is_empty() {
+            self.drop_idle_kinds();
+            if self.served_kinds.borrow().is_empty() {
                 continue;
             }
-            let asked_at = firshore_clock::now();
-            let answer = timeout(limit, self.store.reach()).await;
-            let revision = answer.ok().and_then(Result::ok);
-            let reaches = revision.is_some();
-            if reached != reaches {
-                reached = reaches;
-                info!(self.log, "relay: Way to the store."; "open" => reaches);
+            let queried_at = firshore_clock::now();
+            let response = timeout(limit, self.store.reach()).await;
+            let revision = response.ok().and_then(Result::ok);
+            let is_reachable = revision.is_some();
+            if was_reachable != is_reachable {
+                was_reachable = is_reachable;
+                info!(self.log, "relay: Way to the store."; "open" => is_reachable);
             }
-            let served: Vec<Rc<ServedKind>> = self.served.borrow().values().cloned().collect();
+            let served: Vec<Rc<ServedKind>> =
+                self.served_kinds.borrow().values().cloned().collect();
             for one in served {
                 match revision {
-                    Some(revision) => one.reached(asked_at, revision),
+                    Some(revision) => one.record_probe(queried_at, revision),
                     None => one.lose_contact(),
                 }
             }
         }
     }
 
-    fn tidy(&self) {
-        self.served.borrow_mut().retain(|kind, served| {
-            let asked = firshore_clock::elapsed(served.asked_at.get()) < IDLE_TIMEOUT;
-            if !asked {
+    fn drop_idle_kinds(&self) {
+        self.served_kinds.borrow_mut().retain(|kind, served| {
+            let in_use = firshore_clock::elapsed(served.queried_at.get()) < IDLE_TIMEOUT;
+            if !in_use {
                 info!(self.log, "relay: Kind not followed any more."; "kind" => kind);
             }
-            asked
+            in_use
         });
     }
 }
--- a/crates/firshore-node/src/relay/ranking.rs
+++ b/crates/firshore-node/src/relay/ranking.rs
@@ -14,14 +14,14 @@
 const RELAYS_PER_ZONE: usize = 2;
 
 /// Relays that a node asks at most, one after the other, before it takes all for gone.
-const MOST_ASKED: usize = 4;
+const MAX_QUERIED: usize = 4;
 
 fn rank(zone: &ZoneName, node: &NodeName) -> u64 {
     xxh3_64(format!("{zone}/{node}").as_bytes())
 }
 
-fn preference(asker: &NodeName, relay: &NodeName) -> u64 {
-    xxh3_64(format!("{asker}>{relay}").as_bytes())
+fn preference(client: &NodeName, relay: &NodeName) -> u64 {
+    xxh3_64(format!("{client}>{relay}").as_bytes())
 }
 
 /// Returns the relays of each zone.
@@ -39,21 +39,21 @@
 }
 
 /// Returns the relays of a node's own zone, in the order in which it asks them.
-pub fn at_home(candidates: &[Candidate], zone: &ZoneName, asker: &NodeName) -> Vec<NodeName> {
+pub fn at_home(candidates: &[Candidate], zone: &ZoneName, client: &NodeName) -> Vec<NodeName> {
     let mut relays = relays(candidates).remove(zone).unwrap_or_default();
-    relays.sort_by_key(|relay| preference(asker, relay));
+    relays.sort_by_key(|relay| preference(client, relay));
     relays
 }
 
 /// Returns the relays that a node asks, in this order: those of its own zone first, each preferred by
 /// its share of the zone's nodes, then some of other zones.
-pub fn order(candidates: &[Candidate], zone: &ZoneName, asker: &NodeName) -> Vec<NodeName> {
+pub fn order(candidates: &[Candidate], zone: &ZoneName, client: &NodeName) -> Vec<NodeName> {
     let mut relays = relays(candidates);
     let mut order = relays.remove(zone).unwrap_or_default();
-    order.sort_by_key(|relay| preference(asker, relay));
+    order.sort_by_key(|relay| preference(client, relay));
     let mut others: Vec<NodeName> = relays.into_values().flatten().collect();
-    others.sort_by_key(|relay| preference(asker, relay));
+    others.sort_by_key(|relay| preference(client, relay));
     order.extend(others);
-    order.truncate(MOST_ASKED);
+    order.truncate(MAX_QUERIED);
     order
 }
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -1,6 +1,6 @@
 //! The store as a node sees it that asks relays first.
 
-use super::asker::{Asked, RelayAnswer, RelayAsker};
+use super::asker::{QueryOutcome, RelayAsker, RelayResponse};
 use super::budget::{FreshnessBudget, StoreTurn};
 use super::cache::{RelayedChanges, RelayedObject, RelayedPage};
 use crate::journal::messages::{PeerRequest, PeerResponse};
@@ -26,124 +26,131 @@
     /// Revision up to which the store is known: older answers are refused.
     known: Cell<Revision>,
     /// When the store itself is asked.
-    turn: RefCell<StoreTurn>,
+    schedule: RefCell<StoreTurn>,
     /// Rounds of questions that no relay has answered.
-    idle_rounds: Cell<u32>,
+    failed_rounds: Cell<u32>,
     /// The last round of questions ended with relays that are out of contact with the store.
-    doubted: Cell<bool>,
-    asks_store: Cell<bool>,
+    relays_disconnected: Cell<bool>,
+    queries_store: Cell<bool>,
     /// As of when the kind is known.
-    belief: Rc<Belief>,
+    freshness: Rc<Belief>,
     /// As of when the first page of the listing under way was.
     listed_as_of: Cell<Option<Instant>>,
 }
 
 /// What the store answered.
-struct StoreAnswer<T> {
-    asked_at: Instant,
-    told: T,
+struct StoreResponse<T> {
+    queried_at: Instant,
+    value: T,
 }
 
 /// Who has answered first.
-enum Learnt<T> {
-    FromRelay(RelayAnswer),
-    FromStore(StoreAnswer<T>),
+enum FirstResponse<T> {
+    FromRelay(RelayResponse),
+    FromStore(StoreResponse<T>),
 }
 
 /// Each object by itself: one that cannot be read has no content, and the others hold. Otherwise whatever
 /// the relay tells would fail, until somebody else has mended that object.
 fn decoded(objects: &[RelayedObject]) -> impl Iterator<Item = Object> {
-    objects.iter().map(|relayed| {
-        let object = relayed.decode();
+    objects.iter().map(|record_relayed| {
+        let object = record_relayed.decode();
         object.unwrap_or_else(|_| Object {
-            name: relayed.name.clone(),
-            revision: relayed.revision,
+            name: record_relayed.name.clone(),
+            revision: record_relayed.revision,
             ..Object::default()
         })
     })
 }
 
-fn page(relayed: &RelayedPage) -> Page {
+fn page(record_relayed: &RelayedPage) -> Page {
     Page {
-        objects: decoded(&relayed.objects).collect(),
-        more: relayed.more,
-        revision: relayed.revision,
+        objects: decoded(&record_relayed.objects).collect(),
+        more: record_relayed.more,
+        revision: record_relayed.revision,
     }
 }
 
-fn changes(relayed: &RelayedChanges) -> Changes {
-    let written = decoded(&relayed.written).map(Change::Written);
-    let removed = relayed.removed.iter().cloned().map(Change::Removed);
+fn changes(record_relayed: &RelayedChanges) -> Changes {
+    let written = decoded(&record_relayed.written).map(Change::Written);
+    let removed = record_relayed.removed.iter().cloned().map(Change::Removed);
     Changes {
         changes: written.chain(removed).collect(),
-        revision: relayed.revision,
+        revision: record_relayed.revision,
     }
 }
 
-fn unexpected() -> ObjectError {
+fn unexpected_response() -> ObjectError {
     ObjectError::Unanswered("a relay answered with another kind of message".to_owned())
 }
 
 impl RelayedStore {
-    /// Asks relays through `asker`, and `direct` in time for `budget`. Tells `belief` as of when the kind
+    /// Asks relays through `asker`, and `direct` in time for `budget`. Tells `freshness` as of when the kind
     /// is known.
     pub fn new(
         asker: RelayAsker,
         direct: Rc<dyn ObjectStore>,
         budget: FreshnessBudget,
-        belief: Rc<Belief>,
+        freshness: Rc<Belief>,
     ) -> Rc<Self> {
-        let turn = StoreTurn::new(budget, firshore_clock::now(), rand::random());
+        let schedule = StoreTurn::new(budget, firshore_clock::now(), rand::random());
         Rc::new(Self {
             asker,
             direct,
             budget,
             known: Cell::new(0),
-            turn: RefCell::new(turn),
-            idle_rounds: Cell::new(0),
-            doubted: Cell::new(false),
-            asks_store: Cell::new(false),
-            belief,
+            schedule: RefCell::new(schedule),
+            failed_rounds: Cell::new(0),
+            relays_disconnected: Cell::new(false),
+            queries_store: Cell::new(false),
+            freshness,
             listed_as_of: Cell::new(None),
         })
     }
 
     /// Asks relays until one is of use.
-    async fn ask_relays(&self, kind: &str, request: PeerRequest, wait: Duration) -> RelayAnswer {
+    async fn query_relays(
+        &self,
+        kind: &str,
+        request: PeerRequest,
+        wait: Duration,
+    ) -> RelayResponse {
         let limit = wait + self.budget.answer_margin();
         loop {
             match self.asker.ask(kind, &request, limit, self.budget).await {
-                Asked::Answered(answer) => return answer,
-                Asked::NoContact => self.doubted.set(true),
-                Asked::Nobody => self.look_for_relays(),
+                QueryOutcome::Answered(answer) => return answer,
+                QueryOutcome::NoContact => self.relays_disconnected.set(true),
+                QueryOutcome::NoResponse => self.refresh_relays(),
             }
-            actix_rt::time::sleep(self.budget.round_pause()).await;
+            actix_rt::time::sleep(self.budget.round_interval()).await;
         }
     }
 
     /// Asks relays for a page until one tells what is not too old already: the next question would go to
     /// the store at once, and this one would be asked again.
-    async fn ask_relays_for_page(&self, kind: &str, request: PeerRequest) -> RelayAnswer {
+    async fn query_relays_for_page(&self, kind: &str, request: PeerRequest) -> RelayResponse {
         loop {
             let wait = self.budget.relay_wait();
-            let answer = self.ask_relays(kind, request.clone(), wait).await;
+            let answer = self.query_relays(kind, request.clone(), wait).await;
             let as_of = match &answer.response {
                 PeerResponse::Page(page) => answer.as_of(page.contact),
                 _ => return answer,
             };
-            let knows_nothing = self.belief.as_of().is_none();
-            if knows_nothing || firshore_clock::now() < self.turn.borrow().due(Some(as_of), false) {
+            let is_first_listing = self.freshness.as_of().is_none();
+            if is_first_listing
+                || firshore_clock::now() < self.schedule.borrow().due(Some(as_of), false)
+            {
                 return answer;
             }
-            actix_rt::time::sleep(self.budget.round_pause()).await;
+            actix_rt::time::sleep(self.budget.round_interval()).await;
         }
     }
 
     /// Relays may have come or moved since the nodes were listed. Asked for after 1, 2, 4 and so on rounds:
     /// a listing is a call of the store. Nobody waits for it, as the store may be silent.
-    fn look_for_relays(&self) {
-        let rounds = self.idle_rounds.get().saturating_add(1);
-        self.idle_rounds.set(rounds);
+    fn refresh_relays(&self) {
+        let rounds = self.failed_rounds.get().saturating_add(1);
+        self.failed_rounds.set(rounds);
         if rounds.is_power_of_two() {
             let registry = self.asker.registry.clone();
             actix_rt::spawn(async move { registry.refresh().await });
@@ -151,70 +158,70 @@
     }
 
     /// Asks the store once it is due, until it answers.
-    async fn ask_store<'a, T>(
+    async fn query_store<'a, T>(
         &'a self,
         kind: &str,
-        question: impl Fn() -> Answer<'a, T>,
-    ) -> StoreAnswer<T> {
+        call: impl Fn() -> Answer<'a, T>,
+    ) -> StoreResponse<T> {
         loop {
             actix_rt::time::sleep_until(firshore_clock::as_timer(self.store_due())).await;
-            self.note_direct(kind);
+            self.log_store_query(kind);
             if !self.reaches_store().await {
-                self.turn.borrow_mut().failed(firshore_clock::now());
+                self.schedule.borrow_mut().failed(firshore_clock::now());
                 continue;
             }
-            let asked_at = firshore_clock::now();
-            let limit = self.turn.borrow().timeout();
-            let answer = timeout(limit, question()).await;
-            if let Ok(Ok(told)) = answer {
-                self.turn.borrow_mut().answered(rand::random());
-                return StoreAnswer { asked_at, told };
+            let queried_at = firshore_clock::now();
+            let limit = self.schedule.borrow().timeout();
+            let answer = timeout(limit, call()).await;
+            if let Ok(Ok(value)) = answer {
+                self.schedule.borrow_mut().answered(rand::random());
+                return StoreResponse { queried_at, value };
             }
-            self.turn.borrow_mut().failed(firshore_clock::now());
+            self.schedule.borrow_mut().failed(firshore_clock::now());
         }
     }
 
     /// Whether the store can be reached, where there is reason to doubt it: that costs a part of a
     /// question, and a store that is down is down for all nodes.
     async fn reaches_store(&self) -> bool {
-        if !self.is_doubted() {
+        if !self.is_store_doubtful() {
             return true;
         }
         let reached = timeout(self.budget.probe_timeout(), self.direct.reach()).await;
         matches!(reached, Ok(Ok(_)))
     }
 
-    fn is_doubted(&self) -> bool {
-        self.doubted.get() || self.turn.borrow().has_failed()
+    fn is_store_doubtful(&self) -> bool {
+        self.relays_disconnected.get() || self.schedule.borrow().has_failed()
     }
 
     /// When the store itself is to be asked.
     fn store_due(&self) -> Instant {
-        let as_of = self.belief.as_of();
-        self.turn.borrow().due(as_of, self.is_doubted())
+        let as_of = self.freshness.as_of();
+        self.schedule.borrow().due(as_of, self.is_store_doubtful())
     }
 
     /// A relay has told the store as of a moment.
-    fn relayed(&self, as_of: Instant) {
-        self.idle_rounds.set(0);
-        self.doubted.set(false);
-        self.turn.borrow_mut().relayed(as_of);
-        if self.asks_store.replace(false) {
+    fn record_relayed(&self, as_of: Instant) {
+        self.failed_rounds.set(0);
+        self.relays_disconnected.set(false);
+        self.schedule.borrow_mut().relayed(as_of);
+        if self.queries_store.replace(false) {
             info!(self.asker.log, "relay: Relays are asked again.");
         }
     }
 
-    fn note_direct(&self, kind: &str) {
-        if !self.asks_store.replace(true) {
+    fn log_store_query(&self, kind: &str) {
+        if !self.queries_store.replace(true) {
             warn!(self.asker.log, "relay: No relay is of use in time; the store itself is asked.";
-                "kind" => kind, "belief_age_ms" => self.belief.age_ms(),
+                "kind" => kind, "belief_age_ms" => self.freshness.age_ms(),
                 "bound_ms" => self.budget.bound().as_millis() as u64);
         }
     }
 
     /// Takes in up to which revision the store is known. An answer that knows less is refused: what was
     /// learned is never taken back.
-    fn know(&self, revision: Revision) -> Result<(), ObjectError> {
+    fn advance_known(&self, revision: Revision) -> Result<(), ObjectError> {
         if revision < self.known.get() {
             warn!(self.asker.log, "relay: Answer refused."; "revision" => revision,
                 "known" => self.known.get(), "reason" => "an older revision");
@@ -230,7 +237,7 @@
             self.listed_as_of.set(Some(as_of));
         }
         if let Some(as_of) = self.listed_as_of.get().filter(|_| !page.more) {
-            self.belief.confirm(as_of, source);
+            self.freshness.confirm(as_of, source);
         }
     }
 }
@@ -243,24 +250,24 @@
                 after: after.map(str::to_owned),
                 known: self.known.get(),
             };
-            let learnt = tokio::select! {
-                answer = self.ask_relays_for_page(kind, request) => Learnt::FromRelay(answer),
-                answer = self.ask_store(kind, || self.direct.list(kind, after)) => {
-                    Learnt::FromStore(answer)
+            let first = tokio::select! {
+                answer = self.query_relays_for_page(kind, request) => FirstResponse::FromRelay(answer),
+                answer = self.query_store(kind, || self.direct.list(kind, after)) => {
+                    FirstResponse::FromStore(answer)
                 }
             };
-            let (page, as_of, source) = match learnt {
-                Learnt::FromRelay(answer) => {
-                    let PeerResponse::Page(relayed) = &answer.response else {
-                        return Err(unexpected());
+            let (page, as_of, source) = match first {
+                FirstResponse::FromRelay(answer) => {
+                    let PeerResponse::Page(record_relayed) = &answer.response else {
+                        return Err(unexpected_response());
                     };
-                    let as_of = answer.as_of(relayed.contact);
-                    self.relayed(as_of);
-                    (page(relayed), as_of, answer.source())
+                    let as_of = answer.as_of(record_relayed.contact);
+                    self.record_relayed(as_of);
+                    (page(record_relayed), as_of, answer.source())
                 }
-                Learnt::FromStore(answer) => (answer.told, answer.asked_at, BeliefSource::Store),
+                FirstResponse::FromStore(answer) => (answer.value, answer.queried_at, BeliefSource::Store),
             };
-            self.know(page.revision)?;
+            self.advance_known(page.revision)?;
             self.confirm_page(&page, after, as_of, source);
             Ok(page)
         }
@@ -278,21 +285,21 @@
                 known: after,
                 wait: wait.as_millis() as u64,
             };
-            let asking = self.ask_relays(kind, request, wait);
-            let Ok(answer) = timeout_at(firshore_clock::as_timer(self.store_due()), asking).await
+            let query = self.query_relays(kind, request, wait);
+            let Ok(answer) = timeout_at(firshore_clock::as_timer(self.store_due()), query).await
             else {
                 return Err(ObjectError::HistoryGone);
             };
-            let relayed = match &answer.response {
-                PeerResponse::Changes(relayed) => relayed,
+            let record_relayed = match &answer.response {
+                PeerResponse::Changes(record_relayed) => record_relayed,
                 PeerResponse::HistoryGone => return Err(ObjectError::HistoryGone),
-                _ => return Err(unexpected()),
+                _ => return Err(unexpected_response()),
             };
-            let changes = changes(relayed);
-            self.know(changes.revision)?;
-            let as_of = answer.as_of(relayed.contact);
-            self.relayed(as_of);
-            self.belief.confirm(as_of, answer.source());
+            let changes = changes(record_relayed);
+            self.advance_known(changes.revision)?;
+            let as_of = answer.as_of(record_relayed.contact);
+            self.record_relayed(as_of);
+            self.freshness.confirm(as_of, answer.source());
             Ok(changes)
         }
         .boxed_local()
