--- a/crates/firshore-node/src/journal/client.rs
+++ b/crates/firshore-node/src/journal/client.rs
@@ -1,5 +1,5 @@
-//! Asks the journal's leader, wherever it is: follows hints, tries other nodes, and gives up after
-//! a while. Everything asked may be asked again, so a lost answer is asked for again.
+//! Client of the journal's leader, on any node. Follows redirects, tries other nodes and gives up
+//! after a timeout. All requests are idempotent, so a request without a response is sent again.
 
 use super::PeerClient;
 use super::contact::PeerContact;
@@ -29,22 +29,22 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest time for one question, all tries together, beyond any wait asked for.
+/// Timeout of a request over all attempts, beyond the wait that it asks for.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Longest wait for one node's answer, beyond any wait asked for.
+/// Timeout of one attempt at one node, beyond the wait that the request asks for.
 pub(super) const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause after every node was asked in vain.
+/// Interval between two rounds over all nodes.
 const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after which items that wait may have made room, in seconds: items take some seconds each.
+/// Time after which queued items may have freed capacity, in seconds: items take some seconds each.
 const QUEUE_RETRY_SECONDS: u32 = 2;
 
 const DISK_FULL: &str = "The journal's disk has no space left for new work.";
 const MEMORY_FULL: &str = "The journal's leader has no memory left for new work.";
 
-/// The journal as seen from a node that serves callers.
+/// Client of the journal on a node that serves callers.
 pub struct JournalClient {
     node: NodeName,
     registry: Rc<Registry>,
@@ -55,17 +55,17 @@
     log: Logger,
 }
 
-/// What the leader or a relay answers a node that tells its load.
+/// Response of the leader or a relay to a load report.
 pub struct OthersLoad {
-    /// Requests that all other nodes have under way at each back end.
+    /// Requests that all other nodes have in flight at each back end.
     pub counts: HashMap<BackendName, u32>,
-    /// Time until this node is to tell again.
+    /// Time until this node's next report.
     pub pause: Duration,
-    /// Age of the oldest part of it.
+    /// Age of the oldest data in it.
     pub age: Duration,
-    /// What tenants may still ask.
+    /// Remaining limits of tenants.
     pub news: Option<UsageNews>,
-    /// What back ends told others of their pace a moment ago.
+    /// Paces of back ends that others reported recently.
     pub paces: Vec<BackendPace>,
 }
 
@@ -88,7 +88,7 @@
     Redirected(Option<NodeName>),
     Refused(ApiError),
     NotSent,
-    /// It answered that the outcome is not known.
+    /// The peer responded that the outcome is unknown.
     Unknown,
     NoResponse,
 }
@@ -96,7 +96,7 @@
 fn unavailable(unknown: bool) -> ApiError {
     let message = "No leader of the journal answered in time.";
     match unknown {
-        // No promise can be given, so not the status of one.
+        // The job may have been accepted, so the error must not say that it was not run.
         true => ApiError::maybe_run(ErrorCode::DeadlineExceeded, message),
         false => ApiError::not_run(ErrorCode::JournalUnavailable, message).retry_after(1),
     }
@@ -117,7 +117,7 @@
 }
 
 impl JournalClient {
-    /// Asks the nodes that `registry` lists, on behalf of `node`.
+    /// Creates a client on `node` that sends requests to the nodes in `registry`.
     pub fn new(node: NodeName, registry: Rc<Registry>, peers: PeerClient, log: Logger) -> Self {
         Self {
             node,
@@ -161,7 +161,7 @@
                     *self.leader.borrow_mut() = Some(target);
                     return Ok(response);
                 }
-                // What an earlier try may have done is not undone by a later refusal.
+                // An earlier attempt may have taken effect despite this refusal.
                 AttemptOutcome::Refused(_) if unknown && request.is_mutation() => {
                     return Err(unavailable(true));
                 }
@@ -178,13 +178,13 @@
         }
     }
 
-    /// Returns the leader, as far as known.
+    /// Returns the leader, if known.
     pub fn leader(&self) -> Option<NodeName> {
         self.leader.borrow().clone()
     }
 
-    /// Tells the leader what is under way, `sums` if a relay does so for several nodes. Learns what all
-    /// others have. Asks once: what is missed is told again a moment later.
+    /// Reports load to the leader and returns that of all others. `sums` is set if a relay reports
+    /// for several nodes. Makes one attempt: the next report follows soon.
     pub async fn tell_leader(&self, report: ToldLoad, sums: bool) -> Option<OthersLoad> {
         let leader = self.leader();
         let target = match leader.or_else(|| self.rotated_nodes().pop()) {
@@ -213,7 +213,7 @@
             _ => {
                 self.leader.borrow_mut().take();
                 if self.registry.address(&target).is_none() {
-                    // It came after the nodes were listed.
+                    // The node was added after the last listing.
                     self.registry.refresh().await;
                 }
                 None
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Tells a relay what this node has under way, and learns what all others have.
+    /// Reports this node's load to a relay and returns that of all others.
     pub async fn tell_relay(&self, relay: &NodeName, report: ToldLoad) -> Option<OthersLoad> {
         match self.send_load(relay, report, false).await {
             AttemptOutcome::Answered(PeerResponse::Load {
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Takes back what was told a node before, as another is told from now on.
+    /// Retracts the last report to a node, because later ones go to another node.
     pub async fn retract(&self, node: &NodeName, report: ToldLoad) {
         if let AttemptOutcome::NotSent | AttemptOutcome::NoResponse =
             self.send_load(node, report, false).await
@@ -273,7 +273,7 @@
         self.registry.candidates()
     }
 
-    /// The nodes to ask, in a random order.
+    /// Returns the nodes to query, starting at a random one.
     fn rotated_nodes(&self) -> Vec<NodeName> {
         let mut names = self.registry.names();
         if !names.is_empty() {
@@ -283,7 +283,7 @@
         names
     }
 
-    /// Whether no node of the journal answers any more.
+    /// Returns whether no node of the journal responds; logs each change.
     pub fn is_cut_off(&self) -> bool {
         let lost = self.contact.get().is_lost(firshore_clock::now().into_std());
         if lost != self.was_lost.replace(lost) {
@@ -301,7 +301,7 @@
         self.contact.set(contact);
     }
 
-    /// Asks one node, and takes in whether it answers at all.
+    /// Queries one node and records whether it responded.
     async fn query_node(
         &self,
         target: &NodeName,
--- a/crates/firshore-node/src/journal/contact.rs
+++ b/crates/firshore-node/src/journal/contact.rs
@@ -1,44 +1,44 @@
-//! Whether a node reaches the nodes of the journal at all. No I/O; the time is passed in.
+//! Tracks whether this node can reach any node of the journal. No I/O; the time is passed in.
 
 use std::time::{Duration, Instant};
 
-/// Time without any answer after which the contact counts as lost: longer than a leader's loss leaves
-/// a question unanswered, since the other nodes answer meanwhile.
+/// Time without any response after which contact counts as lost. Longer than a request waits after
+/// the loss of a leader, since other nodes respond meanwhile.
 const LOST_AFTER: Duration = Duration::from_secs(1);
 
-/// Time after a question for which no other one is needed to learn that the contact is back: the time
-/// that it waits, and the pause of a node that tells its load.
+/// Time after a query within which no other one is needed to detect that contact is back: the
+/// query's timeout plus the report interval of a node.
 const PROBE_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// The contact to the journal's nodes, whichever answers.
+/// Contact to the journal's nodes, any of which may respond.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerContact {
-    /// Since when an answer is due.
+    /// Time since which a response is due.
     unanswered_since: Option<Instant>,
     queried_at: Option<Instant>,
 }
 
 impl PeerContact {
-    /// Takes in that a question was asked now, to be answered at `due` at the latest.
+    /// Records a query sent now whose response is due at `due`.
     pub fn asked(&mut self, now: Instant, due: Instant) {
         self.queried_at = Some(now);
         let since = self.unanswered_since.get_or_insert(due);
         *since = due.min(*since);
     }
 
-    /// Takes in that a node has answered, whatever it said.
+    /// Records a response of any kind.
     pub fn heard(&mut self) {
         self.unanswered_since = None;
     }
 
-    /// Returns whether a question is given up unasked: the contact is lost, and another question was
-    /// asked a moment ago, whose answer would tell that it is back.
+    /// Returns whether a query should fail without being sent: contact is lost, and a recent query
+    /// will show whether it is back.
     pub fn is_hopeless(&self, now: Instant) -> bool {
         let recent = |queried_at| now.saturating_duration_since(queried_at) < PROBE_WINDOW;
         self.is_lost(now) && self.queried_at.is_some_and(recent)
     }
 
-    /// Returns whether no node answers any more.
+    /// Returns whether no node responds.
     pub fn is_lost(&self, now: Instant) -> bool {
         let since = self.unanswered_since;
         since.is_some_and(|since| now.saturating_duration_since(since) >= LOST_AFTER)
--- a/crates/firshore-node/src/journal/duties.rs
+++ b/crates/firshore-node/src/journal/duties.rs
@@ -1,5 +1,5 @@
-//! What only the leader of the journal follows: calls to the store are dear, and its followers
-//! learn what they need when they lead.
+//! Watches that only the journal's leader runs. Calls to the store are expensive, and followers
+//! read what they need when they become the leader.
 
 use super::Journal;
 use super::registry::KIND;
@@ -15,38 +15,38 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time between looks while nothing changes.
+/// Interval between checks while nothing changes.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause after a change of the nodes or of the wishes to empty some.
+/// Wait after a change of the nodes or of the requests to drain some.
 const CHANGE_SPACING: Duration = Duration::from_millis(500);
 
-/// Longest wait for a change of these, so that a swallowed watch is noticed: 24 calls a minute in all.
+/// Maximum wait of a watch, so that a lost one is noticed: 24 calls per minute in all.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// What a leader follows.
+/// Watches of the leader.
 pub struct Duties {
-    /// Back ends and configuration.
+    /// Receives back ends and configuration.
     pub gateway: Rc<Gateway>,
-    /// The journal.
+    /// The journal that this node may lead.
     pub journal: Rc<Journal>,
-    /// Nodes that are to be emptied.
+    /// Receives the nodes to drain.
     pub retirements: Rc<Retirements>,
-    /// The store.
+    /// Settings of the object store.
     pub objects: Objects,
-    /// Who asks relays for back ends and the configuration; `None` where something else on this node
-    /// follows them.
+    /// Creates clients of relays for back ends and the configuration; `None` where something else
+    /// on this node follows these.
     ///
-    /// A leader that watched the store itself learned of a cut only when its connection was given up, 3 s
-    /// later, and ran items at back ends that had left meanwhile.
+    /// A leader that watched the store directly would notice a partition only when its connection
+    /// is closed, and run items at back ends that were removed meanwhile.
     pub asker: Option<MakeAsker>,
 }
 
-/// Makes who asks relays, one for each kind.
+/// Creates a client of relays; one is needed for each kind.
 pub type MakeAsker = Rc<dyn Fn() -> RelayAsker>;
 
 impl Duties {
-    /// Runs until the node ends.
+    /// Starts and stops the watches with leadership, until the node ends.
     pub async fn run(self) {
         let mut changes = self.journal.replica.changes();
         let mut tasks: Vec<Task> = Vec::new();
@@ -94,7 +94,7 @@
         tasks
     }
 
-    /// What is not followed any more must not be acted on.
+    /// Drops watched state, which must not be used once it is no longer updated.
     fn discard(&self) {
         self.retirements.stop_watching();
         if self.asker.is_some() {
--- a/crates/firshore-node/src/journal/group_keeper.rs
+++ b/crates/firshore-node/src/journal/group_keeper.rs
@@ -1,5 +1,6 @@
-//! What the upkeep of a group's replicas does next: hand leadership over, record the voters, change the
-//! membership, go on alone. No I/O; the time and what the store lists are passed in.
+//! Decides the next step of a group's maintenance: transfer leadership, record the voters, change
+//! the membership, or continue without a quorum. No I/O; the time and the store's listing are
+//! passed in.
 
 use super::SILENCE_SHARE;
 use super::lost_quorum::{self, LeaderlessTime};
@@ -13,36 +14,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Part of the time in which a new disk has to hold everything after which one of a pair goes on
-/// without the other although no other disk could take its place: cuts mostly end sooner, and a
-/// lone replica may promise nothing, but lets what is listed be read.
+/// Fraction of the catch-up time after which one voter of a pair continues without the other
+/// although no disk could replace it. Partitions mostly end sooner, and a single replica may accept
+/// nothing, though it can serve what is listed.
 const LONE_FRACTION: f64 = 1.0;
 
-/// Part of that time for which a voter stays silent beyond the limit until the group does without it though
-/// no other disk takes its place: with the silence itself and a change of leader this ends before the
-/// machine that replaces it counts as recovered, after which the next loss may come.
+/// Fraction of the catch-up time for which a voter, beyond the timeout, stays unresponsive until it
+/// is removed although no disk replaces it. Together with the timeout and a change of leader this
+/// is shorter than a replaced machine needs to count as recovered, after which the next loss may
+/// occur.
 const GIVE_UP_FRACTION: f64 = 0.4;
 
-/// The same for a disk that answers and does not catch up, where another one could be tried.
+/// Fraction of the catch-up time after which a learner that responds but doesn't catch up is
+/// replaced by another disk.
 const LEARNER_FRACTION: f64 = 2.0;
 
-/// What a group is to be.
+/// Desired state of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct KeeperTerms {
-    /// Voters that the group is to have.
+    /// Desired number of voters.
     pub target: usize,
-    /// Disks that have to hold what is promised.
+    /// Number of disks that must hold accepted jobs.
     pub least: usize,
-    /// Time in which a new disk has to hold everything.
+    /// Time within which a new disk has to hold everything.
     pub catch_up: Duration,
 }
 
-/// Nodes that operators want emptied.
+/// Nodes that operators are draining.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeavingNodes {
-    /// Those that hold or may hold something still.
+    /// Nodes that hold or may still hold replicas.
     pub open: BTreeSet<NodeName>,
-    /// Those that were reported as empty, and are gone with their disks.
+    /// Nodes that were reported as drained, and may be removed with their disks.
     pub done: BTreeSet<NodeName>,
 }
 
@@ -52,44 +55,45 @@
     }
 }
 
-/// What is known at one look.
+/// Input to one decision.
 #[derive(Clone, Copy, Debug)]
 pub struct KeeperView<'a> {
     /// This node.
     pub node: &'a NodeName,
-    /// What this node's replica told last.
+    /// Last status of this node's replica.
     pub status: &'a GroupStatus,
     /// Disks that the store lists.
     pub candidates: &'a [Candidate],
-    /// Nodes that are to be emptied; `None` where they are not followed.
+    /// Nodes to drain; `None` while they are not watched.
     pub leaving: Option<&'a LeavingNodes>,
-    /// The voters as the store records them.
+    /// The voters as recorded in the store.
     pub recorded: Option<&'a VoterRecord>,
-    /// Whether another record, written without an answer, may still take effect.
+    /// Whether an unconfirmed write of another record may still take effect.
     pub doubtful: bool,
-    /// When the store was last listed whole; what was known before may have been changed by a leader that
-    /// this node followed since.
+    /// When the last full listing of the store began. What was listed earlier may have been changed
+    /// since by a leader that this node followed.
     pub listed_at: Option<Instant>,
 }
 
-/// What to do.
+/// Next step of the maintenance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeeperStep {
-    /// Nothing.
+    /// Nothing to do.
     Rest,
-    /// List the nodes that are to be emptied, and look again.
+    /// List the nodes to drain, and decide again.
     ListLeaving,
-    /// Hand leadership to this voter.
+    /// Transfer leadership to this voter.
     StepAside(DiskId),
     /// Write these voters to the store.
     Record(VoterRecord),
     /// Change the membership.
     Change(MembershipChange),
-    /// Take a disk that never answered out of the group; it is passed over for a while.
+    /// Remove a learner that doesn't respond or doesn't catch up, and exclude its disk for this
+    /// time.
     PassOver(DiskId, Duration),
-    /// Go on without a quorum, with these disks.
+    /// Continue without a quorum, with these disks.
     ContinueWith(Survivors),
-    /// Leave the history of the log for this later one.
+    /// Leave the log's history for this later one.
     JoinHistory(u64),
 }
 
@@ -97,7 +101,7 @@
     membership.voters().collect()
 }
 
-/// The voters once a change is in force.
+/// Returns the voters once a change is in force.
 fn voters_after(membership: &Membership, change: &MembershipChange) -> BTreeSet<DiskId> {
     let mut voters = voters_of(membership);
     match change {
@@ -112,7 +116,7 @@
     voters
 }
 
-/// Whether the store names these voters, as this leader wrote them in its term.
+/// Returns whether the store names these voters, as written by this leader in its term.
 fn is_recorded(view: &KeeperView, voters: &BTreeSet<DiskId>) -> bool {
     let record = view.recorded.filter(|_| !view.doubtful);
     record.is_some_and(|record| {
@@ -120,7 +124,7 @@
     })
 }
 
-/// Whether a replica's disk is known never to come back: its node has another one by now.
+/// Returns whether a replica's disk is lost for good, because its node has another one.
 pub(super) fn is_superseded(view: &KeeperView, disk: DiskId) -> bool {
     let Some(replica) = view.status.membership.replicas.get(&disk) else {
         return false;
@@ -129,24 +133,24 @@
     present.is_some_and(|one| one.disk != disk)
 }
 
-/// The state of the upkeep on one node.
+/// State of the maintenance on one node.
 #[derive(Debug)]
 pub struct GroupKeeper {
     terms: KeeperTerms,
-    /// Disks that were taken in and stayed silent.
+    /// Disks excluded after failed attempts as learners.
     passed_over: PassedOver,
-    /// Since when no leader is known.
+    /// Time since which no leader is known.
     leaderless_since: Option<Instant>,
-    /// The record of voters as it was seen last, and since when.
+    /// Last record of voters, and since when it is unchanged.
     recorded: Option<(VoterRecord, Instant)>,
-    /// Since when voters are silent for longer than the limit.
+    /// Time since which each voter has exceeded the timeout.
     unresponsive_since: BTreeMap<DiskId, Instant>,
-    /// The disk that is to catch up, and since when.
+    /// The disk that is catching up, and since when.
     learner: Option<(DiskId, Instant)>,
 }
 
 impl GroupKeeper {
-    /// Returns the upkeep of a group that is to be as `terms` say.
+    /// Creates the state for a group with these desired properties.
     pub fn new(terms: KeeperTerms) -> Self {
         Self {
             terms,
@@ -158,13 +162,14 @@
         }
     }
 
-    /// Takes in what the replica told, before the store is asked for what a step rests on.
+    /// Records the replica's status. Called before the store is queried, as the steps depend on
+    /// times since a status.
     pub fn observe(&mut self, now: Instant, status: &GroupStatus) {
         self.update_leader(now, status);
         self.update_unresponsive(now, status);
     }
 
-    /// Takes in what is known now, and returns what to do.
+    /// Updates the state and returns the next step.
     pub fn step(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
         self.observe(now, view.status);
         self.update_record(now, view.recorded);
@@ -183,8 +188,7 @@
         KeeperStep::Rest
     }
 
-    /// Returns whether nothing that was promised needs the disk of a node any more, as the leader knows
-    /// it.
+    /// Returns whether a node's disk is no longer needed for accepted jobs, as known by the leader.
     pub fn is_emptied(&self, view: &KeeperView, node: &NodeName) -> bool {
         let membership = &view.status.membership;
         let mut replicas = membership.replicas.values();
@@ -219,9 +223,10 @@
         }
     }
 
-    /// Voters that stayed silent for so long that a disk in their place would soon have caught up. The
-    /// group is better off without them, also where no disk is there: of three voters one of which is gone
-    /// for good, a further loss leaves no quorum and no proof, of two it leaves one that can go on.
+    /// Returns voters that were unresponsive for so long that a replacement would soon have caught
+    /// up. They are removed even without a replacement. If one of three voters is lost for good, a
+    /// further loss leaves neither a quorum nor proof of what was committed; of two, it leaves one
+    /// that can continue.
     fn unresponsive_voters(&self, now: Instant) -> impl Iterator<Item = DiskId> {
         let least = self.terms.catch_up.mul_f64(GIVE_UP_FRACTION);
         let silent = self.unresponsive_since.iter();
@@ -230,9 +235,9 @@
             .map(|(disk, _)| *disk)
     }
 
-    /// Keeps as many replicas as are to be, on disks that are there.
+    /// Keeps the desired number of replicas on available disks.
     fn place_replicas(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
-        // A leader that does not know yet who is to be emptied would take such a node in.
+        // Without the nodes to drain, the leader might add a replica on one of them.
         let Some(leaving) = view.leaving else {
             return KeeperStep::Rest;
         };
@@ -241,12 +246,12 @@
         if leaving.contains(view.node)
             && let Some(heir) = group.heir()
         {
-            // The next leader takes this replica out of the group.
+            // The next leader removes this replica.
             return KeeperStep::StepAside(heir);
         }
         let usable = self.usable(now, view, leaving, group.is_short());
         if !status.membership_committed {
-            // Nothing is recorded that might never enter the log.
+            // Nothing may be recorded that might never enter the log.
             return KeeperStep::Rest;
         }
         if let Some(learner) = self.overdue_learner(now, &group)
@@ -276,7 +281,7 @@
         if let MembershipChange::Remove(disk) = &change
             && !present.contains(disk)
         {
-            // A learner that never answered: its node is registered, but gone.
+            // A learner that never responded: its node is registered but lost.
             let backoff = self.passed_over.stayed_silent(now, *disk);
             return KeeperStep::PassOver(*disk, backoff);
         }
@@ -303,9 +308,9 @@
         }
     }
 
-    /// The disk that is to catch up, if it has been at that for too long: one that answers but never holds
-    /// everything, as its disk is full or slow, would keep all others out. It goes on where it was when it
-    /// is tried again.
+    /// Returns the learner if it has been catching up for too long. One that responds but never
+    /// holds everything, because its disk is full or slow, would block all other disks. It
+    /// continues from its position when it is tried again.
     fn overdue_learner(&mut self, now: Instant, group: &GroupView) -> Option<DiskId> {
         let learner = group.learner();
         if self.learner.map(|(disk, _)| disk) != learner {
@@ -316,9 +321,9 @@
         (now.saturating_duration_since(since) >= limit).then_some(disk)
     }
 
-    /// Disks that could be taken in: on nodes that are to stay, but for those that stayed silent a moment
-    /// ago. Where the group is short of disks, those on nodes that are to be emptied too: until that is
-    /// reported as done, they are better than none.
+    /// Returns disks that could be added: on nodes that stay, and not excluded after a recent
+    /// failure. If the group is short of disks and these have all failed, includes disks on nodes
+    /// to drain that are not reported as drained yet.
     fn usable(
         &mut self,
         now: Instant,
@@ -344,8 +349,8 @@
         {
             usable.extend(last);
         }
-        // A node that is gone for good stays listed: those that failed less often go first, so that it does
-        // not keep one out that could be reached meanwhile.
+        // A lost node stays listed. Disks that failed less often come first, so that it doesn't
+        // block a disk that may be reachable by now.
         let failures = |one: &&Candidate| self.passed_over.backoff(one.disk);
         if membership.voters().count() < self.terms.target {
             let fewest = usable.iter().map(failures).min();
@@ -376,15 +381,16 @@
         }
     }
 
-    /// Whether the store was listed since no leader is known.
+    /// Returns whether the store was listed since the leader was lost.
     fn is_listed_since(&self, view: &KeeperView) -> bool {
         let since = self.leaderless_since;
         since.is_some_and(|since| view.listed_at.is_some_and(|listed| listed >= since))
     }
 }
 
-/// Those of these voters whose disks are known to be gone before they become the voters. A record that names
-/// them already was written earlier, when more of them may have been there.
+/// Returns those of these voters whose disks are known to be lost before they become the voters. If
+/// the record names these voters already, its list is used: more of them may have been present when
+/// it was written.
 fn lost_before(view: &KeeperView, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
     let recorded = view.recorded.filter(|record| record.voters == *voters);
     if let Some(record) = recorded {
@@ -394,16 +400,17 @@
     gone.filter(|disk| is_superseded(view, *disk)).collect()
 }
 
-/// The later history that the record names and that is to be joined: others went on in it, and whoever
-/// stays in the earlier one would write over the record and lead beside them. A disk that is to begin it
-/// does so by going on, unless it still leads.
+/// Returns the later history that the record names and that this replica must join. Other disks
+/// continued in it; a replica that stays in the earlier one would overwrite the record and be a
+/// second leader. A disk that is to begin the history does so by continuing, unless it still leads.
 fn later_history(view: &KeeperView) -> Option<u64> {
     let record = view.recorded?;
     let begins = record.is_begun_by(view.status.disk) && !view.status.leads;
     (record.history > view.status.history && !begins).then_some(record.history)
 }
 
-/// The disk that the only voter left behind and that still holds everything promised, on record.
+/// Returns the recorded disk that the only voter left behind and that still holds all accepted
+/// jobs.
 fn left_behind(view: &KeeperView) -> Option<DiskId> {
     view.recorded.and_then(|record| record.left_behind)
 }
@@ -418,7 +425,8 @@
     }
     let alone = voters.len() == 1;
     let left_behind = left_behind(view).filter(|disk| alone && !voters.contains(disk));
-    // Voters that the record does not name were in force before; whoever is gone by now may have been there.
+    // Voters that the record doesn't name were in force before; lost ones may have been present
+    // then.
     let known = record.voters == voters;
     let gone = record.gone.iter().copied().filter(|_| known);
     KeeperStep::Record(VoterRecord {
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -1,11 +1,14 @@
-//! Who goes on where a group has lost its quorum. No I/O; what is known is passed in.
+//! Decides which replicas continue after a group has lost its quorum. No I/O; the state is passed
+//! in.
 //!
-//! A quorum of each group that may be in force holds everything committed. So those that are left hold it
-//! if they are part of every such quorum, and nobody else can commit anything without them. The record of
-//! voters names these groups; who goes on writes itself there first, by compare-and-set.
+//! A quorum of each group that may be in force holds everything committed. The remaining disks
+//! therefore hold it if they intersect every such quorum, and then no other disks can commit
+//! anything without them. The record of voters names these groups. Disks that continue write
+//! themselves to the record first, by compare-and-set.
 //!
-//! A disk that a lone voter left behind needs no such proof. It begins a later history, and the record, which
-//! the lone voter has to write before it promises anything, shuts that one out.
+//! A disk that a single voter left behind needs no such proof. It begins a later history by writing
+//! the record; the single voter has to write the record before it accepts anything, and is then
+//! excluded.
 
 use super::group_keeper::{KeeperStep, KeeperView, LeavingNodes, is_superseded, voters_of};
 use super::registry::VoterRecord;
@@ -13,12 +16,12 @@
 use firshore_replication::types::{DiskId, ReplicaInfo, ReplicaRole};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long no leader was known.
+/// Which limits the time without a leader exceeds.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderlessTime {
-    /// Longer than a replica may be silent.
+    /// It exceeds the timeout of a replica.
     pub timed_out: bool,
-    /// As long as a new disk has to catch up.
+    /// It exceeds the time in which a new disk has to catch up.
     pub catch_up_elapsed: bool,
 }
 
@@ -26,8 +29,8 @@
     voters.len() / 2 + 1
 }
 
-/// Returns what a replica without a leader does. `least` disks have to hold what is promised; `unchanged`
-/// counts from the last change of the record too.
+/// Returns the next step of a replica without a leader. `least` disks have to hold accepted jobs;
+/// `unchanged` counts from the last change of the record if that is later.
 pub fn step(
     view: &KeeperView,
     least: usize,
@@ -48,7 +51,7 @@
         return step_left_behind(view, record, unchanged);
     }
     if !record.possible().iter().any(|voters| voters.contains(&own)) {
-        // It was removed, and asks nobody.
+        // This replica was removed and must not continue.
         return KeeperStep::Rest;
     }
     let present = voters_of(&view.status.membership);
@@ -60,7 +63,7 @@
         return KeeperStep::ListLeaving;
     };
     let possible = possible_groups(view, leaving, record, least);
-    let sets = sets(view, leaving, &possible, leaderless);
+    let sets = disk_sets(view, leaving, &possible, leaderless);
     let remaining = &sets.remaining;
     let lost_quorum = present.intersection(remaining).count() < quorum_of(&present);
     let certain = possible.iter().all(|voters| {
@@ -76,7 +79,7 @@
     }
 }
 
-/// Returns the groups that may be in force, and that may have promised something.
+/// Returns the groups that may be in force and may have accepted something.
 fn possible_groups(
     view: &KeeperView,
     leaving: &LeavingNodes,
@@ -88,11 +91,11 @@
     if record.voters == voters_of(&view.status.committed_membership) {
         possible.truncate(1);
     }
-    // Groups that may promise nothing bind nobody whose log names the one that follows them.
+    // A group too small to accept anything doesn't bind replicas whose log names its successor.
     if record.voters == present {
         possible.retain(|voters| *voters == present || quorum_of(voters) >= least);
     }
-    // A node is reported as empty only once the change that removed its disk is committed.
+    // A node is reported as drained only once the change that removed its disk is committed.
     possible.retain(|voters| {
         !voters
             .iter()
@@ -103,16 +106,16 @@
 
 /// The disks of the groups that may be in force.
 struct DiskSets {
-    /// Those that go on.
+    /// Disks that continue.
     remaining: BTreeSet<DiskId>,
-    /// Those that do not answer, and may come back with what they hold.
+    /// Disks that don't respond but may return with their data.
     unresponsive: BTreeSet<DiskId>,
 }
 
-/// Returns which disks of these groups are left. Those that do not answer are waited for: the whole time
-/// that a new disk has to catch up, or less where another disk can take their place. Meanwhile what was
-/// promised lies on too few disks, and the next loss that is allowed may take it.
-fn sets(
+/// Returns which disks of these groups remain. Unresponsive ones are waited for: for the whole
+/// catch-up time, or for less if another disk can replace them. Meanwhile accepted jobs are on too
+/// few disks, and the next tolerated loss may lose them.
+fn disk_sets(
     view: &KeeperView,
     leaving: &LeavingNodes,
     possible: &[BTreeSet<DiskId>],
@@ -136,15 +139,17 @@
     }
 }
 
-/// Whether whatever those left commit is known to one of each quorum that the silent ones could gather with
-/// their help, under these voters: then nobody commits anything else.
+/// Returns whether the remaining disks exclude commits by others: each quorum that the unresponsive
+/// voters could form with help of remaining ones contains a disk that knows what the remaining ones
+/// commit.
 fn excludes_other_commits(sets: &DiskSets, voters: &BTreeSet<DiskId>) -> bool {
     let unresponsive = sets.unresponsive.intersection(voters).count();
     let helpers = quorum_of(voters).saturating_sub(unresponsive);
     quorum_of(&sets.remaining) + helpers > sets.remaining.len()
 }
 
-/// Whether each quorum of these voters that may have committed something contains one of those that are left.
+/// Returns whether each quorum of these voters that may have committed something contains a
+/// remaining disk.
 fn intersects_quorums(
     remaining: &BTreeSet<DiskId>,
     voters: &BTreeSet<DiskId>,
@@ -154,17 +159,17 @@
     lost.filter(|disk| !never_held.contains(*disk)).count() < quorum_of(voters)
 }
 
-/// Whether a disk went with a node that was reported as empty.
+/// Returns whether a disk was on a node that was reported as drained.
 fn is_drained_disk(view: &KeeperView, leaving: &LeavingNodes, disk: DiskId) -> bool {
     let mut listed = view.candidates.iter();
     listed.any(|one| one.disk == disk && leaving.done.contains(&one.node))
 }
 
-/// Returns what the disk does that a lone voter left behind.
+/// Returns the next step of a disk that a single voter left behind.
 ///
-/// It holds everything promised, as that one can promise nothing before it has written its next voters to
-/// the record. Written there first, this disk needs no proof that the other one is gone: whoever stays in
-/// the earlier history is shut out.
+/// It holds all accepted jobs, as the single voter can accept nothing before it has written its
+/// next voters to the record. Once this disk is recorded first, it needs no proof that the other
+/// one is lost: a replica that stays in the earlier history is excluded.
 fn step_left_behind(
     view: &KeeperView,
     record: &VoterRecord,
@@ -189,8 +194,8 @@
             }
             record_next_history(view, record, BTreeSet::from([own]), Vec::new(), Some(*lone))
         }
-        // The lone voter was about to make another disk a voter. That one holds everything if the change is
-        // in its log, which is the longer one then; otherwise this disk does.
+        // The single voter was about to promote a learner. If that change is in the learner's log,
+        // its log is the longer one and holds everything; otherwise this disk holds everything.
         ([lone], [learner]) if record.before == [BTreeSet::from([*lone])] => {
             let before = vec![record.voters.clone()];
             record_next_history(view, record, BTreeSet::from([own, *learner]), before, None)
@@ -199,8 +204,8 @@
     }
 }
 
-/// Records that these disks begin the next history. While they have not, one of them may hold what only a
-/// group `before` has committed.
+/// Records that these disks begin the next history. Until they have, one of them may hold entries
+/// that only a group in `before` has committed.
 fn record_next_history(
     view: &KeeperView,
     record: &VoterRecord,
@@ -220,7 +225,7 @@
     })
 }
 
-/// Goes on in the history that the record says this disk begins.
+/// Continues in the history that this disk begins according to the record.
 fn begin_history(view: &KeeperView, record: &VoterRecord) -> KeeperStep {
     let Some(replicas) = survivors(view, &record.voters) else {
         return KeeperStep::Rest;
@@ -236,7 +241,7 @@
     })
 }
 
-/// Returns where these disks are, if all are listed.
+/// Returns the addresses of these disks' replicas, if all are listed.
 fn survivors(view: &KeeperView, disks: &BTreeSet<DiskId>) -> Option<BTreeMap<DiskId, ReplicaInfo>> {
     let place = |disk: &DiskId| {
         let candidate = view.candidates.iter().find(|one| one.disk == *disk)?;
@@ -274,8 +279,8 @@
     })
 }
 
-/// Returns the other disk of a pair that one goes on without. Where the pair may not be in force yet, that
-/// disk need not hold what the one promised before with another.
+/// Returns the other disk of a pair that one voter continues without. `None` if the pair may not be
+/// in force yet, since that disk need not hold what was accepted before.
 fn other_of_pair(
     view: &KeeperView,
     leaving: &LeavingNodes,
@@ -295,8 +300,8 @@
     pair.difference(voters).copied().find(|_| alone)
 }
 
-/// Whether a disk beyond these could hold a replica: on any node that is there, as one that is to be
-/// emptied is better than none.
+/// Returns whether a disk beyond these could hold a replica, on any node that is not drained. Nodes
+/// to drain count too, as they are better than none.
 fn has_replacement(view: &KeeperView, leaving: &LeavingNodes, pair: &BTreeSet<DiskId>) -> bool {
     let mut present = view
         .candidates
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -1,5 +1,5 @@
-//! Upkeep of the replica on this node: registration, founding, placement, retirements, forgetting
-//! old jobs.
+//! Maintenance of the replica on this node: registration, founding, placement, retirement of nodes,
+//! removal of old jobs.
 
 use super::Journal;
 use super::group_keeper::{GroupKeeper, KeeperStep, KeeperView};
@@ -17,32 +17,32 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time between looks.
+/// Interval between two runs.
 const INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time that a job with nothing left to run is kept after its submission.
+/// Time after its submission for which a job with nothing left to run is kept.
 const RETENTION: Duration = Duration::from_secs(900);
 
-/// Time between commands that forget old jobs.
+/// Interval between commands that remove old jobs.
 const FORGET_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What upkeep needs beside the journal.
+/// Dependencies of the maintenance.
 pub struct Upkeep {
-    /// The journal.
+    /// The journal with the replica.
     pub journal: Rc<Journal>,
-    /// The environment.
+    /// Adapter to the environment, for retirement objects.
     pub adapter: Adapter,
     /// This node.
     pub node: NodeName,
-    /// What this node registers.
+    /// What this node registers in the store.
     pub record: NodeRecord,
-    /// Nodes that are to be emptied.
+    /// Nodes to drain.
     pub retirements: Rc<Retirements>,
     /// Decides on the replicas of the group.
     pub keeper: RefCell<GroupKeeper>,
 }
 
-/// Runs until the node ends.
+/// Runs the maintenance until the node ends.
 pub async fn run(upkeep: Upkeep) {
     let mut forget_at = Instant::now() + FORGET_INTERVAL;
     loop {
@@ -76,8 +76,9 @@
         }
     }
 
-    /// Tells how far the emptying of nodes is. A quorum has to confirm first that this node leads: one that
-    /// stood still and was deposed would report a node as empty that the group rests on by now.
+    /// Reports the progress of draining nodes. First a quorum has to confirm that this node leads:
+    /// a leader that was suspended and deposed could report a node as drained that the group needs
+    /// again.
     async fn report(&self) {
         if !self.retirements.has_unreported() || self.journal.replica.read().await.is_err() {
             return;
@@ -94,9 +95,9 @@
             .await;
     }
 
-    /// Does what the group's replicas need next.
+    /// Performs the next step for the group's replicas.
     async fn maintain_group(&self, status: &GroupStatus) {
-        // Only the leader follows the wishes to empty nodes.
+        // Only the leader watches the nodes to drain.
         let followed = status.leads;
         let mut step = self.step(status, followed);
         if step == KeeperStep::ListLeaving {
@@ -130,7 +131,7 @@
         self.with_view(status, leaving_known, |keeper, view| keeper.step(now, view))
     }
 
-    /// Gives the keeper what is known now.
+    /// Passes the current state to the manager.
     fn with_view<T>(
         &self,
         status: &GroupStatus,
@@ -153,7 +154,7 @@
         decide(&mut self.keeper.borrow_mut(), &view)
     }
 
-    /// Lists the wishes to empty nodes. Returns whether they are known now.
+    /// Lists the nodes to drain. Returns whether they are known now.
     async fn list_leaving(&self) -> bool {
         let kind = self.adapter.decoder.retirement_kind();
         match self.adapter.objects.list(kind, None).await {
@@ -170,9 +171,9 @@
         }
     }
 
-    /// Whether the nodes are to be listed anew: this one is not listed as it is, or a replica knows no
-    /// leader, which may be at another address or on another node. A node without a replica is found by
-    /// the leader, and has nothing to look for once founders are named.
+    /// Returns whether the nodes have to be listed again: this node's record is missing or differs,
+    /// or a replica knows no leader, which may be on another node or have moved. A node without a
+    /// replica is contacted by the leader and needs no listing once founders are named.
     fn needs_listing(&self, status: &GroupStatus) -> bool {
         let registry = &self.journal.registry;
         if status.leads {
@@ -185,7 +186,7 @@
         holds_part && status.leader.is_none()
     }
 
-    /// Takes part in the founding: the first of enough nodes names the founders.
+    /// Takes part in the founding: once there are enough nodes, the first one names the founders.
     async fn found(&self) {
         let registry = &self.journal.registry;
         if let Some(founders) = registry.founding() {
--- a/crates/firshore-node/src/journal/messages.rs
+++ b/crates/firshore-node/src/journal/messages.rs
@@ -20,196 +20,198 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a node asks of a peer. What is about jobs, and loads, is answered by the journal's leader only.
+/// Request to a peer. Only the journal's leader responds to requests about jobs; requests about
+/// load go to the leader or a relay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// A message between replicas; a notice.
+    /// A message between replicas, without response.
     #[serde(rename = "r")]
     Replication {
-        /// Group.
+        /// Group that the message is for.
         #[serde(rename = "g")]
         group: GroupId,
-        /// Node of the sender.
+        /// The sending node.
         #[serde(rename = "n")]
         node: NodeName,
-        /// Where that node listens for peers now.
+        /// Current peer address of that node.
         #[serde(rename = "a")]
         address: SocketAddr,
-        /// Revision at which the store lists it there; 0 while it has not seen that.
+        /// Revision at which the store lists that address; 0 until the node has observed that.
         #[serde(rename = "v")]
         revision: Revision,
-        /// Content.
+        /// The replication message.
         #[serde(rename = "e")]
         envelope: Envelope,
     },
-    /// Take a job in.
+    /// Submit a job.
     Submit {
-        /// What is known of it.
+        /// Properties of the job.
         header: JobHeader,
         /// Its items.
         items: Vec<JobItem>,
     },
-    /// Results of a job from a position on.
+    /// Read results of a job from a position on.
     Results {
-        /// Job.
+        /// Key of the job.
         job: String,
-        /// First position wanted.
+        /// First position to return.
         from: u64,
-        /// Longest wait for a result in milliseconds.
+        /// Maximum wait for a result, in milliseconds.
         wait: u64,
     },
-    /// Body of an item without a result.
+    /// Read the body of an item without a result.
     Body {
-        /// Job.
+        /// Key of the job.
         job: String,
-        /// Item.
+        /// Name of the item.
         item: String,
     },
     /// End a job.
     End {
-        /// Job.
+        /// Key of the job.
         job: String,
     },
-    /// What items that the sender runs have produced since it told last.
+    /// Output of items that the sender runs since its last report.
     #[serde(rename = "p")]
     Progress {
-        /// When the sender leads.
+        /// Leadership under which the sender runs items.
         #[serde(rename = "l")]
         leadership: Leadership,
-        /// What is new.
+        /// The output since then.
         #[serde(rename = "d")]
         deltas: Vec<ProgressDelta>,
     },
-    /// Objects of a kind, as a relay has observed them.
+    /// List objects of a kind, as a relay has observed them.
     #[serde(rename = "o")]
     List {
-        /// Kind.
+        /// Kind of the objects.
         #[serde(rename = "k")]
         kind: String,
-        /// Name after which they are wanted.
+        /// Name after which the page starts.
         #[serde(rename = "a")]
         after: Option<String>,
         /// Revision up to which the sender knows the store.
         #[serde(rename = "r")]
         known: Revision,
     },
-    /// What changed of a kind, as a relay has observed it.
+    /// Wait for changes of a kind, as a relay has observed them.
     #[serde(rename = "w")]
     Watch {
-        /// Kind.
+        /// Kind of the objects.
         #[serde(rename = "k")]
         kind: String,
         /// Revision up to which the sender knows the store.
         #[serde(rename = "r")]
         known: Revision,
-        /// Longest wait for a change in milliseconds.
+        /// Maximum wait for a change, in milliseconds.
         #[serde(rename = "t")]
         wait: u64,
     },
-    /// The sender, a relay, has learned of a change; a notice.
+    /// The sender, a relay, has observed a change; without response.
     #[serde(rename = "c")]
     Changed {
-        /// Kind.
+        /// Kind of the objects.
         #[serde(rename = "k")]
         kind: String,
         /// Revision up to which the sender knows the store.
         #[serde(rename = "r")]
         revision: Revision,
     },
-    /// Back ends that ended, as the sender knows, and a question for what the peer knows.
+    /// Crashes of back ends that the sender knows, and a query for those that the peer knows.
     #[serde(rename = "x")]
     Crashes(CrashQuestion),
-    /// What the sender has under way at back ends.
+    /// Load report: requests that the sender has in flight at back ends.
     #[serde(rename = "l")]
     Load {
-        /// Sender.
+        /// The sending node.
         #[serde(rename = "n")]
         node: NodeName,
         /// Requests at each back end that is not idle.
         #[serde(rename = "c")]
         counts: Vec<BackendCount>,
-        /// Whether requests of the sender have found no free slot.
+        /// Whether requests of the sender found no free slot.
         #[serde(rename = "u", default)]
         urgent: bool,
-        /// Whether these are sums that a relay tells, which only the leader takes in.
+        /// Whether these are sums reported by a relay, which only the leader accepts.
         #[serde(rename = "s", default)]
         sums: bool,
-        /// How online requests of the sender pressed on services since it told last.
+        /// Pressure of the sender's online requests on services since its last report.
         #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
         pressures: Vec<ServicePressure>,
-        /// What tenants have asked the sender, where some have limits.
+        /// Use of limits by tenants at the sender, if any have limits.
         #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
         uses: Option<UseReport>,
-        /// What back ends told the sender of their pace since it told last.
+        /// Paces that back ends reported to the sender since its last report.
         #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
         paces: Vec<BackendPace>,
     },
 }
 
 impl PeerRequest {
-    /// Whether it changes something, so that an answer that is missing leaves that unknown.
+    /// Returns whether the request changes state, so that without a response its outcome is
+    /// unknown.
     pub fn is_mutation(&self) -> bool {
         matches!(self, Self::Submit { .. } | Self::End { .. })
     }
 }
 
-/// What a peer answers.
+/// Response of a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// It is done, or was before.
+    /// The request was carried out, now or by an earlier attempt.
     Done,
     /// There is no such job.
     UnknownJob,
-    /// Results, if there is such a job.
+    /// Results; `None` if there is no such job.
     Results(Option<ResultPage>),
-    /// A body, if there is such an item without a result.
+    /// A body; `None` if there is no such item without a result.
     Body(Option<Payload>),
-    /// Items of which something before is missing.
+    /// Items of which earlier output is missing.
     #[serde(rename = "p")]
     Gaps(Vec<ItemKey>),
-    /// What all others have under way.
+    /// Load of all other nodes.
     #[serde(rename = "l")]
     Load {
         /// Requests at each back end that is not idle.
         #[serde(rename = "c")]
         counts: Vec<BackendCount>,
-        /// Milliseconds until the node is to tell again.
+        /// Milliseconds until the node's next report.
         #[serde(rename = "p")]
         pause: u64,
-        /// Age of the oldest part of it in milliseconds.
+        /// Age of the oldest data in it, in milliseconds.
         #[serde(rename = "a", default)]
         age: u64,
-        /// Node that leads, as far as the peer knows.
+        /// The leading node, if the peer knows it.
         #[serde(rename = "n", default)]
         leader: Option<NodeName>,
-        /// What tenants may still ask, for a node that told what they have.
+        /// Remaining limits of tenants, for a node that reported their use.
         #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
         news: Option<UsageNews>,
-        /// What back ends told others of their pace since the node asked last.
+        /// Paces that others reported since the node's last report.
         #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
         paces: Vec<BackendPace>,
     },
-    /// Objects of a kind.
+    /// A page of objects of a kind.
     #[serde(rename = "o")]
     Page(RelayedPage),
-    /// What changed of a kind, if anything.
+    /// Changes of a kind; empty if there are none.
     #[serde(rename = "w")]
     Changes(RelayedChanges),
-    /// Back ends that ended, as the peer knows.
+    /// Crashes of back ends that the peer knows.
     #[serde(rename = "x")]
     Crashes(CrashAnswer),
-    /// What changed since then is not kept: list anew.
+    /// Changes since that revision are no longer kept; the sender has to list again.
     #[serde(rename = "h")]
     HistoryGone,
     /// The relay is out of contact with the store, or knows less of it than the sender.
     #[serde(rename = "n")]
     NoContact,
-    /// The peer did not do as asked.
+    /// The peer refused the request.
     Refused(JournalRefusal),
 }
 
 impl PeerResponse {
-    /// Returns how a relay stood when it answered, where the answer tells.
+    /// Returns the contact state of a relay, if the response carries one.
     pub fn contact_mut(&mut self) -> Option<&mut RelayContact> {
         match self {
             Self::Page(page) => Some(&mut page.contact),
--- a/crates/firshore-node/src/journal/missing_results.rs
+++ b/crates/firshore-node/src/journal/missing_results.rs
@@ -1,5 +1,5 @@
-//! Tells of results that are listed and cannot be read: their reader asks again, and waits for good if
-//! they stay away.
+//! Logs results that are listed but cannot be read. Their reader retries, and would wait forever if
+//! they stay missing.
 
 use firshore_adapter::jobs::caller_id;
 use firshore_replication::types::LogIndex;
@@ -8,19 +8,19 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Shortest time between two lines: readers ask again many times a second.
+/// Minimum time between two log lines, since readers retry many times per second.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Writes a line now and then about results that cannot be read.
+/// Rate-limited log of results that cannot be read.
 pub struct MissingResults {
     log: Logger,
     logged_at: Cell<Option<Instant>>,
-    /// Readers turned away since the last line.
+    /// Refused readers since the last line.
     suppressed: Cell<u64>,
 }
 
 impl MissingResults {
-    /// Nothing was missing yet.
+    /// Creates the log; the first missing result is logged at once.
     pub fn new(log: Logger) -> Self {
         Self {
             log,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes in that a reader of `job` was turned away, as the replica lacks the commands of these
+    /// Records that a reader of `job` was refused because the replica lacks the commands of these
     /// `entries`.
     pub fn note(&self, now: Instant, job: &str, entries: &BTreeSet<LogIndex>) {
         let quiet = |logged_at: Instant| now.saturating_duration_since(logged_at) < LOG_INTERVAL;
--- a/crates/firshore-node/src/journal/mod.rs
+++ b/crates/firshore-node/src/journal/mod.rs
@@ -1,5 +1,5 @@
-//! The journal of batch jobs: one replicated log on the disks of the cluster, found through
-//! objects of the product's own.
+//! The journal of batch jobs: one replicated log on the disks of the cluster, found through objects
+//! in the store.
 
 pub mod client;
 pub mod contact;
@@ -51,12 +51,12 @@
 /// The only group. Larger clusters need more.
 pub const GROUP: GroupId = GroupId(0);
 
-/// Part of the time in which a new disk has to hold everything that a replica may be silent before
-/// another disk takes its place: the rest is for learning and for the changes of the group.
+/// Fraction of the catch-up time for which a replica may be unresponsive before another disk
+/// replaces it. The rest is for catching up and for the changes of membership.
 pub const SILENCE_SHARE: f64 = 0.3;
 
-/// Silence of a leader after which an election starts, in milliseconds. Jobs are to be accepted
-/// within some hundred milliseconds, also when a leader is lost.
+/// Time without a message of the leader after which an election starts. Short, because jobs have to
+/// be accepted within some hundred milliseconds even if the leader is lost.
 const ELECTION_TIMEOUT_MS: u64 = 300;
 
 const HEARTBEAT_INTERVAL_MS: u64 = 60;
@@ -64,15 +64,15 @@
 /// Free space of the data folder below which new jobs are refused, in bytes.
 const RESERVE_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Parts that the log's share of the memory is divided into: entries kept before a snapshot, twice as
-/// many after it, and the pages of the database.
+/// Units that the log's memory is divided into: one for entries kept before a snapshot, two for
+/// those after it, and one for the pages of the database.
 const LOG_MEMORY_DIVISOR: f64 = 4.0;
 
-/// Bounds of that part, in bytes.
+/// Bounds of such a unit, in bytes.
 const MIN_LOG_BYTES: usize = 256 * 1024;
 const MAX_LOG_BYTES: usize = 8 * 1024 * 1024;
 
-/// Handle through which peers are asked.
+/// Client for requests to peers.
 pub type PeerClient = link::PeerClient<PeerRequest, PeerResponse>;
 
 /// The replica on this node's disk.
@@ -87,35 +87,35 @@
     placement::keeps_promises(&replica.status().membership, least)
 }
 
-/// What a node with a disk passes on between other nodes.
+/// Services of a node with a disk that respond on behalf of other nodes.
 pub struct NodeRelays {
-    /// What the store holds.
+    /// Relays objects of the store.
     pub objects: Rc<Relay>,
-    /// What nodes have under way.
+    /// Relays load reports.
     pub loads: Rc<LoadRelay>,
-    /// The journal, asked on behalf of others.
+    /// Client of the journal, for requests on behalf of other nodes.
     pub jobs: Rc<JournalClient>,
-    /// Back ends that ended, as nodes have seen.
+    /// Crashes of back ends that nodes have observed.
     pub crashes: Rc<CrashMonitor>,
 }
 
-/// The journal as a node with a disk holds it.
+/// The journal on a node with a disk.
 pub struct Journal {
-    /// The replica.
+    /// The replica on this disk.
     pub replica: Rc<Replica>,
-    /// What nodes have under way at back ends.
+    /// Requests in flight at back ends, as reported by nodes.
     pub loads: Rc<Loads>,
-    /// What items have produced, as leaders told.
+    /// Output of items that leaders have reported.
     pub progress: Rc<RefCell<ProgressKeeper>>,
-    /// Nodes and founders as the store lists them.
+    /// Nodes and founders that the store lists.
     pub registry: Rc<Registry>,
-    /// What the group is to be.
+    /// Desired state of the group.
     pub terms: KeeperTerms,
-    /// What is held for peers that wait.
+    /// Memory held for waiting peers.
     pub ledger: MemoryLedger,
-    /// How the node's memory is divided.
+    /// Division of the node's memory.
     pub budget: MemoryBudget,
-    /// What the journal does for its callers, as this node sees it.
+    /// Status of the journal, as observed by this node.
     pub standing: RefCell<StandingWatch>,
     peers: PeerClient,
     listening: actix_rt::task::JoinHandle<()>,
@@ -124,7 +124,11 @@
 }
 
 impl Journal {
-    /// Opens the replica on the disk, starts it and answers peers.
+    /// Opens the replica on the disk, starts it and serves peers.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the data folder cannot be opened or the peer address cannot be bound.
     pub async fn start(
         settings: &Settings,
         storage: &Storage,
@@ -208,19 +212,19 @@
         Ok(journal)
     }
 
-    /// Asks another node; `None` if it gives no answer.
+    /// Sends a request to another node; `None` if there is no response.
     pub async fn ask(&self, node: &NodeName, request: PeerRequest) -> Option<PeerResponse> {
         let address = self.registry.address(node)?;
         self.peers.call(address, request).await.ok()
     }
 
-    /// Whether what is committed lies on as many disks as promises need.
+    /// Returns whether committed entries are on as many disks as the durability guarantee requires.
     pub fn may_promise(&self) -> bool {
         may_promise(&self.replica, self.terms.least)
     }
 
-    /// What the standing is read from. Whether this node has caught up as a leader, and whether its
-    /// items wait for memory, its runner knows.
+    /// Returns the facts that determine the status. `caught_up` is false and `memory_full` leaves
+    /// out waiting items: the runner sets both.
     pub fn standing_facts(&self) -> StandingFacts {
         let status = self.replica.status();
         let refused = self.ledger.refused.take();
@@ -235,7 +239,7 @@
         }
     }
 
-    /// What the journal takes of the node's memory, without what the runner holds.
+    /// Returns the memory used by the journal, without that of the runner.
     pub fn memory_use(&self) -> MemoryUse {
         let status = self.replica.status();
         MemoryUse {
@@ -248,13 +252,13 @@
         }
     }
 
-    /// Ends the replica and stops answering peers, without handing anything over.
+    /// Stops the replica and stops serving peers, without transferring leadership.
     pub fn kill(&self) {
         self.listening.abort();
         self.replica.stop();
     }
 
-    /// Hands leadership over and ends the replica.
+    /// Transfers leadership and stops the replica.
     pub async fn stop(&self) {
         self.replica.step_aside().await;
         self.replica.stop();
--- a/crates/firshore-node/src/journal/passed_over.rs
+++ b/crates/firshore-node/src/journal/passed_over.rs
@@ -1,18 +1,18 @@
-//! Disks that were taken in as learners and never answered: their nodes are registered, but gone or
-//! cut off. No I/O; the time is passed in.
+//! Disks that were added as learners but failed: their nodes are registered, but lost or isolated.
+//! No I/O; the time is passed in.
 //!
-//! Each is tried again after a pause, since a cut ends: a replica that was removed while it lived
-//! comes back without an operator.
+//! Each is tried again after a backoff, since a partition ends: a replica that was removed while it
+//! was alive returns without an operator.
 
 use firshore_replication::types::DiskId;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Pause after a disk stayed silent for the first time; doubled with each further one.
+/// Backoff after a disk's first failure; doubled with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest pause: bounds the time from the end of a cut until the disk is tried again, while a node
-/// that is gone for good costs two entries of the log each time.
+/// Maximum backoff. Bounds the time from the end of a partition until the disk is tried again; a
+/// lost node costs two log entries with each attempt.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug)]
@@ -21,14 +21,14 @@
     until: Instant,
 }
 
-/// Disks that stayed silent, and until when each is passed over.
+/// Disks that failed, with the time until which each is excluded.
 #[derive(Debug, Default)]
 pub struct PassedOver {
     disks: BTreeMap<DiskId, DiskExclusion>,
 }
 
 impl PassedOver {
-    /// Takes in that a disk was tried and stayed silent. Returns for how long it is passed over.
+    /// Records that an attempt with a disk failed. Returns how long the disk is excluded.
     pub fn stayed_silent(&mut self, now: Instant, disk: DiskId) -> Duration {
         let before = self.disks.get(&disk).map(|exclusion| exclusion.backoff);
         let backoff = before.map_or(INITIAL_BACKOFF, |backoff| (backoff * 2).min(MAX_BACKOFF));
@@ -37,24 +37,25 @@
         backoff
     }
 
-    /// Returns whether a disk is not to be tried yet.
+    /// Returns whether a disk must not be tried yet.
     pub fn holds(&self, now: Instant, disk: DiskId) -> bool {
         let exclusion = self.disks.get(&disk);
         exclusion.is_some_and(|exclusion| now < exclusion.until)
     }
 
-    /// Returns the pause of a disk after it stayed silent last: the longer the more often it did.
+    /// Returns the last backoff of a disk; it grows with consecutive failures and is zero without
+    /// any.
     pub fn backoff(&self, disk: DiskId) -> Duration {
         let exclusion = self.disks.get(&disk);
         exclusion.map_or(Duration::ZERO, |exclusion| exclusion.backoff)
     }
 
-    /// Returns whether a disk stayed silent when it was tried last.
+    /// Returns whether the last attempt with a disk failed.
     pub fn has_failed(&self, disk: DiskId) -> bool {
         self.disks.contains_key(&disk)
     }
 
-    /// Forgets disks that have answered meanwhile.
+    /// Removes disks that have responded since.
     pub fn forget(&mut self, answered: impl Fn(DiskId) -> bool) {
         self.disks.retain(|disk, _| !answered(*disk));
     }
--- a/crates/firshore-node/src/journal/pending_submissions.rs
+++ b/crates/firshore-node/src/journal/pending_submissions.rs
@@ -1,7 +1,7 @@
-//! Jobs that are being committed: tries of one job that arrive meanwhile share its outcome.
+//! Jobs whose commit is pending: further attempts to submit the same job share its outcome.
 //!
 //! Only within a term: a leader that was deposed and leads again may have lost the entry, and would
-//! hear of that only when another takes its place in the log.
+//! learn of that only when another entry takes its position in the log.
 
 use firshore_jobs::command::Outcome;
 use firshore_log::refusal::JournalRefusal;
@@ -14,7 +14,7 @@
 
 type CommitResult = Result<Outcome, JournalRefusal>;
 
-/// A job's commit, which any number of tries await.
+/// A job's commit, awaited by any number of attempts.
 pub(super) type SharedCommit = Shared<LocalBoxFuture<'static, CommitResult>>;
 
 #[derive(Clone)]
@@ -23,21 +23,21 @@
     commit: SharedCommit,
 }
 
-/// Commits under way, by the job's key.
+/// Pending commits by the job's key.
 #[derive(Clone, Default)]
 pub(super) struct PendingSubmissions {
     commits: Rc<RefCell<HashMap<String, PendingCommit>>>,
 }
 
 impl PendingSubmissions {
-    /// Returns the commit of a job that is under way in this term.
+    /// Returns the pending commit of a job in this term.
     pub(super) fn pending(&self, term: Term, job: &str) -> Option<SharedCommit> {
         let commits = self.commits.borrow();
         let pending = commits.get(job).filter(|one| one.term == term);
         pending.map(|one| one.commit.clone())
     }
 
-    /// Notes a commit of this term as under way until it has ended.
+    /// Registers a commit of this term as pending until it has ended.
     pub(super) fn begin(
         &self,
         term: Term,
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -1,8 +1,8 @@
-//! Nodes with a disk, and the founders of the journal, as objects in the store tell.
+//! Nodes with disks and the founders of the journal, as objects in the store.
 //!
-//! A node writes its own object once. The journal's leader reads them by watching, other nodes by
-//! listing when they miss something. The founding object is created
-//! once and never changed: who creates it decides.
+//! Each node writes its own object. The journal's leader watches the objects; other nodes list them
+//! when they need a record. The founding object is created once and never changed, so its creator
+//! determines the founders.
 
 use crate::observation::Learned;
 use crate::refusals::RefusalLog;
@@ -23,97 +23,98 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Kind of the product's own objects.
+/// Kind of this product's objects.
 pub const KIND: &str = "firshore";
 
 const NODE_PREFIX: &str = "node.";
 const FOUNDING: &str = "group.0";
 const VOTERS: &str = "voters.0";
 
-/// Where nodes listen for peers, shared with the replica's thread.
+/// Peer addresses of nodes, shared with the replica's thread.
 pub type Addresses = Arc<RwLock<BTreeMap<NodeName, SocketAddr>>>;
 
-/// Revision at which the store lists this node as it is, 0 while that was not seen; shared with the
-/// replica's thread.
+/// Revision at which the store lists this node's current record, 0 until that was observed. Shared
+/// with the replica's thread.
 pub type LocalRevision = Arc<AtomicU64>;
 
-/// A node with a disk.
+/// Record of a node with a disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Where it listens for peers.
+    /// Peer address.
     pub address: SocketAddr,
-    /// Zone it stands in.
+    /// Zone of the node.
     pub zone: ZoneName,
     /// Identity of its disk.
     pub disk: DiskId,
 }
 
-/// Shortest time between two listings.
+/// Minimum time between two listings.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(1_000);
 
 #[derive(Debug, Default)]
 struct RegistryState {
     listed: bool,
     nodes: BTreeMap<NodeName, (Revision, NodeRecord)>,
-    /// Nodes whose record cannot be read as it is now, and its revision. They are reached as listed before.
+    /// Nodes whose current record cannot be decoded, with its revision. They are reached at the
+    /// address listed before.
     unreadable: BTreeMap<NodeName, Revision>,
     founding: Option<Membership>,
     voters: VotersState,
-    /// Revision on which a write of the voters was conditional that was not answered.
+    /// Revision that an unconfirmed write of the voters was conditional on.
     unconfirmed_write: Option<Revision>,
-    /// Nodes that told where they listen themselves, and as of which revision.
+    /// Revisions of the addresses that nodes have reported themselves.
     reported: BTreeMap<NodeName, Revision>,
 }
 
 /// The voters of the journal, written before any change of them enters the log.
 ///
-/// Voters whose others are gone may go on without a quorum only if each group that may be in force
-/// leaves them one that holds everything. The record names these groups; as it changes by
-/// compare-and-set, of two that would go on only one can.
+/// Voters may continue without a quorum only if they intersect a quorum of each group that may be
+/// in force. The record names these groups. As it is changed by compare-and-set, only one of two
+/// sets of voters can continue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterRecord {
-    /// Voters.
+    /// The voters.
     pub voters: BTreeSet<DiskId>,
-    /// Whether the change that made them voters is known to be committed.
+    /// Whether the change to these voters is known to be committed.
     pub settled: bool,
-    /// Term of the one who wrote it. A leader writes it anew before it acts on it, so that what an earlier
-    /// one wrote without an answer cannot take effect afterwards.
+    /// Term of the writer. A leader writes the record again before it acts on it, so that an
+    /// unconfirmed write of an earlier leader cannot take effect afterwards.
     #[serde(default)]
     pub term: Term,
-    /// While that is not known: the voters that may be in force instead.
+    /// Voters that may be in force instead, while the record is not settled.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub before: Vec<BTreeSet<DiskId>>,
-    /// Disks that were gone for good before the newest group that names them became one: they never held
+    /// Disks that were lost before the newest group that names them was formed, and so never held
     /// anything that it committed.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub gone: BTreeSet<DiskId>,
-    /// The disk that the only voter went on without, while nothing was promised since: it may be whole,
-    /// and holds everything promised should the voter lose its own.
+    /// The disk that the only voter left behind, while nothing was accepted since. It may be
+    /// intact, and holds all accepted jobs if the voter's disk is lost.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub left_behind: Option<DiskId>,
-    /// History of the group's log in which they are the voters. Who was left behind goes on in the next one:
-    /// a replica of an earlier one promises nothing any more, as that needs this record.
+    /// History of the log in which these are the voters. A disk that was left behind continues in
+    /// the next one; a replica of an earlier history accepts nothing, as that needs this record.
     #[serde(default)]
     pub history: u64,
-    /// Whether these voters begin that history, and so leave the earlier one for good.
+    /// Whether these voters begin that history, leaving the earlier one for good.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub begins: bool,
 }
 
 impl VoterRecord {
-    /// Returns whether this disk is to begin the history, as one of its voters.
+    /// Returns whether this disk, as one of the voters, is to begin the history.
     pub fn is_begun_by(&self, disk: DiskId) -> bool {
         self.begins && !self.settled && self.voters.contains(&disk)
     }
 
-    /// Returns whether the record says which groups may be in force: one that was written before records
-    /// named them does not.
+    /// Returns whether the record names the groups that may be in force. Records of earlier
+    /// versions don't.
     pub fn names_groups(&self) -> bool {
         self.settled || self.term > 0
     }
 
-    /// Returns the disks that never held anything these voters committed: they were gone when this group, the
-    /// newest one that named them, was recorded.
+    /// Returns the disks that never held anything these voters committed, because they were lost
+    /// when this group was recorded and it is the newest one that names them.
     pub fn never_held(&self, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
         let newest = match self.voters.is_disjoint(&self.gone) {
             true => self.before.first(),
@@ -135,21 +136,21 @@
     }
 }
 
-/// What is known of the record of the voters.
+/// State of the record of voters.
 #[derive(Debug, Default)]
 enum VotersState {
-    /// None was listed.
+    /// No record was listed.
     #[default]
     Absent,
-    /// As recorded at a revision.
+    /// The record at a revision.
     Recorded(Revision, VoterRecord),
-    /// It stands there and cannot be read: it may name anybody, so that nothing may follow from a former one,
-    /// and nobody writes over it.
+    /// The record cannot be decoded. It may name any voters, so no decision may rest on an earlier
+    /// one, and it must not be overwritten.
     Unreadable,
 }
 
 impl VotersState {
-    /// Returns the revision of the record, where one can be read.
+    /// Returns the revision of the record, if it could be decoded.
     fn revision(&self) -> Option<Revision> {
         match self {
             Self::Recorded(revision, _) => Some(*revision),
@@ -158,7 +159,7 @@
     }
 }
 
-/// What the store lists.
+/// View of the nodes, founders and voters in the store.
 pub struct Registry {
     store: Rc<dyn ObjectStore>,
     log: Logger,
@@ -167,13 +168,13 @@
     local_revision: LocalRevision,
     refreshed_at: Cell<Option<Instant>>,
     listed_at: Cell<Option<std::time::Instant>>,
-    /// Something was written that no listing has shown yet.
+    /// Whether something was written that no listing has shown yet.
     write_pending: Cell<bool>,
     refusals: RefCell<RefusalLog>,
 }
 
 impl Registry {
-    /// Nothing is known yet.
+    /// Creates an empty view.
     pub fn new(store: Rc<dyn ObjectStore>, log: Logger) -> Self {
         Self {
             store,
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Lists the nodes anew, unless that was done a moment ago. Returns whether they were listed.
+    /// Lists the nodes again, unless that was done recently. Returns whether they were listed.
     pub async fn refresh(&self) -> bool {
         let now = Instant::now();
         let recent = |at: Instant| now.duration_since(at) < REFRESH_INTERVAL;
@@ -199,7 +200,7 @@
         match self.list().await {
             Ok(objects) => {
                 self.learn(Learned::All(objects));
-                // What was listed was there when it was asked for.
+                // The listing shows at least the state at the time of the request.
                 self.listed_at.set(Some(now.into_std()));
                 true
             }
@@ -228,14 +229,14 @@
         }
     }
 
-    /// Where nodes listen.
+    /// Returns the peer addresses of nodes, shared with the replica's thread.
     pub fn addresses(&self) -> Addresses {
         self.addresses.clone()
     }
 
-    /// Takes in where a node that writes to this one listens, as the store lists it at `revision`. It
-    /// is to be answered there, also while the store cannot be asked, or was asked before the node
-    /// came to be or moved. What is older than the listing known here is late and says nothing.
+    /// Records the address of a node that has sent a message, as listed in the store at `revision`.
+    /// Responses can then reach it even while the store is unreachable, or if it was added or moved
+    /// after the last listing. A revision older than the known listing is ignored.
     pub fn heard_from(&self, node: &NodeName, address: SocketAddr, revision: Revision) {
         if self.addresses.read().get(node) == Some(&address) {
             return;
@@ -261,23 +262,23 @@
         self.local_revision.clone()
     }
 
-    /// Names of the nodes with a disk.
+    /// Returns the names of the nodes with disks.
     pub fn names(&self) -> Vec<NodeName> {
         self.state.borrow().nodes.keys().cloned().collect()
     }
 
-    /// Where a node listens.
+    /// Returns the peer address of a node.
     pub fn address(&self, node: &NodeName) -> Option<SocketAddr> {
         let state = self.state.borrow();
         state.nodes.get(node).map(|(_, record)| record.address)
     }
 
-    /// The founders of the journal, once they are named.
+    /// Returns the founders of the journal, once they are named.
     pub fn founding(&self) -> Option<Membership> {
         self.state.borrow().founding.clone()
     }
 
-    /// The voters as recorded last.
+    /// Returns the last recorded voters.
     pub fn recorded_voters(&self) -> Option<VoterRecord> {
         match &self.state.borrow().voters {
             VotersState::Recorded(_, record) => Some(record.clone()),
@@ -285,14 +286,15 @@
         }
     }
 
-    /// Returns whether a write of the voters may still take effect that this node sent and that nobody
-    /// answered: until something else was written, nothing may rest on the record.
+    /// Returns whether an unconfirmed write of the voters by this node may still take effect. Until
+    /// the record has changed, no decision may rest on it.
     pub fn has_unconfirmed_write(&self) -> bool {
         let state = self.state.borrow();
         state.unconfirmed_write == Some(state.voters.revision().unwrap_or(0))
     }
 
-    /// Records the voters, if nobody else has meanwhile. The next listing tells what was recorded.
+    /// Writes the voters, unless the record was changed since it was read. The next listing shows
+    /// the outcome.
     pub async fn record_voters(&self, record: &VoterRecord) {
         if self.has_pending_write() {
             return;
@@ -314,7 +316,7 @@
         self.record_write("Voters recorded.", written);
     }
 
-    /// Disks that could hold a replica.
+    /// Returns the disks that could hold a replica.
     pub fn candidates(&self) -> Vec<Candidate> {
         let state = self.state.borrow();
         let nodes = state.nodes.iter();
@@ -326,22 +328,22 @@
         candidates.collect()
     }
 
-    /// Whether the store has been listed.
+    /// Returns whether the store has been listed.
     pub fn is_listed(&self) -> bool {
         self.state.borrow().listed
     }
 
-    /// Returns when the last listing that this node asked for began.
+    /// Returns when the last listing by this node began.
     pub fn last_listing(&self) -> Option<std::time::Instant> {
         self.listed_at.get()
     }
 
-    /// Whether a write waits for the listing that shows what became of it.
+    /// Returns whether a write awaits the listing that shows its outcome.
     pub fn has_pending_write(&self) -> bool {
         self.write_pending.get()
     }
 
-    /// Takes in what was observed.
+    /// Applies an observation of the store.
     pub fn learn(&self, observed: Learned) {
         self.write_pending.set(false);
         match observed {
@@ -429,7 +431,7 @@
         }
     }
 
-    /// Whether the store lists this record.
+    /// Returns whether the store lists exactly this record.
     pub fn is_registered(&self, node: &NodeName, record: &NodeRecord) -> bool {
         let state = self.state.borrow();
         let listed = state
@@ -439,7 +441,7 @@
         listed.is_some_and(|(_, listed)| listed == record)
     }
 
-    /// Writes a node's own record, if the store does not list it as it is.
+    /// Writes a node's own record, unless the store lists it already.
     pub async fn register(&self, node: &NodeName, record: &NodeRecord) {
         if self.has_pending_write() {
             return;
@@ -460,15 +462,15 @@
         self.record_write("Node registered.", written);
     }
 
-    /// Revision at which a node's record stands in the store, whether it can be read or not: a node whose
-    /// record somebody else has mangled writes it anew.
+    /// Returns the revision of a node's record, whether it can be decoded or not. A node whose
+    /// record cannot be decoded writes it again.
     fn listed_at(&self, node: &NodeName) -> Option<Revision> {
         let state = self.state.borrow();
         let readable = state.nodes.get(node).map(|(revision, _)| *revision);
         state.unreadable.get(node).copied().or(readable)
     }
 
-    /// Names the founders, unless somebody has.
+    /// Names the founders, unless they are named already.
     pub async fn found(&self, founders: &Membership) {
         if self.has_pending_write() {
             return;
@@ -478,7 +480,7 @@
         self.record_write("Founders named.", created);
     }
 
-    /// The store's own listing, not the answer, tells what was done.
+    /// Records a write; its outcome is taken from the next listing, not from the response.
     fn record_write(&self, what: &'static str, written: Result<(), ObjectError>) {
         self.write_pending.set(true);
         self.refreshed_at.set(None);
--- a/crates/firshore-node/src/journal/retirement.rs
+++ b/crates/firshore-node/src/journal/retirement.rs
@@ -1,4 +1,4 @@
-//! Nodes that operators want emptied, and how far that is.
+//! Nodes that operators are draining, and the progress of that.
 
 use super::group_keeper::LeavingNodes;
 use crate::observation::Learned;
@@ -15,26 +15,26 @@
 struct RetirementRequest {
     revision: Revision,
     retirement: Retirement,
-    /// Progress that was written last by this node.
+    /// Progress that this node reported last.
     written: Option<RetirementProgress>,
-    /// Whether this node sent that it is done: without an answer that may take effect seconds later, and the
-    /// machine goes then, so its disk must not be taken in meanwhile.
+    /// Whether this node sent that the node is drained. An unconfirmed report may take effect
+    /// seconds later; the machine is then removed, so its disk must not be added meanwhile.
     sent_done: bool,
-    /// Whether the wish can be read as it stands there now: nothing is reported where it cannot.
+    /// Whether the current object can be decoded; otherwise no progress is reported.
     readable: bool,
 }
 
-/// Wishes to empty nodes, as the store lists them.
+/// Requests to drain nodes, as the store lists them.
 #[derive(Debug, Default)]
 pub struct Retirements {
     requests: RefCell<BTreeMap<NodeName, RetirementRequest>>,
     refusals: RefCell<RefusalLog>,
-    /// Whether they were listed since this node follows them.
+    /// Whether they were listed since this node watches them.
     listed: Cell<bool>,
 }
 
 impl Retirements {
-    /// Takes in what was observed.
+    /// Applies an observation of the store.
     pub fn learn(&self, adapter: &Adapter, log: &Logger, observed: Learned) {
         match observed {
             Learned::All(objects) => {
@@ -82,7 +82,7 @@
                 };
                 requests.insert(node, request);
             }
-            // A node that was to be emptied stays so: it must not be filled again meanwhile.
+            // The node stays marked for draining, so that no replica is added to it meanwhile.
             Err(error) => {
                 if let Some(request) = self
                     .requests
@@ -101,13 +101,12 @@
         }
     }
 
-    /// Takes in that they are not followed any more: what is known says nothing of later wishes.
+    /// Marks the requests as no longer watched: later ones are not known.
     pub fn stop_watching(&self) {
         self.listed.set(false);
     }
 
-    /// Returns the nodes that are to be emptied, those that are empty included; `None` while they are not
-    /// followed.
+    /// Returns the nodes to drain, including drained ones; `None` while they are not watched.
     pub fn leaving(&self) -> Option<LeavingNodes> {
         if !self.listed.get() {
             return None;
@@ -122,14 +121,14 @@
         Some(leaving)
     }
 
-    /// Returns whether a node is to be emptied of which that is not reported yet.
+    /// Returns whether any node is not yet reported as drained.
     pub fn has_unreported(&self) -> bool {
         let requests = self.requests.borrow();
         requests.values().any(|request| !request.retirement.done)
     }
 
-    /// Tells the operators how far the emptying is. Called by the leader only: it is done once nothing
-    /// needs the node any more.
+    /// Reports the progress of draining in the store. Called by the leader only. A node is drained
+    /// once accepted jobs no longer need its disk.
     pub async fn report(
         &self,
         adapter: &Adapter,
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -1,4 +1,4 @@
-//! Answers peers about jobs, on the node whose replica leads.
+//! Serves peers; requests about jobs on the node whose replica leads.
 
 use super::client::{ATTEMPT_TIMEOUT, JournalClient};
 use super::messages::{PeerRequest, PeerResponse};
@@ -37,80 +37,79 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes of results in one answer, beyond which it ends. Several answers are made at once, each of
-/// which holds its texts as read, as decoded and as sent.
+/// Size limit of the results in one response, in bytes. Several responses are built at once, each
+/// of which holds its texts as read, decoded and sent.
 const RESULT_BYTES: usize = 256 * 1024;
 
-/// Pause of an answer for which there is no memory yet: those before it are sent within some
-/// milliseconds.
+/// Interval between checks for free memory; earlier responses are sent within some milliseconds.
 const RESULTS_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest wait for a result that is granted.
+/// Maximum wait for a result.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Exchanges of loads that the leader answers in a second, however many nodes there are.
+/// Load reports that the leader handles per second, however many nodes there are.
 const EXCHANGES_PER_SECOND: u64 = 600;
 
-/// Shortest time between two exchanges of one node.
+/// Minimum interval between two load reports of a node.
 const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Time until a node is to tell again, when `nodes` of them do.
+/// Returns the interval between a node's reports when `nodes` of them report.
 fn exchange_interval(nodes: usize) -> Duration {
     let fair = Duration::from_millis(1_000 * nodes as u64 / EXCHANGES_PER_SECOND);
     fair.max(MIN_EXCHANGE_INTERVAL)
 }
 
-/// What a node with a replica answers.
+/// Handles requests of peers on a node with a replica.
 pub(super) struct Service {
     pub(super) replica: Rc<Replica>,
     pub(super) loads: Rc<Loads>,
     pub(super) progress: Rc<RefCell<ProgressKeeper>>,
     pub(super) registry: Rc<Registry>,
-    /// Replicas without which nothing is promised.
+    /// Number of disks required by the durability guarantee.
     pub(super) least: usize,
     pub(super) relay: Rc<Relay>,
     pub(super) load_relay: Rc<LoadRelay>,
-    /// The journal as this node asks it on behalf of others.
+    /// Client of the journal, for requests on behalf of other nodes.
     pub(super) jobs: Rc<JournalClient>,
     pub(super) ledger: MemoryLedger,
     pub(super) budget: MemoryBudget,
-    /// Back ends that ended, as this node knows.
+    /// Crashes of back ends that this node knows.
     pub(super) crashes: Rc<CrashMonitor>,
-    /// Told of results that cannot be read.
+    /// Logs results that cannot be read.
     pub(super) missing: Rc<MissingResults>,
-    /// Jobs that are being committed.
+    /// Jobs whose commit is pending.
     pub(super) submissions: PendingSubmissions,
     pub(super) log: Logger,
 }
 
-/// What nodes have under way, and a wake-up for whoever acts on it.
+/// Requests in flight at back ends, as reported by nodes, with notifications of reports.
 pub struct Loads {
-    /// What nodes told.
+    /// Reports of other nodes.
     pub table: RefCell<LoadTable>,
     /// Items of this node at each back end.
     pub own: RefCell<HashMap<BackendName, u32>>,
-    /// What back ends told them of their pace.
+    /// Paces of back ends, as reported by nodes.
     paces: RefCell<PaceTable>,
-    /// How online requests of all nodes pressed, until the runner of items takes it.
+    /// Pressure of online requests of all nodes, until the item runner takes it.
     pub pressure: RefCell<PressureCount>,
-    /// Woken when a node has told.
+    /// Notified of each report.
     pub told: Notify,
-    /// Woken when a node's requests have found no free slot.
+    /// Notified when a node's requests found no free slot.
     pub crowded: Notify,
-    /// What tenants may still ask, as of the term in which this node leads.
+    /// Remaining limits of tenants, for the term in which this node leads.
     ledger: RefCell<Option<TermLedger>>,
-    /// Span over which rates of tenants are counted.
+    /// Time span over which rates of tenants are counted.
     rate_span: Duration,
 }
 
-/// The buckets of tenants that a leader keeps: those of an earlier term are out of date.
+/// Limits of tenants as kept by the leader of a term; outdated in later terms.
 struct TermLedger {
     term: u64,
     ledger: UsageLedger,
 }
 
 impl Loads {
-    /// Nothing was told yet. Rates of tenants are counted over `rate_span`.
+    /// Creates an empty table. Rates of tenants are counted over `rate_span`.
     pub fn new(rate_span: Duration) -> Self {
         Self {
             table: RefCell::default(),
@@ -124,8 +123,8 @@
         }
     }
 
-    /// Takes in what a node told, and answers with what all others have under way. `term` is the one in
-    /// which this node leads.
+    /// Records a node's report and returns the load of all others. `term` is the one in which this
+    /// node leads.
     fn exchange(&self, term: u64, node: NodeName, told: ToldLoad) -> PeerResponse {
         let now = firshore_clock::now().into_std();
         let news = told
@@ -174,7 +173,7 @@
 }
 
 impl Service {
-    /// Takes in what items of the leader's have produced.
+    /// Records output of items that the leader runs.
     fn progress(&self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> PeerResponse {
         let mut keeper = self.progress.borrow_mut();
         let gaps = keeper.told(leadership, deltas);
@@ -184,8 +183,8 @@
         PeerResponse::Gaps(gaps)
     }
 
-    /// Takes in what a node has under way: the leader what all tell it, other nodes what the nodes tell
-    /// for which they are a relay.
+    /// Handles a load report: the leader accepts all, other nodes those of nodes that they are a
+    /// relay for.
     fn load(&self, node: NodeName, told: ToldLoad, sums: bool) -> PeerResponse {
         let status = self.replica.status();
         if status.leads {
@@ -210,15 +209,15 @@
         }
     }
 
-    /// Takes a job in, unless the memory for jobs is used up. One that is known already is taken in
-    /// again: it costs nothing.
+    /// Accepts a job, unless the memory for jobs is used up. A known job is always accepted again,
+    /// as it needs no memory.
     fn submit(
         &self,
         header: JobHeader,
         items: Vec<JobItem>,
     ) -> LocalBoxFuture<'static, PeerResponse> {
-        // A node asks again before a slow commit has ended. Written once more for each try, a job grows
-        // the log the faster the slower it is committed.
+        // A client retries before a slow commit has ended. Proposing the job again with each
+        // attempt would grow the log, and slow commits down further.
         let status = self.replica.status();
         let (leads, term) = (status.leads, status.term);
         let pending = self.submissions.pending(term, &header.job);
@@ -325,7 +324,7 @@
             _ => {}
         }
         if request.is_mutation() && !super::may_promise(&replica, self.least) {
-            // Too few disks to keep a promise on; others may have them soon.
+            // Too few disks for the durability guarantee; another leader may have enough.
             let refusal = JournalRefusal::NotLeader { leader: None };
             return std::future::ready(PeerResponse::Refused(refusal)).boxed_local();
         }
@@ -394,7 +393,7 @@
         .unwrap_or_else(PeerResponse::Refused)
 }
 
-/// The results at a position, once there is one or the wait is over.
+/// Returns the results at a position, once there is one or the wait is over.
 async fn listed(
     replica: &Replica,
     least: usize,
@@ -405,8 +404,9 @@
     let mut changes = replica.changes();
     let mut state = replica.read().await?;
     let deadline = Instant::now() + wait;
-    // What this replica applies meanwhile is committed, so while it leads a group that keeps promises it may
-    // be shown without asking again. One that joins a later history takes back what it committed alone.
+    // While this replica leads a group that is large enough, what it applies is committed and may
+    // be shown without another quorum read. A replica that joins a later history discards what it
+    // committed alone.
     while awaits_results(&state, job, from) {
         let changed = timeout_at(deadline, changes.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
@@ -422,13 +422,13 @@
     Ok(listed)
 }
 
-/// Reads the texts of results, when there is memory for them before a deadline.
+/// Reads the texts of results, once there is memory for them, until a deadline.
 struct ResultReader {
     replica: Rc<Replica>,
     ledger: MemoryLedger,
     budget: MemoryBudget,
     missing: Rc<MissingResults>,
-    /// Disks on which everything shown has to lie.
+    /// Number of disks that must hold a result before it is shown.
     least: usize,
 }
 
@@ -445,7 +445,7 @@
         let bytes = listed.bytes();
         let held = &self.ledger.results;
         while !self.budget.admits_results(held.held(), bytes) {
-            // Whoever asked has given up and asked again: read for nobody, pages delay those wanted.
+            // The client has timed out and retried; reading for it would delay other responses.
             if Instant::now() >= deadline {
                 return Err(JournalRefusal::Unsettled);
             }
@@ -457,7 +457,7 @@
         missing_entries.retain(|index| !commands.contains_key(index));
         match listed.filled(commands) {
             Some(page) => Ok(PeerResponse::Results(Some(page))),
-            // Never shown as absent: the reader asks again.
+            // Never reported as absent, so that the reader retries.
             None => {
                 let now = firshore_clock::now().into_std();
                 self.missing.note(now, job, &missing_entries);
--- a/crates/firshore-node/src/journal/standing.rs
+++ b/crates/firshore-node/src/journal/standing.rs
@@ -1,56 +1,56 @@
-//! Why a journal promises or runs nothing, and since when. No I/O; the time is passed in.
+//! Why the journal accepts or runs nothing, and since when. No I/O; the time is passed in.
 
 use std::time::{Duration, Instant};
 
-/// Shortest time between two reports, however often the standing changes: bounds the log.
+/// Minimum time between two reports, however often the status changes. Bounds the log.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two reports of one standing that holds work back: a lasting hold stays visible at the
-/// end of a long log.
+/// Interval between reports of a status that blocks work, so that it stays visible at the end of a
+/// long log.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a standing is read from.
+/// The facts that determine the status.
 #[derive(Clone, Copy, Debug)]
 pub struct StandingFacts {
     /// Whether this node's disk holds a replica.
     pub is_replica: bool,
     /// Whether this replica leads.
     pub leads: bool,
-    /// Whether it knows of a leader.
+    /// Whether it knows a leader.
     pub knows_leader: bool,
-    /// Whether there are as many disks as promises need.
+    /// Whether there are as many disks as the durability guarantee requires.
     pub enough_disks: bool,
-    /// Whether this node has applied what was committed before it led.
+    /// Whether this node has applied what was committed before it became the leader.
     pub caught_up: bool,
-    /// Whether a disk has no room for new work.
+    /// Whether a disk has no space for new work.
     pub disk_full: bool,
     /// Whether jobs or items wait for memory.
     pub memory_full: bool,
 }
 
-/// What a journal does for its callers, as one node sees it.
+/// Status of the journal for its callers, as observed by one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JournalStanding {
-    /// It leads, takes jobs in and runs their items.
+    /// It leads, accepts jobs and runs their items.
     Serves,
     /// Another node leads.
     Follows,
-    /// This node's disk holds no replica: others know.
+    /// This node's disk holds no replica; other nodes know the status.
     Outside,
     /// No leader is known.
     NoLeader,
-    /// It leads on fewer disks than promises need.
+    /// It leads with fewer disks than the durability guarantee requires.
     TooFewDisks,
-    /// It leads and has not applied everything yet.
+    /// It leads but has not applied all committed entries yet.
     CatchingUp,
-    /// It leads, and a disk has no room.
+    /// It leads, and a disk has no space.
     DiskFull,
-    /// It leads, and the memory for jobs or for what items produce is used up.
+    /// It leads, and the memory for jobs or for the output of items is used up.
     MemoryFull,
 }
 
 impl JournalStanding {
-    /// Every standing.
+    /// All statuses.
     pub const ALL: [Self; 8] = [
         Self::Serves,
         Self::Follows,
@@ -62,7 +62,7 @@
         Self::MemoryFull,
     ];
 
-    /// Reads the standing from facts; of several reasons the one that holds back the most.
+    /// Returns the status for these facts; if several apply, the most severe one.
     pub fn of(facts: &StandingFacts) -> Self {
         if !facts.is_replica {
             return Self::Outside;
@@ -102,22 +102,22 @@
         }
     }
 
-    /// Returns whether work waits because of it.
+    /// Returns whether the status blocks work.
     pub fn holds_back(self) -> bool {
         !matches!(self, Self::Serves | Self::Follows | Self::Outside)
     }
 }
 
-/// What the log is to say about a standing.
+/// A report of the status for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandingReport {
-    /// The standing.
+    /// The status.
     pub standing: JournalStanding,
     /// How long it has lasted.
     pub lasted: Duration,
 }
 
-/// Follows the standing, and says when the log is to tell it.
+/// Tracks the status and decides when to log it.
 #[derive(Debug)]
 pub struct StandingWatch {
     standing: JournalStanding,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Returns the standing as last seen, and how long it has lasted.
+    /// Returns the last status and how long it has lasted.
     pub fn current(&self, now: Instant) -> StandingReport {
         StandingReport {
             standing: self.standing,
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Takes in the standing as seen now. Returns what the log is to say: each change, and one that
-    /// holds work back again and again.
+    /// Records the current status. Returns a report if one is due: for each change, and repeatedly
+    /// for a status that blocks work.
     pub fn step(&mut self, now: Instant, standing: JournalStanding) -> Option<StandingReport> {
         if standing != self.standing {
             self.standing = standing;
--- a/crates/firshore-node/src/journal/transport.rs
+++ b/crates/firshore-node/src/journal/transport.rs
@@ -1,4 +1,4 @@
-//! How replicas reach each other: at the addresses that the registry lists.
+//! Transport between replicas, to the addresses in the registry.
 
 use super::PeerClient;
 use super::messages::PeerRequest;
@@ -18,7 +18,7 @@
     peers: PeerClient,
 }
 
-/// The transport of a node's replica.
+/// Creates the transport of a node's replica.
 pub fn new(
     node: NodeName,
     local_address: SocketAddr,
--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/asker.rs
@@ -1,4 +1,4 @@
-//! Asks relays, one after the other; one that was of no use is passed over for a while.
+//! Queries relays one after the other. A relay whose query failed is excluded for a backoff.
 
 use super::budget::FreshnessBudget;
 use super::cache::RelayContact;
@@ -15,82 +15,82 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Told what a relay's answer says of the relay itself.
+/// Called with the contact state that a relay's response carries.
 pub type RelayHeard = Rc<dyn Fn(&NodeName, &RelayContact)>;
 
-/// Who asks relays, and whom it would ask.
+/// Queries relays on behalf of one node.
 pub struct RelayAsker {
-    /// The node that asks.
+    /// The querying node; it determines the order of relays.
     pub node: NodeName,
-    /// Its zone.
+    /// Zone of that node; its relays are queried first.
     pub zone: ZoneName,
-    /// Nodes with disks.
+    /// Lists the nodes with disks, from which relays are ranked.
     pub registry: Rc<Registry>,
-    /// How they are asked.
+    /// Sends the queries.
     pub peers: PeerClient,
-    /// Log.
+    /// Receives the log lines.
     pub log: Logger,
-    /// Told what a relay's answer says of the relay itself.
+    /// Called with the contact state that a relay's response carries.
     pub heard: RelayHeard,
-    /// Relays that were of no use since they answered last, and until when they are passed over.
+    /// Exclusions of relays whose last query failed; removed by the next useful response.
     pub passed_over: RefCell<HashMap<NodeName, RelayExclusion>>,
 }
 
-/// Why a relay was of no use.
+/// Why a query to a relay failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RelayFailure {
-    /// It said that it is out of contact with the store.
+    /// The relay reported that it is out of contact with the object store.
     OutOfContact,
-    /// It could not be reached; that is known at once.
+    /// The connection failed; this is known at once.
     Unreachable,
-    /// It gave no answer in time.
+    /// No response within the timeout.
     Silent,
 }
 
-/// For how long a relay is passed over, and why.
+/// The time until which a relay is excluded, and the reason.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayExclusion {
     until: Instant,
     reason: RelayFailure,
-    /// Questions in a row that came to nothing.
+    /// Consecutive failed queries.
     attempts: u32,
 }
 
-/// What a relay answered.
+/// A relay's response to a query.
 pub struct RelayResponse {
     relay: NodeName,
-    /// When it was asked, by the clock of ages.
+    /// When the query was sent, by the clock that ages are counted with.
     queried_at: Instant,
-    /// What it said.
+    /// The response itself.
     pub response: PeerResponse,
 }
 
 impl RelayResponse {
-    /// The moment as of which the relay tells the store: not later than its answer was sent, however
-    /// long that was under way.
+    /// Returns the time as of which the response reflects the store. Network delay is not counted
+    /// as freshness: the result is never later than the time at which the relay sent the response.
     pub fn as_of(&self, contact: RelayContact) -> Instant {
         let sent_at = self.queried_at + Duration::from_millis(contact.held);
         let age = Duration::from_millis(contact.age);
         sent_at.checked_sub(age).unwrap_or(self.queried_at)
     }
 
-    /// Returns whom to name as the source of what it told.
+    /// Returns the relay as the source of the data.
     pub fn source(&self) -> BeliefSource {
         BeliefSource::Relay(self.relay.clone())
     }
 }
 
-/// What came of asking relays in turn.
+/// Result of querying relays in turn.
 pub enum QueryOutcome {
-    /// One of them was of use.
+    /// A relay returned a useful response.
     Answered(RelayResponse),
-    /// Some answered that they are out of contact with the store.
+    /// At least one relay reported that it is out of contact with the store, and none was useful.
     NoContact,
-    /// Nobody has answered.
+    /// No relay responded.
     NoResponse,
 }
 
-/// A question that is answered at once.
+/// Returns the request with its wait, if it has one, set to zero.
 fn without_wait(request: PeerRequest) -> PeerRequest {
     match request {
         PeerRequest::Watch { kind, known, .. } => PeerRequest::Watch {
@@ -103,8 +103,9 @@
 }
 
 impl RelayAsker {
-    /// Asks relays in turn, each for `limit` at most. Once one was silent, the others are to answer at once,
-    /// so that what is known grows no older by two waits.
+    /// Queries relays in turn, each for at most `limit`. After the first timeout, the remaining
+    /// relays are asked to respond at once, so that at most one wait is added to the age of the
+    /// data.
     pub async fn ask(
         &self,
         kind: &str,
@@ -158,8 +159,8 @@
         self.passed_over.borrow().get(relay).copied()
     }
 
-    /// Relays in the order in which they are asked: of those that were silent last time one at most comes
-    /// before the others, so that no more than one wait is lost on them.
+    /// Returns the relays in the order in which they are queried. At most one of those that timed
+    /// out last time stays in front of the others, so that at most one timeout is lost on them.
     fn query_order(&self) -> Vec<NodeName> {
         let candidates = self.registry.candidates();
         let order = ranking::order(&candidates, &self.zone, &self.node);
@@ -189,7 +190,7 @@
     ) {
         let before = self.exclusion(&relay);
         let attempts = before.map_or(1, |before| before.attempts + 1);
-        // A relay that is gone for long costs a wait each time that it is asked.
+        // An unreachable relay costs a timeout with each query, so its backoff grows.
         let doubled = 2_u32.pow(attempts.min(8) - 1);
         let backoff = match reason {
             RelayFailure::OutOfContact => budget.no_contact_backoff(),
@@ -197,7 +198,7 @@
             RelayFailure::Silent => budget.unresponsive_backoff() * doubled,
         };
         let backoff = backoff.min(budget.max_backoff());
-        // A relay that stays as it is is named once.
+        // Logged once per reason, not with each query.
         if before.is_none_or(|before| before.reason != reason) {
             info!(self.log, "relay: Passed over."; "relay" => %relay, "kind" => kind,
                 "asked_ms" => firshore_clock::elapsed(queried_at).as_millis() as u64,
--- a/crates/firshore-node/src/relay/budget.rs
+++ b/crates/firshore-node/src/relay/budget.rs
@@ -1,103 +1,109 @@
-//! How the time within which a change must be known is divided among the ways of learning of it. No
-//! I/O; the time and random numbers are passed in.
+//! Divides the time within which a change must be visible among the steps that deliver it. No I/O;
+//! the time and random numbers are passed in.
 //!
-//! Waits that are each short add up: three silent relays, asked one after the other, and a pause before
-//! the store itself is asked once took 5 s of a bound of 2 s. So no wait has a length of its own: each is
-//! a share of the bound, and the store is asked itself once [`StoreTurn::due`] is reached, whatever the
-//! relays do meanwhile.
+//! Independent timeouts add up: several unresponsive relays queried in turn, plus a backoff, can
+//! exceed the bound. Therefore each timeout is a fraction of the bound, and the store is queried
+//! directly once [`StoreTurn::due`] is reached, whatever the relays do meanwhile.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Share of the bound that a relay may hold a question for a change.
+/// Fraction of the bound for which a relay may hold a query for a change.
 const RELAY_WAIT: f64 = 0.2;
 
-/// Share that a relay's answer may take beyond that.
+/// Fraction that a relay's response may take beyond that.
 const ANSWER_MARGIN: f64 = 0.15;
 
-/// Share for which a relay is passed over that was out of contact with the store: it says so at once, and
-/// is back in contact soon after the store is.
+/// Fraction for which a relay is excluded that is out of contact with the store. Short, because
+/// such a relay responds at once and regains contact soon after the store is back.
 const NO_CONTACT_BACKOFF: f64 = 0.15;
 
-/// Share for which a relay is passed over that gave no answer.
+/// Fraction for which a relay is excluded that did not respond.
 const UNRESPONSIVE_BACKOFF: f64 = 1.0;
 
-/// Longest share for which a relay is passed over: while all are, nodes ask the store themselves.
+/// Maximum fraction for which a relay is excluded. While all are excluded, nodes query the store
+/// directly.
 const MAX_BACKOFF: f64 = 2.0;
 
-/// Share after which relays are tried again.
+/// Fraction after which relays are queried again.
 const ROUND_INTERVAL: f64 = 0.1;
 
-/// Share for which a relay pauses after a change, so that changes in quick succession cost one call.
+/// Fraction for which a relay waits after a change, so that changes in quick succession cost one
+/// call.
 const RELAY_SPACING: f64 = 0.18;
 
-/// Longest such pause, where the bound allows more.
+/// Upper limit of that wait, for large bounds.
 const MAX_RELAY_SPACING: Duration = Duration::from_millis(600);
 
-/// Share between two looks of a relay whether the store can be reached: a watch that waits tells nothing
-/// about that, and nodes rely on what a relay does not tell them.
+/// Fraction between two probes of a relay for whether the store is reachable. A pending watch
+/// doesn't show that, and nodes take no response from a relay as no change.
 const PROBE_INTERVAL: f64 = 0.15;
 
-/// Share for the answer to that.
+/// Fraction for the response to a probe.
 const PROBE_TIMEOUT: f64 = 0.15;
 
-/// Share for which a relay tells what it knows as current without having heard of the store: the pause
-/// after a change, and then two looks.
+/// Fraction for which a relay serves its data as current without contact with the store: the wait
+/// after a change and two probes.
 const MAX_RELAY_AGE: f64 = 0.55;
 
-/// Longest share for which a relay's watch waits: each answer shows that it was not swallowed, and costs a
-/// call for each kind and relay.
+/// Maximum fraction for which a relay's watch waits. Each response shows that the watch was not
+/// lost, and costs one call for each kind and relay.
 const WATCH_WAIT: f64 = 1.25;
 
-/// Share for which looks at the store's revision stand for answers to a watch: what such a look tells may
-/// be old, and a swallowed watch is never answered. A watch that lives is answered before.
+/// Fraction for which probes of the store's revision count as responses to a watch. A probe may
+/// return an old revision, and a lost watch never gets a response; a working watch gets one before
+/// this.
 const WATCH_TRUST: f64 = WATCH_WAIT + PROBE_INTERVAL;
 
-/// Shortest share between two renewals of a watch, for which it is trusted although the store has changed: a
-/// slow store must have time to answer, and where one kind changes all the time, the watch of another one
-/// would be renewed with each look.
+/// Minimum fraction between two renewals of a watch. A watch is trusted for as long although the
+/// store has changed: a slow store needs time to respond, and frequent changes of one kind must not
+/// renew the watches of other kinds with each probe.
 const RENEWAL_INTERVAL: f64 = 0.5;
 
-/// Share beyond the pause after a change, after which a relay asks the store anew that another relay has
-/// learned more of: its own watch is answered within some milliseconds, unless it was lost.
+/// Fraction, beyond the wait after a change, after which a relay queries the store again because
+/// another relay has reported a later revision. Its own watch gets a response within some
+/// milliseconds unless it was lost.
 const HINT_TIMEOUT: f64 = 0.15;
 
-/// Share after which a node asks the store itself, drawn between these so that nodes do not ask all
-/// together. What is known through a relay is up to 0.55 of the bound old on a calm day; what is left is
-/// for the store's answer, at a tenth of a core.
+/// Fraction after which a node queries the store directly, drawn from this range so that nodes
+/// don't query it all at once. Data from a relay may be up to 0.55 of the bound old; the rest is
+/// for the store's response.
 const STORE_DELAY: std::ops::Range<f64> = 0.6..0.7;
 
-/// The same for a node that knows nothing yet, and so acts on nothing old: relays that were all killed are
-/// back within a second.
+/// The same for a node that has no data yet and therefore cannot act on stale data. It leaves
+/// relays time to restart, about a second.
 const INITIAL_STORE_DELAY: std::ops::Range<f64> = 0.6..1.2;
 
-/// Share for an answer of the store, when a node asks it itself.
+/// Fraction for a response of the store to a direct query.
 const STORE_TIMEOUT: f64 = 0.25;
 
-/// Share after which the store is asked again that gave no answer; doubled with each further failure.
+/// Fraction after which the store is queried again after a failure; doubled with each further
+/// failure.
 const INITIAL_RETRY_BACKOFF: f64 = 0.1;
 
-/// Longest pause between two tries, as a share: with a look and an answer it is shorter than the time for
-/// which a store has to be back before nodes are held to know of its changes (3 s with a bound of 2 s).
+/// Maximum backoff between two attempts, as a fraction. With a probe and a response it is shorter
+/// than the time after which nodes must know the changes of a store that is back (3 s with a bound
+/// of 2 s).
 const MAX_RETRY_BACKOFF: f64 = 0.7;
 
-/// Longest factor by which a try takes more time after tries that failed: a large listing from a slow store
-/// must come through at last.
+/// Maximum factor by which the timeout grows after failed attempts, so that a large listing from a
+/// slow store can complete.
 const MAX_TIMEOUT_FACTOR: u32 = 4;
 
-/// Time within which a change of one kind must be known, divided.
+/// Bound on the time within which a change of one kind must be visible, with the timeouts derived
+/// from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FreshnessBudget {
     bound: Duration,
 }
 
 impl FreshnessBudget {
-    /// Divides `bound`.
+    /// Creates a budget from the bound on freshness.
     pub fn new(bound: Duration) -> Self {
         Self { bound }
     }
 
-    /// Returns the bound itself.
+    /// Returns the whole bound.
     pub fn bound(self) -> Duration {
         self.bound
     }
@@ -106,83 +112,83 @@
         self.bound.mul_f64(fraction)
     }
 
-    /// Returns how long a relay may hold a question for a change.
+    /// Returns how long a relay may hold a query for a change.
     pub fn relay_wait(self) -> Duration {
         self.fraction(RELAY_WAIT)
     }
 
-    /// Returns how long a relay's answer may take beyond that.
+    /// Returns how long a relay's response may take beyond [`Self::relay_wait`].
     pub fn answer_margin(self) -> Duration {
         self.fraction(ANSWER_MARGIN)
     }
 
-    /// Returns for how long a relay is passed over that was out of contact with the store.
+    /// Returns how long a relay is excluded that is out of contact with the store.
     pub fn no_contact_backoff(self) -> Duration {
         self.fraction(NO_CONTACT_BACKOFF)
     }
 
-    /// Returns for how long a relay is passed over that gave no answer.
+    /// Returns how long a relay is excluded after its first timeout.
     pub fn unresponsive_backoff(self) -> Duration {
         self.fraction(UNRESPONSIVE_BACKOFF)
     }
 
-    /// Returns for how long a relay is passed over at most.
+    /// Returns the maximum time for which a relay is excluded.
     pub fn max_backoff(self) -> Duration {
         self.fraction(MAX_BACKOFF)
     }
 
-    /// Returns the pause after which relays are tried again.
+    /// Returns the interval between two rounds of queries to relays.
     pub fn round_interval(self) -> Duration {
         self.fraction(ROUND_INTERVAL)
     }
 
-    /// Returns for how long a relay pauses after a change.
+    /// Returns how long a relay waits after a change.
     pub fn relay_spacing(self) -> Duration {
         self.fraction(RELAY_SPACING).min(MAX_RELAY_SPACING)
     }
 
-    /// Returns the time between two looks of a relay whether the store can be reached.
+    /// Returns the interval between two probes of a relay for whether the store is reachable.
     pub fn probe_interval(self) -> Duration {
         self.fraction(PROBE_INTERVAL)
     }
 
-    /// Returns how long the answer to such a look may take.
+    /// Returns the timeout of a probe.
     pub fn probe_timeout(self) -> Duration {
         self.fraction(PROBE_TIMEOUT)
     }
 
-    /// Returns up to which age a relay tells what it knows as current.
+    /// Returns the maximum age at which a relay serves its data as current.
     pub fn relay_age(self) -> Duration {
         self.fraction(MAX_RELAY_AGE)
     }
 
-    /// Returns for how long a relay's watch waits at most.
+    /// Returns how long a relay's watch waits at most.
     pub fn watch_wait(self) -> Duration {
         self.fraction(WATCH_WAIT)
     }
 
-    /// Returns for how long a watch without an answer is trusted.
+    /// Returns how long a watch without a response is trusted.
     pub fn watch_trust(self) -> Duration {
         self.fraction(WATCH_TRUST)
     }
 
-    /// Returns the shortest time between two renewals of a watch.
+    /// Returns the minimum time between two renewals of a watch.
     pub fn renewal_interval(self) -> Duration {
         self.fraction(RENEWAL_INTERVAL)
     }
 
-    /// Returns how long a relay waits for its own watch once another relay has learned of a change.
+    /// Returns how long a relay waits for its own watch after another relay has reported a change.
     pub fn hint_timeout(self) -> Duration {
         self.fraction(HINT_TIMEOUT)
     }
 }
 
-/// When a node asks the store itself about one kind.
+/// Decides when a node queries the store directly for one kind.
 #[derive(Debug)]
 pub struct StoreTurn {
     budget: FreshnessBudget,
     started_at: Instant,
-    /// Where between the bounds of a patience this node stands, from 0 to 1.
+    /// Position in the ranges of delays, from 0 to 1.
     jitter: f64,
     failures: u32,
     failed_at: Option<Instant>,
@@ -193,7 +199,7 @@
 }
 
 impl StoreTurn {
-    /// Nothing is known at `now`; `jitter` is a random number from 0 to 1.
+    /// Starts at `now` without data; `jitter` is a random number from 0 to 1.
     pub fn new(budget: FreshnessBudget, now: Instant, jitter: f64) -> Self {
         Self {
             budget,
@@ -204,8 +210,8 @@
         }
     }
 
-    /// Returns when the store is to be asked by a node that knows it as of `as_of`; `probe_first`: a look comes
-    /// first, and so earlier.
+    /// Returns when the store is to be queried by a node whose data is as of `as_of`. With
+    /// `probe_first` this is earlier by the timeout of a probe.
     pub fn due(&self, as_of: Option<Instant>, probe_first: bool) -> Instant {
         let delay = match as_of {
             Some(_) => interpolate(STORE_DELAY, self.jitter),
@@ -226,18 +232,19 @@
             .fraction(doubled.min(MAX_RETRY_BACKOFF) * spread)
     }
 
-    /// Returns whether the store gave no answer last time.
+    /// Returns whether the last query of the store failed.
     pub fn has_failed(&self) -> bool {
         self.failures > 0
     }
 
-    /// Returns how long an answer of the store may take.
+    /// Returns the timeout of the next query; it grows with consecutive failures.
     pub fn timeout(&self) -> Duration {
         let factor = 2_u32.saturating_pow(self.failures).min(MAX_TIMEOUT_FACTOR);
         self.budget.fraction(STORE_TIMEOUT) * factor
     }
 
-    /// Takes in that relays have told the store as of a moment: what failed before that is past.
+    /// Records that a relay has delivered the store's state as of a time; earlier failures are
+    /// cleared.
     pub fn relayed(&mut self, as_of: Instant) {
         if self.failed_at.is_some_and(|failed_at| failed_at < as_of) {
             self.failures = 0;
@@ -245,13 +252,13 @@
         }
     }
 
-    /// Takes in that the store gave no answer.
+    /// Records that the store did not respond.
     pub fn failed(&mut self, now: Instant) {
         self.failures += 1;
         self.failed_at = Some(now);
     }
 
-    /// Takes in that the store has answered; `jitter` as at the beginning.
+    /// Records a response of the store; `jitter` is a new random number from 0 to 1.
     pub fn answered(&mut self, jitter: f64) {
         self.failures = 0;
         self.failed_at = None;
--- a/crates/firshore-node/src/relay/cache.rs
+++ b/crates/firshore-node/src/relay/cache.rs
@@ -1,9 +1,10 @@
-//! All objects of one kind as a relay has observed them, to be listed and watched by other nodes (a
-//! watch cache). No I/O.
+//! A watch cache: all objects of one kind as a relay has observed them, to be listed and watched by
+//! other nodes. No I/O.
 //!
-//! Each object is kept with the revision up to which the store was known when the relay learned of it;
-//! one that is gone leaves its name for a while. Whoever knows everything up to a revision is told what
-//! was learned later. That may repeat what it knows, which observers pass over.
+//! Each object is stored with the revision up to which the store was known when the relay observed
+//! it; the name of a removed object is kept for a while. A client that knows everything up to a
+//! revision receives what was observed later. Objects that it knows already may be repeated;
+//! observers ignore these.
 
 use crate::observation::Learned;
 use firshore_adapter::objects::{Change, Object, Revision};
@@ -12,98 +13,99 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Bytes of objects in one answer, beyond which it ends.
+/// Size limit of one page, in bytes; the object that exceeds it is the last one.
 const PAGE_BYTES: usize = 256 * 1024;
 
-/// Gaps that are kept. Observers that know less than the end of an older one list anew.
+/// Maximum number of recorded gaps. Observers that know less than the end of a dropped gap list
+/// again.
 const MAX_GAPS: usize = 16;
 
-/// Names of objects that are gone that are kept. Observers that know less list anew.
+/// Maximum number of names of removed objects that are kept. Observers that know less list again.
 const MAX_REMOVED_NAMES: usize = 1_024;
 
-/// An object as it travels: encoded once, sent many times.
+/// An object in the form in which it is sent: encoded once, sent to many nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedObject {
-    /// Name.
+    /// Name, unique within the kind.
     #[serde(rename = "n")]
     pub name: String,
     /// Revision of its last change.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// What is wanted and what is, as JSON.
+    /// The object's `spec` and `status` as JSON.
     #[serde(rename = "j")]
     pub json: Payload,
 }
 
-/// How old a relay's knowledge is, as it travels with an answer.
+/// Age of a relay's data, sent with each response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayContact {
-    /// Time for which the question was held, in milliseconds.
+    /// Time for which the relay held the query, in milliseconds.
     #[serde(rename = "h")]
     pub held: u64,
-    /// Time since the relay last heard from the store when it answered, in milliseconds.
+    /// Time between the relay's last contact with the store and its response, in milliseconds.
     #[serde(rename = "a")]
     pub age: u64,
-    /// How far the relay's table of back ends that ended is, where anything stands in it.
+    /// Position in the relay's table of crashed back ends, unless the table is empty.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub crashes: Option<TableCursor>,
 }
 
-/// A part of a listing as it travels.
+/// A page of a listing, as it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedPage {
     /// Objects in order of name.
     #[serde(rename = "o")]
     pub objects: Vec<RelayedObject>,
-    /// Whether more follow after the last name.
+    /// Whether more objects follow after the last name.
     #[serde(rename = "m")]
     pub more: bool,
-    /// Revision of the store that is known to the relay.
+    /// Revision up to which the relay knows the store.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// How old that is.
+    /// Age of the page.
     #[serde(rename = "c", default)]
     pub contact: RelayContact,
 }
 
-/// Changes as they travel.
+/// Changes as they are sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedChanges {
     /// Objects that were created or changed.
     #[serde(rename = "w")]
     pub written: Vec<RelayedObject>,
-    /// Names of objects that are gone.
+    /// Names of removed objects.
     #[serde(rename = "g")]
     pub removed: Vec<String>,
-    /// Revision to go on from.
+    /// Revision from which the next watch continues.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// How old what is told is.
+    /// Age of the changes.
     #[serde(rename = "c", default)]
     pub contact: RelayContact,
 }
 
-/// What a watch cache cannot answer.
+/// Why the watch cache cannot serve a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheMiss {
     /// Nothing was listed yet.
     Empty,
-    /// The asker knows the store at a later revision.
+    /// The client knows the store at a later revision.
     Behind,
-    /// What changed since that revision is not kept.
+    /// Changes since that revision are no longer kept.
     Forgotten,
 }
 
 #[derive(Debug)]
 struct CachedObject {
     object: RelayedObject,
-    /// Revision up to which the store was known when this was learned.
+    /// Revision up to which the store was known when this was observed.
     observed_at: Revision,
 }
 
-/// Revisions between those up to which the store was known before a listing and by it. An object that came
-/// to be and was removed meanwhile was never known here: whoever learned of it from somebody else cannot be
-/// told that it is gone, and kept it for 20 s and more.
+/// The revisions between the last one known before a listing and that of the listing. An object
+/// that was created and removed in between was never observed here: a client that received it from
+/// another relay would keep it, as its removal is not known here.
 #[derive(Clone, Copy, Debug)]
 struct RevisionGap {
     from: Revision,
@@ -111,22 +113,23 @@
 }
 
 impl RevisionGap {
-    /// Whether somebody who knows the store at `known` may have learned what was missed here.
+    /// Returns whether a client that knows the store at `known` may know objects that were missed
+    /// here.
     fn contains(&self, known: Revision) -> bool {
         self.from < known && known < self.to
     }
 }
 
-/// Objects of one kind.
+/// Watch cache for the objects of one kind.
 #[derive(Debug, Default)]
 pub struct KindCache {
     objects: BTreeMap<String, CachedObject>,
     removed: BTreeMap<String, Revision>,
-    /// From this revision on all changes are kept.
+    /// All changes from this revision on are kept.
     complete_from: Revision,
-    /// Gaps in what was learned, oldest first.
+    /// Gaps in the observed revisions, oldest first.
     gaps: VecDeque<RevisionGap>,
-    /// Revision up to which the store is known; none before the first listing.
+    /// Revision up to which the store is known; `None` before the first listing.
     revision: Option<Revision>,
     /// Revision at which something changed last.
     changed_at: Revision,
@@ -153,11 +156,11 @@
         }
     }
 
-    /// Returns the object.
+    /// Decodes the object.
     ///
     /// # Errors
     ///
-    /// Fails if what came is no object.
+    /// Returns an error if the content isn't valid JSON of an object.
     pub fn decode(&self) -> Result<Object, serde_json::Error> {
         let content: Content = serde_json::from_slice(&self.json.0)?;
         Ok(Object {
@@ -180,7 +183,7 @@
         self.changed_at
     }
 
-    /// Takes in what was learned, and up to which revision the store is known now.
+    /// Applies what was observed; `revision` is the one up to which the store is known now.
     pub fn learn(&mut self, observed: Option<Learned>, revision: Revision) {
         match observed {
             None => {}
@@ -252,7 +255,7 @@
         }
     }
 
-    /// The revision of an answer to who knows the store at `known`.
+    /// Returns the revision of a response to a client that knows the store at `known`.
     fn response_revision(&self, known: Revision) -> Result<Revision, CacheMiss> {
         match self.revision {
             None => Err(CacheMiss::Empty),
@@ -261,11 +264,11 @@
         }
     }
 
-    /// Returns objects after a name, to who knows the store at `known`.
+    /// Returns a page of objects that follow a name, for a client that knows the store at `known`.
     ///
     /// # Errors
     ///
-    /// Fails where less is known here.
+    /// Fails if nothing was listed yet or less than `known` is known here.
     pub fn list(&self, after: Option<&str>, known: Revision) -> Result<RelayedPage, CacheMiss> {
         let revision = self.response_revision(known)?;
         let mut page = RelayedPage {
@@ -287,11 +290,12 @@
         Ok(page)
     }
 
-    /// Returns what was learned after `known`; `None`: nothing yet.
+    /// Returns what was observed after `known`; `None` if nothing was.
     ///
     /// # Errors
     ///
-    /// Fails where less is known here, or changes since then are not kept.
+    /// Fails if nothing was listed yet, less than `known` is known here, or changes since then are
+    /// no longer kept.
     pub fn changes(&self, known: Revision) -> Result<Option<RelayedChanges>, CacheMiss> {
         let revision = self.response_revision(known)?;
         if known < self.complete_from || self.gaps.iter().any(|gap| gap.contains(known)) {
--- a/crates/firshore-node/src/relay/loads.rs
+++ b/crates/firshore-node/src/relay/loads.rs
@@ -1,8 +1,8 @@
-//! Requests under way at back ends, gathered by a relay: nodes of its zone tell it, it tells the
-//! journal's leader their sums, and tells each node what all others have.
+//! Aggregates reports of requests in flight at back ends: nodes of a zone report to a relay, the
+//! relay reports the sums to the journal's leader and returns to each node the load of all others.
 //!
-//! So what the leader does grows with the number of relays, not with the number of nodes, and a node's
-//! picture is as old as two short exchanges.
+//! The leader's work therefore grows with the number of relays, not of nodes, and a node's view is
+//! as old as two short exchanges.
 
 use crate::journal::client::{JournalClient, OthersLoad};
 use crate::load_table::{BackendCount, LoadTable, ToldLoad, as_counts};
@@ -18,57 +18,58 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Time between two exchanges with the leader.
+/// Interval between two exchanges with the leader.
 const LEADER_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The same where nodes find no free slot, or the last exchange failed.
+/// Shorter interval for when nodes find no free slot, or the last exchange failed.
 const URGENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Age at which what the leader told is not passed on any more: nodes ask the leader themselves.
+/// Age above which the leader's report is no longer passed on; nodes then report to the leader
+/// directly.
 const MAX_VIEW_AGE: Duration = Duration::from_millis(800);
 
-/// What a relay tells a node.
+/// A relay's response to a load report.
 #[derive(Debug)]
 pub struct RelayedLoad {
-    /// Requests that all others have under way at each back end.
+    /// Requests in flight at each back end, of all other nodes.
     pub others: Vec<BackendCount>,
-    /// Age of what the leader told.
+    /// Age of the leader's report that this rests on.
     pub age: Duration,
-    /// Nodes that tell this relay.
+    /// Number of nodes that report to this relay.
     pub nodes: usize,
-    /// What tenants may still ask, for a node that told what they have.
+    /// Remaining limits of tenants, for a node that reported their use.
     pub news: Option<UsageNews>,
-    /// What back ends told others of their pace since the node asked last.
+    /// Paces of back ends that others reported since this node's last report.
     pub paces: Vec<BackendPace>,
 }
 
-/// What the leader told last.
+/// The load last received from the leader.
 struct FleetView {
-    /// Requests of all nodes that do not tell this relay.
+    /// Requests of all nodes that don't report to this relay.
     counts: HashMap<BackendName, u32>,
     at: Instant,
 }
 
-/// Loads of the nodes that tell this one.
+/// Aggregates the load reports of nodes and exchanges the sums with the leader.
 pub struct LoadRelay {
     table: RefCell<LoadTable>,
     view: RefCell<Option<FleetView>>,
-    /// What back ends told these nodes, and all others, of their pace.
+    /// Paces of back ends, reported by these nodes and by the leader.
     paces: RefCell<PaceTable>,
-    /// How online requests of these nodes pressed, until the leader is told.
+    /// Pressure of these nodes' online requests, not yet reported to the leader.
     pressure: RefCell<PressureCount>,
-    /// What tenants have asked these nodes, and may still ask.
+    /// Use of limits by these nodes' tenants, and what remains.
     uses: RefCell<UsageRelay>,
-    /// Whether a node told that tenants have limits.
+    /// Whether a node reported that tenants have limits.
     has_limits: Cell<bool>,
     reported: Notify,
     crowded: Notify,
-    /// Woken when what tenants have asked has to be told at once.
+    /// Notified when use of limits has to be reported at once.
     limits_urgent: Notify,
 }
 
 impl LoadRelay {
-    /// Nothing was told yet. Rates of tenants are counted over `rate_span`.
+    /// Creates a relay without reports. Rates of tenants are counted over `rate_span`.
     pub fn new(rate_span: Duration) -> Self {
         Self {
             table: RefCell::default(),
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Takes in what a node has under way. Returns what all others have; `None` while the leader's
-    /// picture is missing or old.
+    /// Records a node's report and returns the load of all others; `None` while the leader's report
+    /// is missing or too old.
     pub fn exchange(&self, now: Instant, node: NodeName, report: ToldLoad) -> Option<RelayedLoad> {
         let mut table = self.table.borrow_mut();
         table.told(now, node.clone(), report.counts);
@@ -99,7 +100,8 @@
         let view = view.as_ref()?;
         let age = now.saturating_duration_since(view.at);
         if age > MAX_VIEW_AGE {
-            // The node tells the leader itself: what its tenants have asked counts once.
+            // The node now reports to the leader directly: counted here too, its pressure and its
+            // tenants' use would count twice.
             return None;
         }
         self.pressure.borrow_mut().told(&report.pressures);
@@ -125,12 +127,12 @@
         })
     }
 
-    /// Returns what is to be told to the leader, if any node told a moment ago. How requests press is not told
-    /// again.
+    /// Returns the report for the leader, if any node reported recently. Pressure is reported only
+    /// once.
     pub fn sums_to_tell(&self, now: Instant, urgent: bool) -> Option<ToldLoad> {
         let counts = self.sums(now);
         let mut uses = self.uses.borrow_mut();
-        // Shares of nodes that tell no more are told until nothing of them is left.
+        // Tenants' use by nodes that no longer report is still reported until it has expired.
         if counts.is_none() && uses.is_empty() {
             return None;
         }
@@ -143,7 +145,8 @@
         })
     }
 
-    /// Takes in the leader's answer to what was told at a moment, or that there was none.
+    /// Applies the leader's response to a report sent at `queried_at`; `None` if there was no
+    /// response.
     fn record_response(&self, queried_at: Instant, response: Option<OthersLoad>) {
         let mut uses = self.uses.borrow_mut();
         let Some(others) = response else {
@@ -161,20 +164,20 @@
         self.learned(queried_at, others.counts);
     }
 
-    /// Takes in what the leader told at a moment.
+    /// Records the load received from the leader at a time.
     pub fn learned(&self, at: Instant, counts: HashMap<BackendName, u32>) {
         *self.view.borrow_mut() = Some(FleetView { counts, at });
     }
 
-    /// Returns the sums of what nodes told a moment ago; `None` if none did.
+    /// Returns the sums of recent reports; `None` if there are none.
     pub fn sums(&self, now: Instant) -> Option<Vec<BackendCount>> {
         let mut table = self.table.borrow_mut();
         table.forget_old(now);
         (table.nodes() > 0).then(|| as_counts(table.sums().clone()))
     }
 
-    /// Exchanges sums with the leader for as long as nodes tell theirs, until the node ends. A node that
-    /// `leads` is told by the others itself.
+    /// Exchanges sums with the leader while nodes report, until the node ends. Pauses while this
+    /// node is the leader (`leads`), as the others then report to it directly.
     pub async fn run(self: Rc<Self>, journal: Rc<JournalClient>, leads: impl Fn() -> bool) {
         let mut urgent = false;
         loop {
--- a/crates/firshore-node/src/relay/mod.rs
+++ b/crates/firshore-node/src/relay/mod.rs
@@ -1,9 +1,9 @@
-//! What the store holds, passed on from node to node: a few nodes with disks in each zone watch the
-//! store, all others ask these.
+//! Relays of the object store: a few nodes with disks in each zone watch the store, all other nodes
+//! query these.
 //!
-//! A store's calls are dear and bounded, whoever makes them, and it may turn single nodes away. So a
-//! [`Relay`] follows a kind for as long as somebody asks it, and a [`store::RelayedStore`] asks relays, and
-//! the store itself where they do not tell in time ([`budget`]).
+//! Calls to the store are expensive and limited in number, and it may refuse single nodes. A
+//! [`Relay`] therefore follows a kind only while clients query it. A [`store::RelayedStore`]
+//! queries relays, and the store directly when they don't respond within the [`budget`].
 
 pub mod asker;
 pub mod budget;
@@ -27,53 +27,53 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Longest wait for a change that is granted.
+/// Maximum time for which a relay holds a query for a change.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// Time without a question after which a kind is not followed any more.
+/// Time without queries after which a kind is no longer followed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A kind that is relayed.
+/// A kind of objects that relays serve.
 #[derive(Clone, Debug)]
 pub struct RelayedKind {
-    /// Name.
+    /// Name of the kind.
     pub name: String,
-    /// On which terms the store is asked.
+    /// Timing of calls to the store.
     pub terms: Terms,
-    /// How soon changes must be known.
+    /// How soon changes must be visible.
     pub budget: FreshnessBudget,
 }
 
-/// Passes on what the store holds.
+/// Serves objects of the store to other nodes.
 pub struct Relay {
     store: Rc<dyn ObjectStore>,
     log: Logger,
     kinds: Vec<RelayedKind>,
-    /// Tells the other relays that something of a kind has changed, and at which revision.
+    /// Notifies the other relays of a change of a kind and its revision.
     announce: Announce,
     served_kinds: RefCell<HashMap<String, Rc<ServedKind>>>,
 }
 
-/// Tells other relays of a change.
+/// Notifies other relays that a kind has changed, at the revision given.
 pub type Announce = Rc<dyn Fn(&str, Revision)>;
 
-/// A kind that is followed, because somebody asks for it.
+/// A kind that is followed because clients query it.
 struct ServedKind {
     budget: FreshnessBudget,
     cache: RefCell<KindCache>,
-    /// Whether the store is in reach, as far as is known.
+    /// Whether the store is reachable, as of the last observation or probe.
     connected: Cell<bool>,
-    /// Whether everything is listed and a watch is asked for, or is after the pause.
+    /// Whether everything is listed and a watch is pending or follows after the wait.
     is_watching: Cell<bool>,
-    /// As of when the store is known.
+    /// Time as of which the store's state is known.
     confirmed_at: Cell<Instant>,
-    /// When a listing or a watch was answered last.
+    /// Time of the last response to a listing or a watch.
     answered_at: Cell<Instant>,
-    /// Until when nothing is asked after a change: what happens meanwhile is not known.
+    /// End of the wait after a change; changes before that are not observed.
     paused_until: Cell<Instant>,
-    /// Counts whatever may let an answer be given that waits.
+    /// Incremented whenever a pending query may have a response.
     steps: watch::Sender<u64>,
-    /// Wakes the watch that waits, to ask the store anew.
+    /// Interrupts the pending watch, so that the store is queried again.
     renewal: Rc<Notify>,
     renewed_at: Cell<Option<Instant>>,
     queried_at: Cell<Instant>,
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Takes in what was learned. Returns the revision of a change that others may not know yet.
+    /// Applies an observation. Returns the revision of a change that other relays may not have
+    /// observed yet.
     fn learn(
         &self,
         observed: Option<Learned>,
@@ -117,9 +118,9 @@
         (changed_at > before).then_some(changed_at)
     }
 
-    /// Takes in whether the store has answered, as of when. A watch that failed once says nothing of the
-    /// store, which cuts those of all relays at the same moment: whoever asks waits for the listing that
-    /// follows. Without this, nodes passed all relays over for 0.8 s.
+    /// Records whether the store has responded, and as of when. A single failed watch doesn't count
+    /// as lost contact, as the store may close the watches of all relays at the same time: queries
+    /// wait for the listing that follows. Otherwise nodes would exclude all relays at once.
     fn update_contact(&self, observation: &Observation, as_of: Instant) {
         let failures = observation.failures();
         let is_watching = failures == 0 && observation.revision().is_some();
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Whether what is known here may be told as current: a relay whose process did not run for a while
-    /// finds out about the store only later.
+    /// Returns whether the cached data may be served as current. Checks the age too: a relay whose
+    /// process was suspended notices a lost store only later.
     fn is_current(&self) -> bool {
         self.connected.get()
             && firshore_clock::elapsed(self.confirmed_at.get()) < self.budget.relay_age()
@@ -147,8 +148,8 @@
         known.is_some_and(|known| known < revision)
     }
 
-    /// The store cannot be reached: what is known is not told as current any more, and the watch that
-    /// waits is given up.
+    /// Records that the store is unreachable: the data is no longer served as current, and the
+    /// pending watch is dropped.
     fn lose_contact(&self) {
         if self.connected.replace(false) {
             self.steps.send_modify(|steps| *steps += 1);
@@ -156,12 +157,13 @@
         }
     }
 
-    /// The store has answered what it was asked at `queried_at`, and had reached `revision`.
+    /// Records a probe sent at `queried_at`, to which the store responded with `revision`.
     ///
-    /// That shows the way to the store, not that the watch lives: all relays' watches may be swallowed by
-    /// the same moment of silence. So it counts for a while after an answer to the watch only, and for a
-    /// shorter one where the store has changed since: mostly objects of another kind have, of which this
-    /// watch is not told. Then the store is asked anew.
+    /// A probe shows that the store is reachable, not that the watch works: the watches of all
+    /// relays may be lost at the same time. It therefore confirms freshness only for a limited time
+    /// after the last response to the watch, and for a shorter time if the store's revision has
+    /// advanced, mostly because of other kinds, which this watch doesn't report. After that the
+    /// store is queried again.
     fn record_probe(&self, queried_at: Instant, revision: Revision) {
         if !self.connected.get() {
             return self.renew();
@@ -181,7 +183,8 @@
         }
     }
 
-    /// Asks the store anew, where somebody knows more of it than this node.
+    /// Queries the store again, because another source knows a later revision or the watch may be
+    /// lost.
     fn renew(&self) {
         let now = firshore_clock::now();
         let recent = |at: Instant| now.duration_since(at) < self.budget.renewal_interval();
@@ -192,7 +195,7 @@
         self.renewal.notify_one();
     }
 
-    /// Answers, and tells how old the answer is.
+    /// Responds to a query and sets the age of the response.
     async fn respond(
         &self,
         wait: Duration,
@@ -212,8 +215,9 @@
         response
     }
 
-    /// Tries until there is an answer or the wait is over. Out of contact with the store, only `allow_stale` is
-    /// told: what the asker does not know, however old.
+    /// Waits until there is a response or the wait is over. Out of contact with the store, responds
+    /// only if `allow_stale` is set and there are changes that the client doesn't know, whatever
+    /// their age.
     async fn find_response(
         &self,
         wait: Duration,
@@ -258,7 +262,7 @@
 }
 
 impl Relay {
-    /// A relay of these kinds, which tells other relays of changes by `announce`.
+    /// Creates a relay for these kinds; `announce` notifies other relays of changes.
     pub fn new(
         store: Rc<dyn ObjectStore>,
         log: Logger,
@@ -274,8 +278,8 @@
         })
     }
 
-    /// Returns what is followed of a kind, which begins with the first question; `None` for a kind that
-    /// is not relayed.
+    /// Returns the state of a kind, following it from the first query on; `None` for a kind that is
+    /// not relayed.
     fn served_kind(&self, kind: &str) -> Option<Rc<ServedKind>> {
         let relayed = self.kinds.iter().find(|one| one.name == kind);
         let Some(relayed) = relayed else {
@@ -315,7 +319,8 @@
         served
     }
 
-    /// Answers with objects of a kind after a name, to who knows the store at `known`.
+    /// Returns a page of objects of a kind that follow a name, for a client that knows the store at
+    /// `known`.
     pub async fn list(&self, kind: &str, after: Option<&str>, known: Revision) -> PeerResponse {
         let Some(served) = self.served_kind(kind) else {
             return PeerResponse::NoContact;
@@ -325,7 +330,8 @@
         served.respond(wait, false, page).await
     }
 
-    /// Answers with what changed of a kind, to who knows the store at `known`.
+    /// Returns the changes of a kind, for a client that knows the store at `known`; waits for at
+    /// most `wait` (2 s at most) if there are none.
     pub async fn watch(&self, kind: &str, known: Revision, wait: Duration) -> PeerResponse {
         let Some(served) = self.served_kind(kind) else {
             return PeerResponse::NoContact;
@@ -337,8 +343,9 @@
         served.respond(wait.min(MAX_WAIT), true, changes).await
     }
 
-    /// Takes in that another relay has learned of a change. Where this one does not soon, its watch may
-    /// be lost: a store that falls silent, or a cut that nobody has noticed yet.
+    /// Applies a notification that another relay has observed a change. If this relay doesn't
+    /// observe it soon, its own watch may be lost, such as by a store that stopped responding or a
+    /// network partition that was not detected yet; then the store is queried again.
     pub async fn heard(&self, kind: &str, changed: Revision) {
         let served = self.served_kinds.borrow().get(kind).cloned();
         let Some(served) = served.filter(|served| served.is_behind(changed)) else {
@@ -354,10 +361,10 @@
         }
     }
 
-    /// Looks whether the store can be reached while anything is followed, and ends what nobody asks for
-    /// any more, until the node ends.
+    /// Probes the store while any kind is followed, and drops kinds that clients no longer query,
+    /// until the node ends.
     pub async fn run(self: Rc<Self>) {
-        // The kind that must be known soonest decides.
+        // The shortest budget determines the interval of probes.
         let Some(budget) = self.kinds.iter().map(|kind| kind.budget).min() else {
             return;
         };
--- a/crates/firshore-node/src/relay/ranking.rs
+++ b/crates/firshore-node/src/relay/ranking.rs
@@ -1,8 +1,9 @@
-//! Which nodes relay what the store holds, and in which order a node asks them. No I/O.
+//! Selects the nodes that relay the object store, and the order in which a node queries them. No
+//! I/O.
 //!
-//! Every node ranks the nodes with disks of each zone by the same hash (rendezvous hashing, Thaler and
-//! Ravishankar 1998), so that all of a zone meet at the same few without talk, and only these watch the
-//! store.
+//! All nodes rank the nodes with disks of each zone by the same hash (rendezvous hashing, Thaler
+//! and Ravishankar 1998). They select the same few relays without communication, and only these
+//! watch the store.
 
 use firshore_log::placement::Candidate;
 use firshore_types::ids::{NodeName, ZoneName};
@@ -10,10 +11,10 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Relays in each zone, so that one may go.
+/// Relays in each zone; a second one, so that one may be lost.
 const RELAYS_PER_ZONE: usize = 2;
 
-/// Relays that a node asks at most, one after the other, before it takes all for gone.
+/// Maximum number of relays that a node queries before it treats all as unresponsive.
 const MAX_QUERIED: usize = 4;
 
 fn rank(zone: &ZoneName, node: &NodeName) -> u64 {
@@ -38,15 +39,15 @@
     zones
 }
 
-/// Returns the relays of a node's own zone, in the order in which it asks them.
+/// Returns the relays of a node's local zone, in the order in which it queries them.
 pub fn at_home(candidates: &[Candidate], zone: &ZoneName, client: &NodeName) -> Vec<NodeName> {
     let mut relays = relays(candidates).remove(zone).unwrap_or_default();
     relays.sort_by_key(|relay| preference(client, relay));
     relays
 }
 
-/// Returns the relays that a node asks, in this order: those of its own zone first, each preferred by
-/// its share of the zone's nodes, then some of other zones.
+/// Returns the relays that a node queries, in order: those of its zone first, each preferred by an
+/// equal fraction of the zone's nodes, then some of other zones.
 pub fn order(candidates: &[Candidate], zone: &ZoneName, client: &NodeName) -> Vec<NodeName> {
     let mut relays = relays(candidates);
     let mut order = relays.remove(zone).unwrap_or_default();
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -1,4 +1,4 @@
-//! The store as a node sees it that asks relays first.
+//! An object store that queries relays first.
 
 use super::asker::{QueryOutcome, RelayAsker, RelayResponse};
 use super::budget::{FreshnessBudget, StoreTurn};
@@ -16,42 +16,42 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Asks for one kind on behalf of one node: relays, and the store itself once what is known grows old.
+/// Follows one kind for one node: queries relays, and the store directly once the data grows old.
 ///
-/// Relays and the store are asked side by side, so that no wait for one of them delays the other.
+/// Relays and the store are queried concurrently, so that waiting for one doesn't delay the other.
 pub struct RelayedStore {
     asker: RelayAsker,
     direct: Rc<dyn ObjectStore>,
     budget: FreshnessBudget,
-    /// Revision up to which the store is known: older answers are refused.
+    /// Revision up to which the store is known; responses at an earlier one are refused.
     known: Cell<Revision>,
-    /// When the store itself is asked.
+    /// When the store is queried directly.
     schedule: RefCell<StoreTurn>,
-    /// Rounds of questions that no relay has answered.
+    /// Consecutive rounds of queries that no relay responded to.
     failed_rounds: Cell<u32>,
-    /// The last round of questions ended with relays that are out of contact with the store.
+    /// Whether the last round ended with relays that are out of contact with the store.
     relays_disconnected: Cell<bool>,
     queries_store: Cell<bool>,
-    /// As of when the kind is known.
+    /// Time as of which the kind is known.
     freshness: Rc<Belief>,
-    /// As of when the first page of the listing under way was.
+    /// Time as of which the first page of the current listing was read.
     listed_as_of: Cell<Option<Instant>>,
 }
 
-/// What the store answered.
+/// A response of the store to a direct query.
 struct StoreResponse<T> {
     queried_at: Instant,
     value: T,
 }
 
-/// Who has answered first.
+/// The first response, from a relay or the store.
 enum FirstResponse<T> {
     FromRelay(RelayResponse),
     FromStore(StoreResponse<T>),
 }
 
-/// Each object by itself: one that cannot be read has no content, and the others hold. Otherwise whatever
-/// the relay tells would fail, until somebody else has mended that object.
+/// Decodes each object on its own. An object that cannot be decoded gets empty content, so that it
+/// doesn't invalidate the other objects in the same response.
 fn decoded(objects: &[RelayedObject]) -> impl Iterator<Item = Object> {
     objects.iter().map(|record_relayed| {
         let object = record_relayed.decode();
@@ -85,8 +85,8 @@
 }
 
 impl RelayedStore {
-    /// Asks relays through `asker`, and `direct` in time for `budget`. Tells `freshness` as of when the kind
-    /// is known.
+    /// Queries relays through `asker`, and `direct` within `budget`. Records in `freshness` as of
+    /// when the kind is known.
     pub fn new(
         asker: RelayAsker,
         direct: Rc<dyn ObjectStore>,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Asks relays until one is of use.
+    /// Queries relays until one returns a useful response.
     async fn query_relays(
         &self,
         kind: &str,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Asks relays for a page until one tells what is not too old already: the next question would go to
-    /// the store at once, and this one would be asked again.
+    /// Queries relays for a page until one returns a page that is not too old. An older one would
+    /// make the next query go to the store at once, and this page would be listed again.
     async fn query_relays_for_page(&self, kind: &str, request: PeerRequest) -> RelayResponse {
         loop {
             let wait = self.budget.relay_wait();
@@ -146,8 +146,9 @@
         }
     }
 
-    /// Relays may have come or moved since the nodes were listed. Asked for after 1, 2, 4 and so on rounds:
-    /// a listing is a call of the store. Nobody waits for it, as the store may be silent.
+    /// Lists the nodes again, since relays may have been added or moved. Done after 1, 2, 4, …
+    /// failed rounds, as a listing is a call to the store, and in the background, as the store may
+    /// be unresponsive.
     fn refresh_relays(&self) {
         let rounds = self.failed_rounds.get().saturating_add(1);
         self.failed_rounds.set(rounds);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Asks the store once it is due, until it answers.
+    /// Queries the store once it is due, until it responds.
     async fn query_store<'a, T>(
         &'a self,
         kind: &str,
@@ -181,8 +182,9 @@
         }
     }
 
-    /// Whether the store can be reached, where there is reason to doubt it: that costs a part of a
-    /// question, and a store that is down is down for all nodes.
+    /// Returns whether the store is reachable. Probes it only after a failed query or while relays
+    /// are out of contact with it: a probe costs less than a query, and an unreachable store is
+    /// queried by all nodes.
     async fn reaches_store(&self) -> bool {
         if !self.is_store_doubtful() {
             return true;
@@ -195,13 +197,13 @@
         self.relays_disconnected.get() || self.schedule.borrow().has_failed()
     }
 
-    /// When the store itself is to be asked.
+    /// Returns when the store is to be queried directly.
     fn store_due(&self) -> Instant {
         let as_of = self.freshness.as_of();
         self.schedule.borrow().due(as_of, self.is_store_doubtful())
     }
 
-    /// A relay has told the store as of a moment.
+    /// Records that a relay has delivered the store's state as of a time.
     fn record_relayed(&self, as_of: Instant) {
         self.failed_rounds.set(0);
         self.relays_disconnected.set(false);
@@ -219,8 +221,8 @@
         }
     }
 
-    /// Takes in up to which revision the store is known. An answer that knows less is refused: what was
-    /// learned is never taken back.
+    /// Advances the known revision. A response at an earlier revision is refused, so that the view
+    /// never goes back.
     fn advance_known(&self, revision: Revision) -> Result<(), ObjectError> {
         if revision < self.known.get() {
             warn!(self.asker.log, "relay: Answer refused."; "revision" => revision,
@@ -231,7 +233,7 @@
         Ok(())
     }
 
-    /// Takes in a page: the listing tells the store as of its first one.
+    /// Records a page; the complete listing is as of its first page.
     fn confirm_page(&self, page: &Page, after: Option<&str>, as_of: Instant, source: BeliefSource) {
         if after.is_none() {
             self.listed_as_of.set(Some(as_of));
@@ -274,9 +276,9 @@
         .boxed_local()
     }
 
-    /// Where relays tell nothing in time, the kind is to be listed anew from the store: an answer to a
-    /// watch proves nothing there, since a store that has forgotten its history tells so only with the
-    /// next change.
+    /// Fails with `HistoryGone` if relays don't respond in time, so that the kind is listed from
+    /// the store. A watch would prove nothing there: a store that has lost its history reports that
+    /// only with the next change.
     fn watch<'a>(&'a self, kind: &'a str, after: Revision, wait: Duration) -> Answer<'a, Changes> {
         async move {
             let wait = wait.min(self.budget.relay_wait());
