--- a/crates/firshore-node/src/journal/client.rs
+++ b/crates/firshore-node/src/journal/client.rs
@@ -251,7 +251,7 @@
         if let AttemptOutcome::NotSent | AttemptOutcome::NoResponse =
             self.send_load(node, report, false).await
         {
-            info!(self.log, "load: Not taken back."; "told" => %node);
+            info!(self.log, "load: Report not retracted."; "told" => %node);
         }
     }
 
--- a/crates/firshore-node/src/journal/group_keeper.rs
+++ b/crates/firshore-node/src/journal/group_keeper.rs
@@ -162,8 +162,7 @@
         }
     }
 
-    /// Records the replica's status. Called before the store is queried, as the steps depend on
-    /// times since a status.
+    /// Records the replica's status. Called before the store is queried for the rest of a step's input.
     pub fn observe(&mut self, now: Instant, status: &GroupStatus) {
         self.update_leader(now, status);
         self.update_unresponsive(now, status);
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -113,13 +113,13 @@
             KeeperStep::Record(record) => self.journal.registry.record_voters(&record).await,
             KeeperStep::Change(change) => replica.change(change),
             KeeperStep::PassOver(disk, backoff) => {
-                info!(self.journal.log, "journal: Disk passed over."; "disk" => %disk,
+                info!(self.journal.log, "journal: Disk excluded."; "disk" => %disk,
                     "pause_ms" => backoff.as_millis() as u64);
                 replica.change(MembershipChange::Remove(disk));
             }
             KeeperStep::ContinueWith(survivors) => replica.continue_with(survivors),
             KeeperStep::JoinHistory(history) => {
-                warn!(self.journal.log, "journal: Joins a later history."; "history" => history,
+                warn!(self.journal.log, "journal: Joining a later history."; "history" => history,
                     "former" => status.history, "led" => status.leads);
                 replica.join_history(history);
             }
@@ -165,7 +165,7 @@
                 true
             }
             Err(error) => {
-                warn!(self.journal.log, "retirement: Not listed."; "reason" => %error);
+                warn!(self.journal.log, "retirement: Listing failed."; "reason" => %error);
                 false
             }
         }
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -205,7 +205,7 @@
                 true
             }
             Err(error) => {
-                warn!(self.log, "registry: Not listed."; "reason" => %error);
+                warn!(self.log, "registry: Listing failed."; "reason" => %error);
                 false
             }
         }
@@ -222,7 +222,7 @@
                 return Ok(objects);
             }
             if cursor <= after {
-                let reason = "more follow, and no name to ask for them after";
+                let reason = "more objects follow, and no name to continue after";
                 return Err(ObjectError::Unanswered(reason.to_owned()));
             }
             after = cursor;
@@ -248,7 +248,7 @@
         if revision <= listed || revision < reported {
             return;
         }
-        info!(self.log, "registry: Node heard."; "node" => %node, "address" => %address,
+        info!(self.log, "registry: Node address updated."; "node" => %node, "address" => %address,
             "revision" => revision);
         self.state
             .borrow_mut()
@@ -401,7 +401,7 @@
             Ok(record) => {
                 let before = state.nodes.get(&NodeName::from(name));
                 if before.is_none_or(|(_, before)| *before != record) {
-                    info!(self.log, "registry: Node."; "node" => name, "disk" => %record.disk,
+                    info!(self.log, "registry: Node listed."; "node" => name, "disk" => %record.disk,
                         "address" => %record.address, "revision" => object.revision);
                 }
                 state.unreadable.remove(&NodeName::from(name));
@@ -486,7 +486,7 @@
         self.refreshed_at.set(None);
         match written {
             Ok(()) => info!(self.log, "registry: {}", what),
-            Err(error) => warn!(self.log, "registry: Not written."; "what" => what,
+            Err(error) => warn!(self.log, "registry: Write failed."; "what" => what,
                 "reason" => %error),
         }
     }
--- a/crates/firshore-node/src/journal/retirement.rs
+++ b/crates/firshore-node/src/journal/retirement.rs
@@ -94,7 +94,7 @@
                 let mut refusals = self.refusals.borrow_mut();
                 let admitted = refusals.admit(firshore_clock::now(), &object.name, object.revision);
                 if let Some(suppressed) = admitted {
-                    warn!(log, "retirement: Unreadable."; "revision" => object.revision,
+                    warn!(log, "retirement: Object unreadable."; "revision" => object.revision,
                         "reason" => %error, "untold" => suppressed);
                 }
             }
--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/asker.rs
@@ -200,7 +200,7 @@
         let backoff = backoff.min(budget.max_backoff());
         // Logged once per reason, not with each query.
         if before.is_none_or(|before| before.reason != reason) {
-            info!(self.log, "relay: Passed over."; "relay" => %relay, "kind" => kind,
+            info!(self.log, "relay: Relay excluded."; "relay" => %relay, "kind" => kind,
                 "asked_ms" => firshore_clock::elapsed(queried_at).as_millis() as u64,
                 "out_of_contact" => reason == RelayFailure::OutOfContact, "reason" => ?reason,
                 "pause_ms" => backoff.as_millis() as u64);
--- a/crates/firshore-node/src/relay/mod.rs
+++ b/crates/firshore-node/src/relay/mod.rs
@@ -283,8 +283,8 @@
     fn served_kind(&self, kind: &str) -> Option<Rc<ServedKind>> {
         let relayed = self.kinds.iter().find(|one| one.name == kind);
         let Some(relayed) = relayed else {
-            warn!(self.log, "relay: Question refused."; "kind" => kind,
-                "reason" => "a kind that is not relayed");
+            warn!(self.log, "relay: Query refused."; "kind" => kind,
+                "reason" => "the kind is not relayed");
             return None;
         };
         let mut served = self.served_kinds.borrow_mut();
@@ -355,7 +355,7 @@
         let spacing = relayed.map_or(Duration::ZERO, |one| one.terms.spacing);
         actix_rt::time::sleep(spacing + served.budget.hint_timeout()).await;
         if served.is_behind(changed) {
-            info!(self.log, "relay: Store asked anew."; "kind" => kind, "changed" => changed,
+            info!(self.log, "relay: Store queried again."; "kind" => kind, "changed" => changed,
                 "known" => served.cache.borrow().revision());
             served.renew();
         }
@@ -382,7 +382,7 @@
             let is_reachable = revision.is_some();
             if was_reachable != is_reachable {
                 was_reachable = is_reachable;
-                info!(self.log, "relay: Way to the store."; "open" => is_reachable);
+                info!(self.log, "relay: Store reachability changed."; "open" => is_reachable);
             }
             let served: Vec<Rc<ServedKind>> =
                 self.served_kinds.borrow().values().cloned().collect();
@@ -399,7 +399,7 @@
         self.served_kinds.borrow_mut().retain(|kind, served| {
             let in_use = firshore_clock::elapsed(served.queried_at.get()) < IDLE_TIMEOUT;
             if !in_use {
-                info!(self.log, "relay: Kind not followed any more."; "kind" => kind);
+                info!(self.log, "relay: Kind no longer followed."; "kind" => kind);
             }
             in_use
         });
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -81,7 +81,7 @@
 }
 
 fn unexpected_response() -> ObjectError {
-    ObjectError::Unanswered("a relay answered with another kind of message".to_owned())
+    ObjectError::Unanswered("a relay sent an unexpected response".to_owned())
 }
 
 impl RelayedStore {
@@ -209,13 +209,13 @@
         self.relays_disconnected.set(false);
         self.schedule.borrow_mut().relayed(as_of);
         if self.queries_store.replace(false) {
-            info!(self.asker.log, "relay: Relays are asked again.");
+            info!(self.asker.log, "relay: Relays are used again.");
         }
     }
 
     fn log_store_query(&self, kind: &str) {
         if !self.queries_store.replace(true) {
-            warn!(self.asker.log, "relay: No relay is of use in time; the store itself is asked.";
+            warn!(self.asker.log, "relay: No relay responded in time; querying the store directly.";
                 "kind" => kind, "belief_age_ms" => self.freshness.age_ms(),
                 "bound_ms" => self.budget.bound().as_millis() as u64);
         }
@@ -225,7 +225,7 @@
     /// never goes back.
     fn advance_known(&self, revision: Revision) -> Result<(), ObjectError> {
         if revision < self.known.get() {
-            warn!(self.asker.log, "relay: Answer refused."; "revision" => revision,
+            warn!(self.asker.log, "relay: Response refused."; "revision" => revision,
                 "known" => self.known.get(), "reason" => "an older revision");
             return Err(ObjectError::Unanswered("an older revision".to_owned()));
         }
