--- a/crates/firshore-node/src/journal/group_keeper.rs
+++ b/crates/firshore-node/src/journal/group_keeper.rs
@@ -138,7 +138,7 @@
 pub struct GroupKeeper {
     terms: KeeperTerms,
     /// Disks excluded after failed attempts as learners.
-    passed_over: PassedOver,
+    excluded: PassedOver,
     /// Time since which no leader is known.
     leaderless_since: Option<Instant>,
     /// Last record of voters, and since when it is unchanged.
@@ -154,7 +154,7 @@
     pub fn new(terms: KeeperTerms) -> Self {
         Self {
             terms,
-            passed_over: PassedOver::default(),
+            excluded: PassedOver::default(),
             leaderless_since: None,
             recorded: None,
             unresponsive_since: BTreeMap::new(),
@@ -227,10 +227,10 @@
     /// further loss leaves neither a quorum nor proof of what was committed; of two, it leaves one
     /// that can continue.
     fn unresponsive_voters(&self, now: Instant) -> impl Iterator<Item = DiskId> {
-        let least = self.terms.catch_up.mul_f64(GIVE_UP_FRACTION);
-        let silent = self.unresponsive_since.iter();
-        silent
-            .filter(move |(_, since)| now.saturating_duration_since(**since) >= least)
+        let threshold = self.terms.catch_up.mul_f64(GIVE_UP_FRACTION);
+        let unresponsive = self.unresponsive_since.iter();
+        unresponsive
+            .filter(move |(_, since)| now.saturating_duration_since(**since) >= threshold)
             .map(|(disk, _)| *disk)
     }
 
@@ -256,7 +256,7 @@
         if let Some(learner) = self.overdue_learner(now, &group)
             && !usable.is_empty()
         {
-            let backoff = self.passed_over.stayed_silent(now, learner);
+            let backoff = self.excluded.stayed_silent(now, learner);
             return KeeperStep::PassOver(learner, backoff);
         }
         let change = group.next_change(&usable);
@@ -281,7 +281,7 @@
             && !present.contains(disk)
         {
             // A learner that never responded: its node is registered but lost.
-            let backoff = self.passed_over.stayed_silent(now, *disk);
+            let backoff = self.excluded.stayed_silent(now, *disk);
             return KeeperStep::PassOver(*disk, backoff);
         }
         KeeperStep::Change(change)
@@ -331,26 +331,22 @@
         short: bool,
     ) -> Vec<Candidate> {
         let membership = &view.status.membership;
-        self.passed_over.forget(|disk| membership.is_voter(disk));
+        self.excluded.forget(|disk| membership.is_voter(disk));
         let open = view
             .candidates
             .iter()
             .filter(|one| !membership.replicas.contains_key(&one.disk))
-            .filter(|one| !self.passed_over.holds(now, one.disk))
+            .filter(|one| !self.excluded.holds(now, one.disk))
             .filter(|one| !leaving.done.contains(&one.node));
         let (last, staying): (Vec<&Candidate>, Vec<&Candidate>) =
             open.partition(|one| leaving.open.contains(&one.node));
         let mut usable = staying;
-        if short
-            && usable
-                .iter()
-                .all(|one| self.passed_over.has_failed(one.disk))
-        {
+        if short && usable.iter().all(|one| self.excluded.has_failed(one.disk)) {
             usable.extend(last);
         }
         // A lost node stays listed. Disks that failed less often come first, so that it doesn't
         // block a disk that may be reachable by now.
-        let failures = |one: &&Candidate| self.passed_over.backoff(one.disk);
+        let failures = |one: &&Candidate| self.excluded.backoff(one.disk);
         if membership.voters().count() < self.terms.target {
             let fewest = usable.iter().map(failures).min();
             usable.retain(|one| Some(failures(one)) == fewest);
@@ -371,8 +367,8 @@
 
     fn leaderless_time(&self, now: Instant, since: Option<Instant>) -> LeaderlessTime {
         let lasts = |share: f64| {
-            let least = self.terms.catch_up.mul_f64(share);
-            since.is_some_and(|since| now.saturating_duration_since(since) >= least)
+            let threshold = self.terms.catch_up.mul_f64(share);
+            since.is_some_and(|since| now.saturating_duration_since(since) >= threshold)
         };
         LeaderlessTime {
             timed_out: lasts(SILENCE_SHARE),
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -43,14 +43,18 @@
         ..VoterRecord::default()
     };
     let record = view.recorded.unwrap_or(&unrecorded);
-    let own = view.status.disk;
-    if record.is_begun_by(own) {
+    let local = view.status.disk;
+    if record.is_begun_by(local) {
         return begin_history(view, record);
     }
-    if record.left_behind == Some(own) {
+    if record.left_behind == Some(local) {
         return step_left_behind(view, record, unchanged);
     }
-    if !record.possible().iter().any(|voters| voters.contains(&own)) {
+    if !record
+        .possible_voters()
+        .iter()
+        .any(|voters| voters.contains(&local))
+    {
         // This replica was removed and must not continue.
         return KeeperStep::Rest;
     }
@@ -70,7 +74,7 @@
         let never_held = record.never_held(voters);
         intersects_quorums(remaining, voters, &never_held) && excludes_other_commits(&sets, voters)
     });
-    if !lost_quorum || !certain || !remaining.contains(&own) {
+    if !lost_quorum || !certain || !remaining.contains(&local) {
         return KeeperStep::Rest;
     }
     match survivors(view, remaining) {
@@ -87,7 +91,7 @@
     least: usize,
 ) -> Vec<BTreeSet<DiskId>> {
     let present = voters_of(&view.status.membership);
-    let mut possible = record.possible();
+    let mut possible = record.possible_voters();
     if record.voters == voters_of(&view.status.committed_membership) {
         possible.truncate(1);
     }
@@ -175,12 +179,12 @@
     record: &VoterRecord,
     unchanged: LeaderlessTime,
 ) -> KeeperStep {
-    let own = view.status.disk;
-    let others = record.voters.iter().copied().filter(|disk| *disk != own);
-    let (gone, present): (Vec<DiskId>, Vec<DiskId>) =
+    let local = view.status.disk;
+    let others = record.voters.iter().copied().filter(|disk| *disk != local);
+    let (lost, present): (Vec<DiskId>, Vec<DiskId>) =
         others.partition(|disk| is_superseded(view, *disk));
-    match (&gone[..], &present[..]) {
-        (_, []) => record_next_history(view, record, BTreeSet::from([own]), Vec::new(), None),
+    match (&lost[..], &present[..]) {
+        (_, []) => record_next_history(view, record, BTreeSet::from([local]), Vec::new(), None),
         ([], [lone]) => {
             if !unchanged.timed_out {
                 return KeeperStep::Rest;
@@ -188,17 +192,29 @@
             let Some(leaving) = view.leaving else {
                 return KeeperStep::ListLeaving;
             };
-            let pair = BTreeSet::from([own, *lone]);
+            let pair = BTreeSet::from([local, *lone]);
             if !unchanged.catch_up_elapsed && !has_replacement(view, leaving, &pair) {
                 return KeeperStep::Rest;
             }
-            record_next_history(view, record, BTreeSet::from([own]), Vec::new(), Some(*lone))
+            record_next_history(
+                view,
+                record,
+                BTreeSet::from([local]),
+                Vec::new(),
+                Some(*lone),
+            )
         }
         // The single voter was about to promote a learner. If that change is in the learner's log,
         // its log is the longer one and holds everything; otherwise this disk holds everything.
         ([lone], [learner]) if record.before == [BTreeSet::from([*lone])] => {
             let before = vec![record.voters.clone()];
-            record_next_history(view, record, BTreeSet::from([own, *learner]), before, None)
+            record_next_history(
+                view,
+                record,
+                BTreeSet::from([local, *learner]),
+                before,
+                None,
+            )
         }
         _ => KeeperStep::Rest,
     }
@@ -288,7 +304,7 @@
     voters: &BTreeSet<DiskId>,
 ) -> Option<DiskId> {
     let pair = voters_of(&view.status.membership);
-    let mut recorded = record.possible();
+    let mut recorded = record.possible_voters();
     recorded.retain(|voters| {
         !voters
             .iter()
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -68,7 +68,7 @@
         }
         registry.register(&self.node, &self.record).await;
         if !status.holds_log {
-            self.found().await;
+            self.found_group().await;
         }
         self.maintain_group(&status).await;
         if status.leads {
@@ -182,12 +182,12 @@
         if !registry.is_registered(&self.node, &self.record) {
             return true;
         }
-        let holds_part = status.holds_log || registry.founding().is_none();
-        holds_part && status.leader.is_none()
+        let has_replica = status.holds_log || registry.founding().is_none();
+        has_replica && status.leader.is_none()
     }
 
     /// Takes part in the founding: once there are enough nodes, the first one names the founders.
-    async fn found(&self) {
+    async fn found_group(&self) {
         let registry = &self.journal.registry;
         if let Some(founders) = registry.founding() {
             return self.journal.replica.found(founders);
@@ -197,12 +197,12 @@
         let first = candidates
             .iter()
             .min_by(|one, other| one.node.cmp(&other.node));
-        let Some(own) = first.filter(|one| enough && one.node == self.node) else {
+        let Some(local) = first.filter(|one| enough && one.node == self.node) else {
             return;
         };
-        let founders = placement::founders(&candidates, own, self.journal.terms.target);
+        let founders = placement::founders(&candidates, local, self.journal.terms.target);
         info!(self.journal.log, "journal: Naming founders."; "count" => founders.replicas.len());
-        registry.found(&founders).await;
+        registry.name_founders(&founders).await;
     }
 
     async fn forget(&self) {
--- a/crates/firshore-node/src/journal/mod.rs
+++ b/crates/firshore-node/src/journal/mod.rs
@@ -39,7 +39,7 @@
 use missing_results::MissingResults;
 use pending_submissions::PendingSubmissions;
 use registry::Registry;
-use service::{Loads, Service};
+use service::{Loads, PeerService};
 use slog::Logger;
 use standing::{StandingFacts, StandingWatch};
 use std::cell::RefCell;
@@ -177,12 +177,12 @@
         let leading = replica.clone();
         let leads = move || leading.status().leads;
         let relaying = relays.loads.clone().run(relays.jobs.clone(), leads);
-        let handler = Rc::new(Service {
+        let handler = Rc::new(PeerService {
             replica: replica.clone(),
             loads: loads.clone(),
             progress: progress.clone(),
             registry: registry.clone(),
-            least: terms.least,
+            min_disks: terms.least,
             relay: relays.objects,
             load_relay: relays.loads.clone(),
             jobs: relays.jobs.clone(),
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns each set of voters that may be in force.
-    pub fn possible(&self) -> Vec<BTreeSet<DiskId>> {
+    pub fn possible_voters(&self) -> Vec<BTreeSet<DiskId>> {
         let mut possible = vec![self.voters.clone()];
         if !self.settled {
             possible.extend(self.before.iter().cloned());
@@ -303,15 +303,15 @@
         if matches!(self.state.borrow().voters, VotersState::Unreadable) {
             return;
         }
-        let state = self.state.borrow().voters.revision();
-        let written = match state {
+        let revision = self.state.borrow().voters.revision();
+        let written = match revision {
             None => self.store.create(KIND, VOTERS, spec).await,
             Some(revision) => self.store.replace(KIND, VOTERS, revision, spec).await,
         };
         info!(self.log, "registry: Recording voters."; "voters" => ?record.voters,
             "settled" => record.settled);
         if let Err(ObjectError::Unanswered(_)) = &written {
-            self.state.borrow_mut().unconfirmed_write = Some(state.unwrap_or(0));
+            self.state.borrow_mut().unconfirmed_write = Some(revision.unwrap_or(0));
         }
         self.record_write("Voters recorded.", written);
     }
@@ -471,7 +471,7 @@
     }
 
     /// Names the founders, unless they are named already.
-    pub async fn found(&self, founders: &Membership) {
+    pub async fn name_founders(&self, founders: &Membership) {
         if self.has_pending_write() {
             return;
         }
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -60,13 +60,13 @@
 }
 
 /// Handles requests of peers on a node with a replica.
-pub(super) struct Service {
+pub(super) struct PeerService {
     pub(super) replica: Rc<Replica>,
     pub(super) loads: Rc<Loads>,
     pub(super) progress: Rc<RefCell<ProgressKeeper>>,
     pub(super) registry: Rc<Registry>,
     /// Number of disks required by the durability guarantee.
-    pub(super) least: usize,
+    pub(super) min_disks: usize,
     pub(super) relay: Rc<Relay>,
     pub(super) load_relay: Rc<LoadRelay>,
     /// Client of the journal, for requests on behalf of other nodes.
@@ -125,23 +125,23 @@
 
     /// Records a node's report and returns the load of all others. `term` is the one in which this
     /// node leads.
-    fn exchange(&self, term: u64, node: NodeName, told: ToldLoad) -> PeerResponse {
+    fn exchange(&self, term: u64, node: NodeName, report: ToldLoad) -> PeerResponse {
         let now = firshore_clock::now().into_std();
-        let news = told
+        let news = report
             .uses
             .map(|uses| self.record_usage(now, term, &node, &uses));
-        self.pressure.borrow_mut().told(&told.pressures);
+        self.pressure.borrow_mut().told(&report.pressures);
         let mut table = self.table.borrow_mut();
-        table.told(now, node.clone(), told.counts);
+        table.told(now, node.clone(), report.counts);
         let mut others = table.others(&node);
         for (backend, count) in self.own.borrow().iter() {
             *others.entry(backend.clone()).or_default() += count;
         }
         let client = PaceSource::Node(node);
         let mut paces = self.paces.borrow_mut();
-        paces.told(now, &client, told.paces);
+        paces.told(now, &client, report.paces);
         self.told.notify_one();
-        if told.urgent {
+        if report.urgent {
             self.crowded.notify_one();
         }
         PeerResponse::Load {
@@ -172,9 +172,9 @@
     }
 }
 
-impl Service {
+impl PeerService {
     /// Records output of items that the leader runs.
-    fn progress(&self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> PeerResponse {
+    fn record_progress(&self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> PeerResponse {
         let mut keeper = self.progress.borrow_mut();
         let gaps = keeper.told(leadership, deltas);
         let state = self.replica.applied_state();
@@ -185,16 +185,16 @@
 
     /// Handles a load report: the leader accepts all, other nodes those of nodes that they are a
     /// relay for.
-    fn load(&self, node: NodeName, told: ToldLoad, sums: bool) -> PeerResponse {
+    fn exchange_load(&self, node: NodeName, report: ToldLoad, sums: bool) -> PeerResponse {
         let status = self.replica.status();
         if status.leads {
-            return self.loads.exchange(status.term, node, told);
+            return self.loads.exchange(status.term, node, report);
         }
         let leader = self.jobs.leader().or_else(|| status.leader.clone());
         let now = firshore_clock::now().into_std();
         let relayed = match sums {
             true => None,
-            false => self.load_relay.exchange(now, node, told),
+            false => self.load_relay.exchange(now, node, report),
         };
         match relayed {
             None => PeerResponse::Refused(JournalRefusal::NotLeader { leader }),
@@ -253,7 +253,7 @@
     }
 }
 
-impl Handler<PeerRequest, PeerResponse> for Service {
+impl Handler<PeerRequest, PeerResponse> for PeerService {
     fn notice(&self, request: PeerRequest) {
         match request {
             PeerRequest::Replication {
@@ -277,7 +277,7 @@
     fn answer(&self, request: PeerRequest) -> LocalBoxFuture<'static, PeerResponse> {
         let replica = self.replica.clone();
         if let PeerRequest::Progress { leadership, deltas } = request {
-            return std::future::ready(self.progress(leadership, deltas)).boxed_local();
+            return std::future::ready(self.record_progress(leadership, deltas)).boxed_local();
         }
         if let PeerRequest::Load {
             node,
@@ -289,15 +289,15 @@
             paces,
         } = request
         {
-            let told = ToldLoad {
+            let report = ToldLoad {
                 counts,
                 urgent,
                 pressures,
                 uses,
                 paces,
             };
-            let answer = self.load(node, told, sums);
-            return std::future::ready(answer).boxed_local();
+            let response = self.exchange_load(node, report, sums);
+            return std::future::ready(response).boxed_local();
         }
         let relay = self.relay.clone();
         let crashes = self.crashes.clone();
@@ -318,12 +318,12 @@
                     .boxed_local();
             }
             PeerRequest::Crashes(question) => {
-                let answer = PeerResponse::Crashes(self.crashes.answer(&question));
-                return std::future::ready(answer).boxed_local();
+                let response = PeerResponse::Crashes(self.crashes.answer(&question));
+                return std::future::ready(response).boxed_local();
             }
             _ => {}
         }
-        if request.is_mutation() && !super::may_promise(&replica, self.least) {
+        if request.is_mutation() && !super::may_promise(&replica, self.min_disks) {
             // Too few disks for the durability guarantee; another leader may have enough.
             let refusal = JournalRefusal::NotLeader { leader: None };
             return std::future::ready(PeerResponse::Refused(refusal)).boxed_local();
@@ -333,20 +333,20 @@
             ledger: self.ledger.clone(),
             budget: self.budget,
             missing: self.missing.clone(),
-            least: self.least,
+            min_disks: self.min_disks,
         };
         match request {
             PeerRequest::Submit { header, items } => self.submit(header, items),
             request => async move {
-                let outcome_response = answer(&replica, &reader, request).await;
-                outcome_response.unwrap_or_else(PeerResponse::Refused)
+                let response = respond(&replica, &reader, request).await;
+                response.unwrap_or_else(PeerResponse::Refused)
             }
             .boxed_local(),
         }
     }
 }
 
-async fn answer(
+async fn respond(
     replica: &Replica,
     reader: &ResultReader,
     request: PeerRequest,
@@ -356,7 +356,7 @@
         PeerRequest::Results { job, from, wait } => {
             let wait = Duration::from_millis(wait).min(MAX_WAIT);
             let deadline = Instant::now() + wait + ATTEMPT_TIMEOUT;
-            let listed = listed(replica, reader.least, &job, from, wait).await?;
+            let listed = list_results(replica, reader.min_disks, &job, from, wait).await?;
             reader.results(&job, listed, deadline).await
         }
         PeerRequest::Body { job, item } => {
@@ -394,9 +394,9 @@
 }
 
 /// Returns the results at a position, once there is one or the wait is over.
-async fn listed(
+async fn list_results(
     replica: &Replica,
-    least: usize,
+    min_disks: usize,
     job: &str,
     from: u64,
     wait: Duration,
@@ -413,7 +413,7 @@
             break;
         }
         let status = replica.status();
-        if !status.leads || !may_show(&status.membership, &status.committed_membership, least) {
+        if !status.leads || !may_show(&status.membership, &status.committed_membership, min_disks) {
             return Err(JournalRefusal::NotLeader { leader: None });
         }
         state = replica.applied_state();
@@ -429,7 +429,7 @@
     budget: MemoryBudget,
     missing: Rc<MissingResults>,
     /// Number of disks that must hold a result before it is shown.
-    least: usize,
+    min_disks: usize,
 }
 
 impl ResultReader {
--- a/crates/firshore-node/src/journal/transport.rs
+++ b/crates/firshore-node/src/journal/transport.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 
 struct PeerTransport {
-    node: NodeName,
+    local_node: NodeName,
     local_address: SocketAddr,
     local_revision: LocalRevision,
     addresses: Addresses,
@@ -20,13 +20,13 @@
 
 /// Creates the transport of a node's replica.
 pub fn new(
-    node: NodeName,
+    local_node: NodeName,
     local_address: SocketAddr,
     registry: &Registry,
     peers: PeerClient,
 ) -> Box<dyn Transport> {
     Box::new(PeerTransport {
-        node,
+        local_node,
         local_address,
         local_revision: registry.local_revision(),
         addresses: registry.addresses(),
@@ -43,7 +43,7 @@
         };
         let request = PeerRequest::Replication {
             group,
-            node: self.node.clone(),
+            node: self.local_node.clone(),
             address: self.local_address,
             revision: self.local_revision.load(Ordering::Relaxed),
             envelope,
--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/asker.rs
@@ -106,7 +106,7 @@
     /// Queries relays in turn, each for at most `limit`. After the first timeout, the remaining
     /// relays are asked to respond at once, so that at most one wait is added to the age of the
     /// data.
-    pub async fn ask(
+    pub async fn query(
         &self,
         kind: &str,
         request: &PeerRequest,
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -117,7 +117,7 @@
     ) -> RelayResponse {
         let limit = wait + self.budget.answer_margin();
         loop {
-            match self.asker.ask(kind, &request, limit, self.budget).await {
+            match self.asker.query(kind, &request, limit, self.budget).await {
                 QueryOutcome::Answered(answer) => return answer,
                 QueryOutcome::NoContact => self.relays_disconnected.set(true),
                 QueryOutcome::NoResponse => self.refresh_relays(),
