--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/asker.rs
@@ -61,8 +61,8 @@
     relay: NodeName,
     /// When the query was sent, by the clock that ages are counted with.
     queried_at: Instant,
-    /// The response itself.
-    pub response: PeerResponse,
+    /// The message received.
+    pub message: PeerResponse,
 }
 
 impl RelayResponse {
@@ -131,15 +131,15 @@
             let call = self.peers.call(address, request.clone());
             let failure = match timeout(limit, call).await {
                 Ok(Ok(PeerResponse::NoContact)) => RelayFailure::OutOfContact,
-                Ok(Ok(mut response)) => {
+                Ok(Ok(mut message)) => {
                     self.passed_over.borrow_mut().remove(&relay);
-                    if let Some(contact) = response.contact_mut() {
+                    if let Some(contact) = message.contact_mut() {
                         (self.heard)(&relay, contact);
                     }
                     return QueryOutcome::Answered(RelayResponse {
                         relay,
                         queried_at,
-                        response,
+                        message,
                     });
                 }
                 Ok(Err(_)) => RelayFailure::Unreachable,
--- a/crates/firshore-node/src/relay/mod.rs
+++ b/crates/firshore-node/src/relay/mod.rs
@@ -287,12 +287,12 @@
                 "reason" => "the kind is not relayed");
             return None;
         };
-        let mut served = self.served_kinds.borrow_mut();
-        let one = served
+        let mut served_kinds = self.served_kinds.borrow_mut();
+        let served = served_kinds
             .entry(relayed.name.clone())
             .or_insert_with(|| self.follow(relayed));
-        one.queried_at.set(firshore_clock::now());
-        Some(one.clone())
+        served.queried_at.set(firshore_clock::now());
+        Some(served.clone())
     }
 
     fn follow(&self, relayed: &RelayedKind) -> Rc<ServedKind> {
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -53,30 +53,30 @@
 /// Decodes each object on its own. An object that cannot be decoded gets empty content, so that it
 /// doesn't invalidate the other objects in the same response.
 fn decoded(objects: &[RelayedObject]) -> impl Iterator<Item = Object> {
-    objects.iter().map(|record_relayed| {
-        let object = record_relayed.decode();
+    objects.iter().map(|relayed| {
+        let object = relayed.decode();
         object.unwrap_or_else(|_| Object {
-            name: record_relayed.name.clone(),
-            revision: record_relayed.revision,
+            name: relayed.name.clone(),
+            revision: relayed.revision,
             ..Object::default()
         })
     })
 }
 
-fn page(record_relayed: &RelayedPage) -> Page {
+fn page(relayed: &RelayedPage) -> Page {
     Page {
-        objects: decoded(&record_relayed.objects).collect(),
-        more: record_relayed.more,
-        revision: record_relayed.revision,
+        objects: decoded(&relayed.objects).collect(),
+        more: relayed.more,
+        revision: relayed.revision,
     }
 }
 
-fn changes(record_relayed: &RelayedChanges) -> Changes {
-    let written = decoded(&record_relayed.written).map(Change::Written);
-    let removed = record_relayed.removed.iter().cloned().map(Change::Removed);
+fn changes(relayed: &RelayedChanges) -> Changes {
+    let written = decoded(&relayed.written).map(Change::Written);
+    let removed = relayed.removed.iter().cloned().map(Change::Removed);
     Changes {
         changes: written.chain(removed).collect(),
-        revision: record_relayed.revision,
+        revision: relayed.revision,
     }
 }
 
@@ -118,7 +118,7 @@
         let limit = wait + self.budget.answer_margin();
         loop {
             match self.asker.query(kind, &request, limit, self.budget).await {
-                QueryOutcome::Answered(answer) => return answer,
+                QueryOutcome::Answered(response) => return response,
                 QueryOutcome::NoContact => self.relays_disconnected.set(true),
                 QueryOutcome::NoResponse => self.refresh_relays(),
             }
@@ -131,16 +131,16 @@
     async fn query_relays_for_page(&self, kind: &str, request: PeerRequest) -> RelayResponse {
         loop {
             let wait = self.budget.relay_wait();
-            let answer = self.query_relays(kind, request.clone(), wait).await;
-            let as_of = match &answer.response {
-                PeerResponse::Page(page) => answer.as_of(page.contact),
-                _ => return answer,
+            let response = self.query_relays(kind, request.clone(), wait).await;
+            let as_of = match &response.message {
+                PeerResponse::Page(page) => response.as_of(page.contact),
+                _ => return response,
             };
             let is_first_listing = self.freshness.as_of().is_none();
             if is_first_listing
                 || firshore_clock::now() < self.schedule.borrow().due(Some(as_of), false)
             {
-                return answer;
+                return response;
             }
             actix_rt::time::sleep(self.budget.round_interval()).await;
         }
@@ -173,8 +173,8 @@
             }
             let queried_at = firshore_clock::now();
             let limit = self.schedule.borrow().timeout();
-            let answer = timeout(limit, call()).await;
-            if let Ok(Ok(value)) = answer {
+            let response = timeout(limit, call()).await;
+            if let Ok(Ok(value)) = response {
                 self.schedule.borrow_mut().answered(rand::random());
                 return StoreResponse { queried_at, value };
             }
@@ -253,21 +253,21 @@
                 known: self.known.get(),
             };
             let first = tokio::select! {
-                answer = self.query_relays_for_page(kind, request) => FirstResponse::FromRelay(answer),
-                answer = self.query_store(kind, || self.direct.list(kind, after)) => {
-                    FirstResponse::FromStore(answer)
+                response = self.query_relays_for_page(kind, request) => FirstResponse::FromRelay(response),
+                response = self.query_store(kind, || self.direct.list(kind, after)) => {
+                    FirstResponse::FromStore(response)
                 }
             };
             let (page, as_of, source) = match first {
-                FirstResponse::FromRelay(answer) => {
-                    let PeerResponse::Page(record_relayed) = &answer.response else {
+                FirstResponse::FromRelay(response) => {
+                    let PeerResponse::Page(relayed) = &response.message else {
                         return Err(unexpected_response());
                     };
-                    let as_of = answer.as_of(record_relayed.contact);
+                    let as_of = response.as_of(relayed.contact);
                     self.record_relayed(as_of);
-                    (page(record_relayed), as_of, answer.source())
+                    (page(relayed), as_of, response.source())
                 }
-                FirstResponse::FromStore(answer) => (answer.value, answer.queried_at, BeliefSource::Store),
+                FirstResponse::FromStore(response) => (response.value, response.queried_at, BeliefSource::Store),
             };
             self.advance_known(page.revision)?;
             self.confirm_page(&page, after, as_of, source);
@@ -288,20 +288,20 @@
                 wait: wait.as_millis() as u64,
             };
             let query = self.query_relays(kind, request, wait);
-            let Ok(answer) = timeout_at(firshore_clock::as_timer(self.store_due()), query).await
+            let Ok(response) = timeout_at(firshore_clock::as_timer(self.store_due()), query).await
             else {
                 return Err(ObjectError::HistoryGone);
             };
-            let record_relayed = match &answer.response {
-                PeerResponse::Changes(record_relayed) => record_relayed,
+            let relayed = match &response.message {
+                PeerResponse::Changes(relayed) => relayed,
                 PeerResponse::HistoryGone => return Err(ObjectError::HistoryGone),
                 _ => return Err(unexpected_response()),
             };
-            let changes = changes(record_relayed);
+            let changes = changes(relayed);
             self.advance_known(changes.revision)?;
-            let as_of = answer.as_of(record_relayed.contact);
+            let as_of = response.as_of(relayed.contact);
             self.record_relayed(as_of);
-            self.freshness.confirm(as_of, answer.source());
+            self.freshness.confirm(as_of, response.source());
             Ok(changes)
         }
         .boxed_local()
