--- a/crates/firshore-node/src/environment.rs
+++ b/crates/firshore-node/src/environment.rs
@@ -3,7 +3,7 @@
 use crate::observation::{CALM_WAIT, Learned, Terms};
 use crate::refusals::RefusalLog;
 use crate::relay::RelayedKind;
-use crate::relay::asker::RelayAsker;
+use crate::relay::asker::RelayClient;
 use crate::relay::budget::FreshnessBudget;
 use crate::relay::store::RelayedStore;
 use crate::settings::Objects;
@@ -12,7 +12,7 @@
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::objects::{Change, Object};
-use firshore_gateway::belief::Belief;
+use firshore_gateway::belief::Freshness;
 use firshore_gateway::gateway::Gateway;
 use slog::{info, warn};
 use std::cell::RefCell;
@@ -77,10 +77,10 @@
 pub fn follow(
     gateway: &Rc<Gateway>,
     objects: &Objects,
-    asker: impl Fn() -> RelayAsker,
+    asker: impl Fn() -> RelayClient,
 ) -> [Task; 2] {
     let kinds = FollowedKinds::new(gateway, objects);
-    let watcher = |kind: RelayedKind, belief: &Rc<Belief>| {
+    let watcher = |kind: RelayedKind, belief: &Rc<Freshness>| {
         belief.limit_age(kind.budget.bound());
         let direct = gateway.adapter.objects.clone();
         Watcher {
@@ -125,7 +125,7 @@
                 let backends: Vec<Backend> =
                     objects.iter().filter_map(|one| self.backend(one)).collect();
                 info!(self.gateway.log, "fleet: Back ends listed."; "count" => backends.len());
-                self.gateway.list_backends(backends);
+                self.gateway.replace_backends(backends);
             }
             Learned::Changed(changes) => {
                 for change in changes {
@@ -148,7 +148,7 @@
                     info!(gateway.log, "fleet: Back end listed."; "backend" => %backend.incarnation,
                         "service" => %backend.service, "leaving" => backend.leaving,
                         "revision" => object.revision);
-                    gateway.list_backend(backend);
+                    gateway.upsert_backend(backend);
                 }
                 // What its entry said before holds no longer: requests would go where nobody says that a
                 // back end of that service is.
--- a/crates/firshore-node/src/journal/client.rs
+++ b/crates/firshore-node/src/journal/client.rs
@@ -10,9 +10,9 @@
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::jobs::{JobId, JobItem, ResultPage};
 use firshore_adapter::route::Route;
-use firshore_gateway::gateway::{JobAnswer, JobService};
+use firshore_gateway::gateway::{JobFuture, JobService};
 use firshore_jobs::command::JobHeader;
-use firshore_limits::report::UsageNews;
+use firshore_limits::report::UsageResponse;
 use firshore_link::client::PeerError;
 use firshore_log::placement::Candidate;
 use firshore_log::refusal::JournalRefusal;
@@ -56,7 +56,7 @@
 }
 
 /// Response of the leader or a relay to a load report.
-pub struct OthersLoad {
+pub struct LoadResponse {
     /// Requests that all other nodes have in flight at each back end.
     pub counts: HashMap<BackendName, u32>,
     /// Time until this node's next report.
@@ -64,13 +64,13 @@
     /// Age of the oldest data in it.
     pub age: Duration,
     /// Remaining limits of tenants.
-    pub news: Option<UsageNews>,
+    pub news: Option<UsageResponse>,
     /// Paces of back ends that others reported recently.
     pub paces: Vec<BackendPace>,
 }
 
-impl OthersLoad {
-    fn new(counts: Vec<BackendCount>, pause: u64, age: u64, news: Option<UsageNews>) -> Self {
+impl LoadResponse {
+    fn new(counts: Vec<BackendCount>, pause: u64, age: u64, news: Option<UsageResponse>) -> Self {
         let counts = counts.into_iter();
         let counts = counts.map(|one| (BackendName::from(one.backend), one.count));
         Self {
@@ -141,7 +141,7 @@
                 || self
                     .contact
                     .get()
-                    .is_hopeless(firshore_clock::now().into_std())
+                    .should_fail_fast(firshore_clock::now().into_std())
             {
                 return Err(unavailable(request.is_mutation() && unknown));
             }
@@ -185,7 +185,7 @@
 
     /// Reports load to the leader and returns that of all others. `sums` is set if a relay reports
     /// for several nodes. Makes one attempt: the next report follows soon.
-    pub async fn tell_leader(&self, report: ToldLoad, sums: bool) -> Option<OthersLoad> {
+    pub async fn report_to_leader(&self, report: ToldLoad, sums: bool) -> Option<LoadResponse> {
         let leader = self.leader();
         let target = match leader.or_else(|| self.rotated_nodes().pop()) {
             Some(target) => target,
@@ -203,8 +203,8 @@
                 ..
             }) => {
                 *self.leader.borrow_mut() = Some(target);
-                let others = OthersLoad::new(counts, pause, 0, news);
-                Some(OthersLoad { paces, ..others })
+                let others = LoadResponse::new(counts, pause, 0, news);
+                Some(LoadResponse { paces, ..others })
             }
             AttemptOutcome::Redirected(leader) => {
                 *self.leader.borrow_mut() = leader;
@@ -222,7 +222,7 @@
     }
 
     /// Reports this node's load to a relay and returns that of all others.
-    pub async fn tell_relay(&self, relay: &NodeName, report: ToldLoad) -> Option<OthersLoad> {
+    pub async fn report_to_relay(&self, relay: &NodeName, report: ToldLoad) -> Option<LoadResponse> {
         match self.send_load(relay, report, false).await {
             AttemptOutcome::Answered(PeerResponse::Load {
                 counts,
@@ -235,8 +235,8 @@
                 if leader.is_some() {
                     *self.leader.borrow_mut() = leader;
                 }
-                let others = OthersLoad::new(counts, pause, age, news);
-                Some(OthersLoad { paces, ..others })
+                let others = LoadResponse::new(counts, pause, age, news);
+                Some(LoadResponse { paces, ..others })
             }
             AttemptOutcome::Redirected(Some(leader)) => {
                 *self.leader.borrow_mut() = Some(leader);
@@ -355,7 +355,7 @@
         route: Arc<Route>,
         job: JobId,
         items: Vec<JobItem>,
-    ) -> JobAnswer<'a, ()> {
+    ) -> JobFuture<'a, ()> {
         async move {
             let terms = route.jobs;
             let give_up_after =
@@ -385,7 +385,7 @@
         job: JobId,
         from: u64,
         wait: Duration,
-    ) -> JobAnswer<'a, Option<ResultPage>> {
+    ) -> JobFuture<'a, Option<ResultPage>> {
         async move {
             let request = PeerRequest::Results {
                 job: job.journal_key(),
@@ -400,7 +400,7 @@
         .boxed_local()
     }
 
-    fn body<'a>(&'a self, job: JobId, item: String) -> JobAnswer<'a, Option<Payload>> {
+    fn body<'a>(&'a self, job: JobId, item: String) -> JobFuture<'a, Option<Payload>> {
         async move {
             let job = job.journal_key();
             let request = PeerRequest::Body { job, item };
@@ -412,7 +412,7 @@
         .boxed_local()
     }
 
-    fn end<'a>(&'a self, job: JobId) -> JobAnswer<'a, bool> {
+    fn end<'a>(&'a self, job: JobId) -> JobFuture<'a, bool> {
         async move {
             let job = job.journal_key();
             match self.query(PeerRequest::End { job }, Duration::ZERO).await? {
--- a/crates/firshore-node/src/journal/contact.rs
+++ b/crates/firshore-node/src/journal/contact.rs
@@ -33,7 +33,7 @@
 
     /// Returns whether a query should fail without being sent: contact is lost, and a recent query
     /// will show whether it is back.
-    pub fn is_hopeless(&self, now: Instant) -> bool {
+    pub fn should_fail_fast(&self, now: Instant) -> bool {
         let recent = |queried_at| now.saturating_duration_since(queried_at) < PROBE_WINDOW;
         self.is_lost(now) && self.queried_at.is_some_and(recent)
     }
--- a/crates/firshore-node/src/journal/duties.rs
+++ b/crates/firshore-node/src/journal/duties.rs
@@ -6,7 +6,7 @@
 use super::retirement::Retirements;
 use crate::environment;
 use crate::observation::Terms;
-use crate::relay::asker::RelayAsker;
+use crate::relay::asker::RelayClient;
 use crate::settings::Objects;
 use crate::task::Task;
 use crate::watcher::{self, Watcher};
@@ -25,7 +25,7 @@
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// Watches of the leader.
-pub struct Duties {
+pub struct LeaderTasks {
     /// Receives back ends and configuration.
     pub gateway: Rc<Gateway>,
     /// The journal that this node may lead.
@@ -39,13 +39,13 @@
     ///
     /// A leader that watched the store directly would notice a partition only when its connection
     /// is closed, and run items at back ends that were removed meanwhile.
-    pub asker: Option<MakeAsker>,
+    pub asker: Option<RelayClientFactory>,
 }
 
 /// Creates a client of relays; one is needed for each kind.
-pub type MakeAsker = Rc<dyn Fn() -> RelayAsker>;
+pub type RelayClientFactory = Rc<dyn Fn() -> RelayClient>;
 
-impl Duties {
+impl LeaderTasks {
     /// Starts and stops the watches with leadership, until the node ends.
     pub async fn run(self) {
         let mut changes = self.journal.replica.changes();
--- a/crates/firshore-node/src/journal/group_keeper.rs
+++ b/crates/firshore-node/src/journal/group_keeper.rs
@@ -2,9 +2,9 @@
 //! the membership, or continue without a quorum. No I/O; the time and the store's listing are
 //! passed in.
 
-use super::SILENCE_SHARE;
+use super::SILENCE_FRACTION;
 use super::lost_quorum::{self, LeaderlessTime};
-use super::passed_over::PassedOver;
+use super::passed_over::ExcludedDisks;
 use super::registry::VoterRecord;
 use firshore_log::GroupStatus;
 use firshore_log::placement::{Candidate, GroupView, keeps_promises};
@@ -31,7 +31,7 @@
 
 /// Desired state of a group.
 #[derive(Clone, Copy, Debug)]
-pub struct KeeperTerms {
+pub struct GroupPolicy {
     /// Desired number of voters.
     pub target: usize,
     /// Number of disks that must hold accepted jobs.
@@ -57,7 +57,7 @@
 
 /// Input to one decision.
 #[derive(Clone, Copy, Debug)]
-pub struct KeeperView<'a> {
+pub struct GroupInput<'a> {
     /// This node.
     pub node: &'a NodeName,
     /// Last status of this node's replica.
@@ -77,7 +77,7 @@
 
 /// Next step of the maintenance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeeperStep {
+pub enum GroupAction {
     /// Nothing to do.
     Rest,
     /// List the nodes to drain, and decide again.
@@ -117,7 +117,7 @@
 }
 
 /// Returns whether the store names these voters, as written by this leader in its term.
-fn is_recorded(view: &KeeperView, voters: &BTreeSet<DiskId>) -> bool {
+fn is_recorded(view: &GroupInput, voters: &BTreeSet<DiskId>) -> bool {
     let record = view.recorded.filter(|_| !view.doubtful);
     record.is_some_and(|record| {
         record.voters == *voters && !record.settled && record.term == view.status.term
@@ -125,7 +125,7 @@
 }
 
 /// Returns whether a replica's disk is lost for good, because its node has another one.
-pub(super) fn is_superseded(view: &KeeperView, disk: DiskId) -> bool {
+pub(super) fn is_superseded(view: &GroupInput, disk: DiskId) -> bool {
     let Some(replica) = view.status.membership.replicas.get(&disk) else {
         return false;
     };
@@ -135,10 +135,10 @@
 
 /// State of the maintenance on one node.
 #[derive(Debug)]
-pub struct GroupKeeper {
-    terms: KeeperTerms,
+pub struct GroupManager {
+    terms: GroupPolicy,
     /// Disks excluded after failed attempts as learners.
-    excluded: PassedOver,
+    excluded: ExcludedDisks,
     /// Time since which no leader is known.
     leaderless_since: Option<Instant>,
     /// Last record of voters, and since when it is unchanged.
@@ -149,12 +149,12 @@
     learner: Option<(DiskId, Instant)>,
 }
 
-impl GroupKeeper {
+impl GroupManager {
     /// Creates the state for a group with these desired properties.
-    pub fn new(terms: KeeperTerms) -> Self {
+    pub fn new(terms: GroupPolicy) -> Self {
         Self {
             terms,
-            excluded: PassedOver::default(),
+            excluded: ExcludedDisks::default(),
             leaderless_since: None,
             recorded: None,
             unresponsive_since: BTreeMap::new(),
@@ -169,14 +169,14 @@
     }
 
     /// Updates the state and returns the next step.
-    pub fn step(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
+    pub fn step(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
         self.observe(now, view.status);
         self.update_record(now, view.recorded);
         if !view.status.holds_log {
-            return KeeperStep::Rest;
+            return GroupAction::Rest;
         }
         if let Some(history) = later_history(view) {
-            return KeeperStep::JoinHistory(history);
+            return GroupAction::JoinHistory(history);
         }
         if view.status.leads {
             return self.place_replicas(now, view);
@@ -184,11 +184,11 @@
         if view.status.leader.is_none() {
             return self.step_leaderless(now, view);
         }
-        KeeperStep::Rest
+        GroupAction::Rest
     }
 
     /// Returns whether a node's disk is no longer needed for accepted jobs, as known by the leader.
-    pub fn is_emptied(&self, view: &KeeperView, node: &NodeName) -> bool {
+    pub fn is_drained(&self, view: &GroupInput, node: &NodeName) -> bool {
         let membership = &view.status.membership;
         let mut replicas = membership.replicas.values();
         let holds = replicas.any(|replica| replica.node == *node);
@@ -235,10 +235,10 @@
     }
 
     /// Keeps the desired number of replicas on available disks.
-    fn place_replicas(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
+    fn place_replicas(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
         // Without the nodes to drain, the leader might add a replica on one of them.
         let Some(leaving) = view.leaving else {
-            return KeeperStep::Rest;
+            return GroupAction::Rest;
         };
         let status = view.status;
         let group = self.group(now, view, leaving);
@@ -246,18 +246,18 @@
             && let Some(heir) = group.heir()
         {
             // The next leader removes this replica.
-            return KeeperStep::StepAside(heir);
+            return GroupAction::StepAside(heir);
         }
         let usable = self.usable(now, view, leaving, group.is_short());
         if !status.membership_committed {
             // Nothing may be recorded that might never enter the log.
-            return KeeperStep::Rest;
+            return GroupAction::Rest;
         }
         if let Some(learner) = self.overdue_learner(now, &group)
             && !usable.is_empty()
         {
-            let backoff = self.excluded.stayed_silent(now, learner);
-            return KeeperStep::PassOver(learner, backoff);
+            let backoff = self.excluded.record_timeout(now, learner);
+            return GroupAction::PassOver(learner, backoff);
         }
         let change = group.next_change(&usable);
         let present = voters_of(&status.membership);
@@ -266,7 +266,7 @@
         };
         let voters = voters_after(&status.membership, &change);
         if voters != present && !is_recorded(view, &voters) {
-            return KeeperStep::Record(VoterRecord {
+            return GroupAction::Record(VoterRecord {
                 gone: lost_before(view, &voters),
                 voters,
                 settled: false,
@@ -281,13 +281,13 @@
             && !present.contains(disk)
         {
             // A learner that never responded: its node is registered but lost.
-            let backoff = self.excluded.stayed_silent(now, *disk);
-            return KeeperStep::PassOver(*disk, backoff);
+            let backoff = self.excluded.record_timeout(now, *disk);
+            return GroupAction::PassOver(*disk, backoff);
         }
-        KeeperStep::Change(change)
+        GroupAction::Change(change)
     }
 
-    fn group(&self, now: Instant, view: &KeeperView, leaving: &LeavingNodes) -> GroupView {
+    fn group(&self, now: Instant, view: &GroupInput, leaving: &LeavingNodes) -> GroupView {
         let status = view.status;
         let replicas = || status.membership.replicas.iter();
         let superseded = replicas().filter(|(disk, _)| is_superseded(view, **disk));
@@ -326,7 +326,7 @@
     fn usable(
         &mut self,
         now: Instant,
-        view: &KeeperView,
+        view: &GroupInput,
         leaving: &LeavingNodes,
         short: bool,
     ) -> Vec<Candidate> {
@@ -354,9 +354,9 @@
         usable.into_iter().cloned().collect()
     }
 
-    fn step_leaderless(&self, now: Instant, view: &KeeperView) -> KeeperStep {
+    fn step_leaderless(&self, now: Instant, view: &GroupInput) -> GroupAction {
         if !self.is_listed_since(view) {
-            return KeeperStep::Rest;
+            return GroupAction::Rest;
         }
         let since = self.leaderless_since;
         let recorded = self.recorded.as_ref().map(|(_, since)| *since);
@@ -371,13 +371,13 @@
             since.is_some_and(|since| now.saturating_duration_since(since) >= threshold)
         };
         LeaderlessTime {
-            timed_out: lasts(SILENCE_SHARE),
+            timed_out: lasts(SILENCE_FRACTION),
             catch_up_elapsed: lasts(LONE_FRACTION),
         }
     }
 
     /// Returns whether the store was listed since the leader was lost.
-    fn is_listed_since(&self, view: &KeeperView) -> bool {
+    fn is_listed_since(&self, view: &GroupInput) -> bool {
         let since = self.leaderless_since;
         since.is_some_and(|since| view.listed_at.is_some_and(|listed| listed >= since))
     }
@@ -386,7 +386,7 @@
 /// Returns those of these voters whose disks are known to be lost before they become the voters. If
 /// the record names these voters already, its list is used: more of them may have been present when
 /// it was written.
-fn lost_before(view: &KeeperView, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
+fn lost_before(view: &GroupInput, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
     let recorded = view.recorded.filter(|record| record.voters == *voters);
     if let Some(record) = recorded {
         return record.gone.clone();
@@ -398,7 +398,7 @@
 /// Returns the later history that the record names and that this replica must join. Other disks
 /// continued in it; a replica that stays in the earlier one would overwrite the record and be a
 /// second leader. A disk that is to begin the history does so by continuing, unless it still leads.
-fn later_history(view: &KeeperView) -> Option<u64> {
+fn later_history(view: &GroupInput) -> Option<u64> {
     let record = view.recorded?;
     let begins = record.is_begun_by(view.status.disk) && !view.status.leads;
     (record.history > view.status.history && !begins).then_some(record.history)
@@ -406,17 +406,17 @@
 
 /// Returns the recorded disk that the only voter left behind and that still holds all accepted
 /// jobs.
-fn left_behind(view: &KeeperView) -> Option<DiskId> {
+fn left_behind(view: &GroupInput) -> Option<DiskId> {
     view.recorded.and_then(|record| record.left_behind)
 }
 
 /// Records that the change to these voters is committed.
-fn settle_record(view: &KeeperView, voters: BTreeSet<DiskId>) -> KeeperStep {
+fn settle_record(view: &GroupInput, voters: BTreeSet<DiskId>) -> GroupAction {
     let Some(record) = view.recorded else {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     };
     if record.settled && record.voters == voters && !view.doubtful {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     }
     let alone = voters.len() == 1;
     let left_behind = left_behind(view).filter(|disk| alone && !voters.contains(disk));
@@ -424,7 +424,7 @@
     // then.
     let known = record.voters == voters;
     let gone = record.gone.iter().copied().filter(|_| known);
-    KeeperStep::Record(VoterRecord {
+    GroupAction::Record(VoterRecord {
         gone: gone.collect(),
         voters,
         settled: true,
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -10,7 +10,7 @@
 //! the record; the single voter has to write the record before it accepts anything, and is then
 //! excluded.
 
-use super::group_keeper::{KeeperStep, KeeperView, LeavingNodes, is_superseded, voters_of};
+use super::group_keeper::{GroupAction, GroupInput, LeavingNodes, is_superseded, voters_of};
 use super::registry::VoterRecord;
 use firshore_replication::replica::Survivors;
 use firshore_replication::types::{DiskId, ReplicaInfo, ReplicaRole};
@@ -32,11 +32,11 @@
 /// Returns the next step of a replica without a leader. `least` disks have to hold accepted jobs;
 /// `unchanged` counts from the last change of the record if that is later.
 pub fn step(
-    view: &KeeperView,
+    view: &GroupInput,
     least: usize,
     leaderless: LeaderlessTime,
     unchanged: LeaderlessTime,
-) -> KeeperStep {
+) -> GroupAction {
     let unrecorded = VoterRecord {
         voters: voters_of(&view.status.membership),
         settled: true,
@@ -56,15 +56,15 @@
         .any(|voters| voters.contains(&local))
     {
         // This replica was removed and must not continue.
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     }
     let present = voters_of(&view.status.membership);
     let superseded = present.iter().any(|disk| is_superseded(view, *disk));
     if !(leaderless.timed_out || superseded) || !record.names_groups() {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     }
     let Some(leaving) = view.leaving else {
-        return KeeperStep::ListLeaving;
+        return GroupAction::ListLeaving;
     };
     let possible = possible_groups(view, leaving, record, least);
     let sets = disk_sets(view, leaving, &possible, leaderless);
@@ -75,17 +75,17 @@
         intersects_quorums(remaining, voters, &never_held) && excludes_other_commits(&sets, voters)
     });
     if !lost_quorum || !certain || !remaining.contains(&local) {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     }
     match survivors(view, remaining) {
         Some(replicas) => continue_with(view, leaving, record, replicas, possible),
-        None => KeeperStep::Rest,
+        None => GroupAction::Rest,
     }
 }
 
 /// Returns the groups that may be in force and may have accepted something.
 fn possible_groups(
-    view: &KeeperView,
+    view: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     least: usize,
@@ -120,7 +120,7 @@
 /// catch-up time, or for less if another disk can replace them. Meanwhile accepted jobs are on too
 /// few disks, and the next tolerated loss may lose them.
 fn disk_sets(
-    view: &KeeperView,
+    view: &GroupInput,
     leaving: &LeavingNodes,
     possible: &[BTreeSet<DiskId>],
     leaderless: LeaderlessTime,
@@ -164,7 +164,7 @@
 }
 
 /// Returns whether a disk was on a node that was reported as drained.
-fn is_drained_disk(view: &KeeperView, leaving: &LeavingNodes, disk: DiskId) -> bool {
+fn is_drained_disk(view: &GroupInput, leaving: &LeavingNodes, disk: DiskId) -> bool {
     let mut listed = view.candidates.iter();
     listed.any(|one| one.disk == disk && leaving.done.contains(&one.node))
 }
@@ -175,10 +175,10 @@
 /// next voters to the record. Once this disk is recorded first, it needs no proof that the other
 /// one is lost: a replica that stays in the earlier history is excluded.
 fn step_left_behind(
-    view: &KeeperView,
+    view: &GroupInput,
     record: &VoterRecord,
     unchanged: LeaderlessTime,
-) -> KeeperStep {
+) -> GroupAction {
     let local = view.status.disk;
     let others = record.voters.iter().copied().filter(|disk| *disk != local);
     let (lost, present): (Vec<DiskId>, Vec<DiskId>) =
@@ -187,14 +187,14 @@
         (_, []) => record_next_history(view, record, BTreeSet::from([local]), Vec::new(), None),
         ([], [lone]) => {
             if !unchanged.timed_out {
-                return KeeperStep::Rest;
+                return GroupAction::Rest;
             }
             let Some(leaving) = view.leaving else {
-                return KeeperStep::ListLeaving;
+                return GroupAction::ListLeaving;
             };
             let pair = BTreeSet::from([local, *lone]);
             if !unchanged.catch_up_elapsed && !has_replacement(view, leaving, &pair) {
-                return KeeperStep::Rest;
+                return GroupAction::Rest;
             }
             record_next_history(
                 view,
@@ -216,20 +216,20 @@
                 None,
             )
         }
-        _ => KeeperStep::Rest,
+        _ => GroupAction::Rest,
     }
 }
 
 /// Records that these disks begin the next history. Until they have, one of them may hold entries
 /// that only a group in `before` has committed.
 fn record_next_history(
-    view: &KeeperView,
+    view: &GroupInput,
     record: &VoterRecord,
     voters: BTreeSet<DiskId>,
     before: Vec<BTreeSet<DiskId>>,
     left_behind: Option<DiskId>,
-) -> KeeperStep {
-    KeeperStep::Record(VoterRecord {
+) -> GroupAction {
+    GroupAction::Record(VoterRecord {
         voters,
         settled: false,
         term: view.status.term,
@@ -242,14 +242,14 @@
 }
 
 /// Continues in the history that this disk begins according to the record.
-fn begin_history(view: &KeeperView, record: &VoterRecord) -> KeeperStep {
+fn begin_history(view: &GroupInput, record: &VoterRecord) -> GroupAction {
     let Some(replicas) = survivors(view, &record.voters) else {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     };
     if view.doubtful {
-        return KeeperStep::Record(record.clone());
+        return GroupAction::Record(record.clone());
     }
-    KeeperStep::ContinueWith(Survivors {
+    GroupAction::ContinueWith(Survivors {
         replicas,
         never_held: BTreeSet::new(),
         left_behind: true,
@@ -258,7 +258,7 @@
 }
 
 /// Returns the addresses of these disks' replicas, if all are listed.
-fn survivors(view: &KeeperView, disks: &BTreeSet<DiskId>) -> Option<BTreeMap<DiskId, ReplicaInfo>> {
+fn survivors(view: &GroupInput, disks: &BTreeSet<DiskId>) -> Option<BTreeMap<DiskId, ReplicaInfo>> {
     let place = |disk: &DiskId| {
         let candidate = view.candidates.iter().find(|one| one.disk == *disk)?;
         Some((*disk, candidate.info(ReplicaRole::Voter)))
@@ -267,23 +267,23 @@
 }
 
 fn continue_with(
-    view: &KeeperView,
+    view: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     replicas: BTreeMap<DiskId, ReplicaInfo>,
     possible: Vec<BTreeSet<DiskId>>,
-) -> KeeperStep {
+) -> GroupAction {
     let voters: BTreeSet<DiskId> = replicas.keys().copied().collect();
     let history = view.status.history;
     if record.voters == voters && !record.settled && !view.doubtful {
-        return KeeperStep::ContinueWith(Survivors {
+        return GroupAction::ContinueWith(Survivors {
             replicas,
             never_held: record.gone.clone(),
             left_behind: false,
             history,
         });
     }
-    KeeperStep::Record(VoterRecord {
+    GroupAction::Record(VoterRecord {
         left_behind: other_of_pair(view, leaving, record, &voters),
         voters,
         settled: false,
@@ -298,7 +298,7 @@
 /// Returns the other disk of a pair that one voter continues without. `None` if the pair may not be
 /// in force yet, since that disk need not hold what was accepted before.
 fn other_of_pair(
-    view: &KeeperView,
+    view: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     voters: &BTreeSet<DiskId>,
@@ -318,7 +318,7 @@
 
 /// Returns whether a disk beyond these could hold a replica, on any node that is not drained. Nodes
 /// to drain count too, as they are better than none.
-fn has_replacement(view: &KeeperView, leaving: &LeavingNodes, pair: &BTreeSet<DiskId>) -> bool {
+fn has_replacement(view: &GroupInput, leaving: &LeavingNodes, pair: &BTreeSet<DiskId>) -> bool {
     let mut present = view
         .candidates
         .iter()
--- a/crates/firshore-node/src/journal/messages.rs
+++ b/crates/firshore-node/src/journal/messages.rs
@@ -8,10 +8,10 @@
 use crate::runner::progress_keeper::Leadership;
 use firshore_adapter::jobs::{JobItem, ResultPage};
 use firshore_adapter::objects::Revision;
-use firshore_crashes::sync::{CrashAnswer, CrashQuestion};
+use firshore_crashes::sync::{CrashSyncResponse, CrashSyncRequest};
 use firshore_gateway::pressure::ServicePressure;
 use firshore_jobs::command::JobHeader;
-use firshore_limits::report::{UsageNews, UseReport};
+use firshore_limits::report::{UsageResponse, UsageReport};
 use firshore_log::refusal::JournalRefusal;
 use firshore_replication::message::Envelope;
 use firshore_replication::types::GroupId;
@@ -119,7 +119,7 @@
     },
     /// Crashes of back ends that the sender knows, and a query for those that the peer knows.
     #[serde(rename = "x")]
-    Crashes(CrashQuestion),
+    Crashes(CrashSyncRequest),
     /// Load report: requests that the sender has in flight at back ends.
     #[serde(rename = "l")]
     Load {
@@ -140,7 +140,7 @@
         pressures: Vec<ServicePressure>,
         /// Use of limits by tenants at the sender, if any have limits.
         #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-        uses: Option<UseReport>,
+        uses: Option<UsageReport>,
         /// Paces that back ends reported to the sender since its last report.
         #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
         paces: Vec<BackendPace>,
@@ -186,7 +186,7 @@
         leader: Option<NodeName>,
         /// Remaining limits of tenants, for a node that reported their use.
         #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-        news: Option<UsageNews>,
+        news: Option<UsageResponse>,
         /// Paces that others reported since the node's last report.
         #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
         paces: Vec<BackendPace>,
@@ -199,7 +199,7 @@
     Changes(RelayedChanges),
     /// Crashes of back ends that the peer knows.
     #[serde(rename = "x")]
-    Crashes(CrashAnswer),
+    Crashes(CrashSyncResponse),
     /// Changes since that revision are no longer kept; the sender has to list again.
     #[serde(rename = "h")]
     HistoryGone,
--- a/crates/firshore-node/src/journal/passed_over.rs
+++ b/crates/firshore-node/src/journal/passed_over.rs
@@ -23,13 +23,13 @@
 
 /// Disks that failed, with the time until which each is excluded.
 #[derive(Debug, Default)]
-pub struct PassedOver {
+pub struct ExcludedDisks {
     disks: BTreeMap<DiskId, DiskExclusion>,
 }
 
-impl PassedOver {
+impl ExcludedDisks {
     /// Records that an attempt with a disk failed. Returns how long the disk is excluded.
-    pub fn stayed_silent(&mut self, now: Instant, disk: DiskId) -> Duration {
+    pub fn record_timeout(&mut self, now: Instant, disk: DiskId) -> Duration {
         let before = self.disks.get(&disk).map(|exclusion| exclusion.backoff);
         let backoff = before.map_or(INITIAL_BACKOFF, |backoff| (backoff * 2).min(MAX_BACKOFF));
         let until = now + backoff;
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -237,7 +237,7 @@
     /// Records the address of a node that has sent a message, as listed in the store at `revision`.
     /// Responses can then reach it even while the store is unreachable, or if it was added or moved
     /// after the last listing. A revision older than the known listing is ignored.
-    pub fn heard_from(&self, node: &NodeName, address: SocketAddr, revision: Revision) {
+    pub fn update_address(&self, node: &NodeName, address: SocketAddr, revision: Revision) {
         if self.addresses.read().get(node) == Some(&address) {
             return;
         }
--- a/crates/firshore-node/src/journal/retirement.rs
+++ b/crates/firshore-node/src/journal/retirement.rs
@@ -133,14 +133,14 @@
         &self,
         adapter: &Adapter,
         log: &Logger,
-        is_emptied: impl Fn(&NodeName) -> bool,
+        is_drained: impl Fn(&NodeName) -> bool,
     ) {
         let requests = self.requests.borrow().clone();
         for (node, request) in requests
             .iter()
             .filter(|(_, request)| request.readable && !request.retirement.done)
         {
-            let progress = match is_emptied(node) {
+            let progress = match is_drained(node) {
                 true => RetirementProgress::Done,
                 false => RetirementProgress::Running,
             };
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -12,16 +12,16 @@
 use crate::relay::Relay;
 use crate::relay::loads::LoadRelay;
 use crate::runner::handover::ProgressDelta;
-use crate::runner::progress_keeper::{Leadership, ProgressKeeper};
+use crate::runner::progress_keeper::{Leadership, ProgressStore};
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::jobs::{JobItem, caller_id};
 use firshore_gateway::crash_monitor::CrashMonitor;
-use firshore_gateway::pressure::PressureCount;
+use firshore_gateway::pressure::PressureCounter;
 use firshore_jobs::command::{Action, JobHeader, Outcome};
 use firshore_jobs::listing::ListedPage;
 use firshore_jobs::table::JobTable;
 use firshore_limits::ledger::UsageLedger;
-use firshore_limits::report::{UsageNews, UseReport};
+use firshore_limits::report::{UsageResponse, UsageReport};
 use firshore_link::listener::Handler;
 use firshore_log::machine::SharedState;
 use firshore_log::placement::may_show;
@@ -63,7 +63,7 @@
 pub(super) struct PeerService {
     pub(super) replica: Rc<Replica>,
     pub(super) loads: Rc<Loads>,
-    pub(super) progress: Rc<RefCell<ProgressKeeper>>,
+    pub(super) progress: Rc<RefCell<ProgressStore>>,
     pub(super) registry: Rc<Registry>,
     /// Number of disks required by the durability guarantee.
     pub(super) min_disks: usize,
@@ -91,7 +91,7 @@
     /// Paces of back ends, as reported by nodes.
     paces: RefCell<PaceTable>,
     /// Pressure of online requests of all nodes, until the item runner takes it.
-    pub pressure: RefCell<PressureCount>,
+    pub pressure: RefCell<PressureCounter>,
     /// Notified of each report.
     pub told: Notify,
     /// Notified when a node's requests found no free slot.
@@ -159,8 +159,8 @@
         now: std::time::Instant,
         term: u64,
         node: &NodeName,
-        uses: &UseReport,
-    ) -> UsageNews {
+        uses: &UsageReport,
+    ) -> UsageResponse {
         let mut kept = self.ledger.borrow_mut();
         let current = kept.take().filter(|one| one.term == term);
         let one = kept.insert(current.unwrap_or_else(|| TermLedger {
@@ -263,7 +263,7 @@
                 revision,
                 envelope,
             } => {
-                self.registry.heard_from(&node, address, revision);
+                self.registry.update_address(&node, address, revision);
                 self.replica.received(node, envelope);
             }
             PeerRequest::Changed { kind, revision } => {
@@ -323,7 +323,7 @@
             }
             _ => {}
         }
-        if request.is_mutation() && !super::may_promise(&replica, self.min_disks) {
+        if request.is_mutation() && !super::is_durable(&replica, self.min_disks) {
             // Too few disks for the durability guarantee; another leader may have enough.
             let refusal = JournalRefusal::NotLeader { leader: None };
             return std::future::ready(PeerResponse::Refused(refusal)).boxed_local();
--- a/crates/firshore-node/src/journal/standing.rs
+++ b/crates/firshore-node/src/journal/standing.rs
@@ -11,7 +11,7 @@
 
 /// The facts that determine the status.
 #[derive(Clone, Copy, Debug)]
-pub struct StandingFacts {
+pub struct StatusFacts {
     /// Whether this node's disk holds a replica.
     pub is_replica: bool,
     /// Whether this replica leads.
@@ -30,7 +30,7 @@
 
 /// Status of the journal for its callers, as observed by one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JournalStanding {
+pub enum JournalStatus {
     /// It leads, accepts jobs and runs their items.
     Serves,
     /// Another node leads.
@@ -49,7 +49,7 @@
     MemoryFull,
 }
 
-impl JournalStanding {
+impl JournalStatus {
     /// All statuses.
     pub const ALL: [Self; 8] = [
         Self::Serves,
@@ -63,7 +63,7 @@
     ];
 
     /// Returns the status for these facts; if several apply, the most severe one.
-    pub fn of(facts: &StandingFacts) -> Self {
+    pub fn of(facts: &StatusFacts) -> Self {
         if !facts.is_replica {
             return Self::Outside;
         }
@@ -103,43 +103,43 @@
     }
 
     /// Returns whether the status blocks work.
-    pub fn holds_back(self) -> bool {
+    pub fn blocks_work(self) -> bool {
         !matches!(self, Self::Serves | Self::Follows | Self::Outside)
     }
 }
 
 /// A report of the status for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StandingReport {
+pub struct StatusReport {
     /// The status.
-    pub standing: JournalStanding,
+    pub standing: JournalStatus,
     /// How long it has lasted.
     pub lasted: Duration,
 }
 
 /// Tracks the status and decides when to log it.
 #[derive(Debug)]
-pub struct StandingWatch {
-    standing: JournalStanding,
+pub struct StatusTracker {
+    standing: JournalStatus,
     since: Instant,
-    reported: JournalStanding,
+    reported: JournalStatus,
     reported_at: Option<Instant>,
 }
 
-impl StandingWatch {
+impl StatusTracker {
     /// Starts outside the group.
     pub fn new(now: Instant) -> Self {
         Self {
-            standing: JournalStanding::Outside,
+            standing: JournalStatus::Outside,
             since: now,
-            reported: JournalStanding::Outside,
+            reported: JournalStatus::Outside,
             reported_at: None,
         }
     }
 
     /// Returns the last status and how long it has lasted.
-    pub fn current(&self, now: Instant) -> StandingReport {
-        StandingReport {
+    pub fn current(&self, now: Instant) -> StatusReport {
+        StatusReport {
             standing: self.standing,
             lasted: now.saturating_duration_since(self.since),
         }
@@ -147,14 +147,14 @@
 
     /// Records the current status. Returns a report if one is due: for each change, and repeatedly
     /// for a status that blocks work.
-    pub fn step(&mut self, now: Instant, standing: JournalStanding) -> Option<StandingReport> {
+    pub fn step(&mut self, now: Instant, standing: JournalStatus) -> Option<StatusReport> {
         if standing != self.standing {
             self.standing = standing;
             self.since = now;
         }
         let interval = match standing == self.reported {
             false => MIN_REPORT_INTERVAL,
-            true if standing.holds_back() => REPEAT_INTERVAL,
+            true if standing.blocks_work() => REPEAT_INTERVAL,
             true => return None,
         };
         let last = self.reported_at.unwrap_or(self.since);
--- a/crates/firshore-node/src/load_exchange.rs
+++ b/crates/firshore-node/src/load_exchange.rs
@@ -1,12 +1,12 @@
 //! Tells a relay what this node has under way at back ends, and learns from its answer what all others
 //! have; the journal's leader itself where no relay of its zone is of use.
 
-use crate::journal::client::{JournalClient, OthersLoad};
+use crate::journal::client::{JournalClient, LoadResponse};
 use crate::load_table::{BackendCount, ToldLoad, as_counts};
 use crate::pace_table::{as_named, as_paces};
 use crate::relay::ranking;
 use firshore_gateway::gateway::Gateway;
-use firshore_limits::report::UseReport;
+use firshore_limits::report::UsageReport;
 use firshore_types::ids::{NodeName, ZoneName};
 use slog::info;
 use std::cell::{Cell, RefCell};
@@ -81,9 +81,9 @@
                 let apart = busy_interval + others.age;
                 let paces = as_named(others.paces);
                 let mut fleet = self.gateway.fleet.borrow_mut();
-                fleet.learned_paces(Instant::now(), paces);
+                fleet.apply_remote_paces(Instant::now(), paces);
                 drop(fleet);
-                self.gateway.learned_others(&others.counts, apart);
+                self.gateway.apply_remote_load(&others.counts, apart);
             }
             was_busy = busy;
             let interval = match busy {
@@ -106,28 +106,28 @@
     }
 
     /// Tells what is under way and what tenants have asked, and takes in what these may still ask.
-    async fn tell(&self, counts: Vec<BackendCount>, urgent: bool) -> Option<OthersLoad> {
+    async fn tell(&self, counts: Vec<BackendCount>, urgent: bool) -> Option<LoadResponse> {
         let asked_at = firshore_clock::now().into_std();
         let told = ToldLoad {
             counts,
             urgent,
             pressures: self.gateway.pressure.borrow_mut().take(),
-            uses: self.gateway.report_uses(asked_at),
-            paces: as_paces(self.gateway.fleet.borrow_mut().take_untold_paces()),
+            uses: self.gateway.take_usage_report(asked_at),
+            paces: as_paces(self.gateway.fleet.borrow_mut().take_unreported_paces()),
         };
         let others = self.exchange(told).await;
         let news = others.as_ref().and_then(|others| {
             let at = asked_at.checked_sub(others.age).unwrap_or(asked_at);
             others.news.as_ref().map(|news| (at, news))
         });
-        self.gateway.learned_uses(news);
+        self.gateway.apply_usage_report(news);
         others
     }
 
-    async fn exchange(&self, told: ToldLoad) -> Option<OthersLoad> {
+    async fn exchange(&self, told: ToldLoad) -> Option<LoadResponse> {
         let relay = self.relay().filter(|_| self.crowded_leader.get());
         if let Some(relay) = relay {
-            if let Some(others) = self.journal.tell_relay(&relay, told.clone()).await {
+            if let Some(others) = self.journal.report_to_relay(&relay, told.clone()).await {
                 self.note_told(Some(relay), &told);
                 return Some(others);
             }
@@ -136,7 +136,7 @@
             let until = Instant::now() + RELAY_PAUSE;
             self.passed_over.borrow_mut().insert(relay, until);
         }
-        let others = self.journal.tell_leader(told.clone(), false).await?;
+        let others = self.journal.report_to_leader(told.clone(), false).await?;
         self.note_told(self.journal.leader(), &told);
         // A few nodes get younger pictures from the leader than through relays.
         self.crowded_leader.set(others.pause > BUSY_INTERVAL);
@@ -150,7 +150,7 @@
             return;
         };
         let taken_back = ToldLoad {
-            uses: told.uses.as_ref().map(UseReport::retraction),
+            uses: told.uses.as_ref().map(UsageReport::retraction),
             ..ToldLoad::default()
         };
         let journal = self.journal.clone();
--- a/crates/firshore-node/src/load_table.rs
+++ b/crates/firshore-node/src/load_table.rs
@@ -9,7 +9,7 @@
 use crate::pace_table::BackendPace;
 use firshore_adapter::incarnation::BackendName;
 use firshore_gateway::pressure::ServicePressure;
-use firshore_limits::report::UseReport;
+use firshore_limits::report::UsageReport;
 use firshore_types::ids::NodeName;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
     /// How online requests pressed on services since it was told last.
     pub pressures: Vec<ServicePressure>,
     /// What tenants have asked; `None` where none has a limit.
-    pub uses: Option<UseReport>,
+    pub uses: Option<UsageReport>,
     /// What back ends told of their pace since the node told last.
     pub paces: Vec<BackendPace>,
 }
--- a/crates/firshore-node/src/metrics.rs
+++ b/crates/firshore-node/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What a node counts, and how it is told.
 
 use crate::journal::Journal;
-use crate::journal::standing::JournalStanding;
+use crate::journal::standing::JournalStatus;
 use crate::memory;
 use crate::runner::Runner;
 use crate::runner::progress::RunEnd;
@@ -142,7 +142,7 @@
         }
         let report = node.journal.standing.borrow().current(Instant::now());
         self.standing_age.set(report.lasted.as_millis() as i64);
-        for one in JournalStanding::ALL {
+        for one in JournalStatus::ALL {
             let standing = one.name();
             let gauge = self.standing.get_or_create(&StandingLabels { standing });
             gauge.set((one == report.standing).into());
--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/asker.rs
@@ -6,7 +6,7 @@
 use crate::journal::PeerClient;
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use crate::journal::registry::Registry;
-use firshore_gateway::belief::BeliefSource;
+use firshore_gateway::belief::FreshnessSource;
 use firshore_types::ids::{NodeName, ZoneName};
 use slog::{Logger, info};
 use std::cell::RefCell;
@@ -16,10 +16,10 @@
 use tokio::time::{Instant, timeout};
 
 /// Called with the contact state that a relay's response carries.
-pub type RelayHeard = Rc<dyn Fn(&NodeName, &RelayContact)>;
+pub type ContactListener = Rc<dyn Fn(&NodeName, &RelayContact)>;
 
 /// Queries relays on behalf of one node.
-pub struct RelayAsker {
+pub struct RelayClient {
     /// The querying node; it determines the order of relays.
     pub node: NodeName,
     /// Zone of that node; its relays are queried first.
@@ -31,7 +31,7 @@
     /// Receives the log lines.
     pub log: Logger,
     /// Called with the contact state that a relay's response carries.
-    pub heard: RelayHeard,
+    pub heard: ContactListener,
     /// Exclusions of relays whose last query failed; removed by the next useful response.
     pub passed_over: RefCell<HashMap<NodeName, RelayExclusion>>,
 }
@@ -75,8 +75,8 @@
     }
 
     /// Returns the relay as the source of the data.
-    pub fn source(&self) -> BeliefSource {
-        BeliefSource::Relay(self.relay.clone())
+    pub fn source(&self) -> FreshnessSource {
+        FreshnessSource::Relay(self.relay.clone())
     }
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-impl RelayAsker {
+impl RelayClient {
     /// Queries relays in turn, each for at most `limit`. After the first timeout, the remaining
     /// relays are asked to respond at once, so that at most one wait is added to the age of the
     /// data.
--- a/crates/firshore-node/src/relay/budget.rs
+++ b/crates/firshore-node/src/relay/budget.rs
@@ -3,7 +3,7 @@
 //!
 //! Independent timeouts add up: several unresponsive relays queried in turn, plus a backoff, can
 //! exceed the bound. Therefore each timeout is a fraction of the bound, and the store is queried
-//! directly once [`StoreTurn::due`] is reached, whatever the relays do meanwhile.
+//! directly once [`StoreSchedule::due`] is reached, whatever the relays do meanwhile.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -185,7 +185,7 @@
 
 /// Decides when a node queries the store directly for one kind.
 #[derive(Debug)]
-pub struct StoreTurn {
+pub struct StoreSchedule {
     budget: FreshnessBudget,
     started_at: Instant,
     /// Position in the ranges of delays, from 0 to 1.
@@ -198,7 +198,7 @@
     range.start + (range.end - range.start) * jitter
 }
 
-impl StoreTurn {
+impl StoreSchedule {
     /// Starts at `now` without data; `jitter` is a random number from 0 to 1.
     pub fn new(budget: FreshnessBudget, now: Instant, jitter: f64) -> Self {
         Self {
--- a/crates/firshore-node/src/relay/loads.rs
+++ b/crates/firshore-node/src/relay/loads.rs
@@ -4,13 +4,13 @@
 //! The leader's work therefore grows with the number of relays, not of nodes, and a node's view is
 //! as old as two short exchanges.
 
-use crate::journal::client::{JournalClient, OthersLoad};
+use crate::journal::client::{JournalClient, LoadResponse};
 use crate::load_table::{BackendCount, LoadTable, ToldLoad, as_counts};
 use crate::pace_table::{BackendPace, PaceSource, PaceTable};
 use firshore_adapter::incarnation::BackendName;
-use firshore_gateway::pressure::PressureCount;
+use firshore_gateway::pressure::PressureCounter;
 use firshore_limits::relay::UsageRelay;
-use firshore_limits::report::UsageNews;
+use firshore_limits::report::UsageResponse;
 use firshore_types::ids::NodeName;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -38,7 +38,7 @@
     /// Number of nodes that report to this relay.
     pub nodes: usize,
     /// Remaining limits of tenants, for a node that reported their use.
-    pub news: Option<UsageNews>,
+    pub news: Option<UsageResponse>,
     /// Paces of back ends that others reported since this node's last report.
     pub paces: Vec<BackendPace>,
 }
@@ -57,7 +57,7 @@
     /// Paces of back ends, reported by these nodes and by the leader.
     paces: RefCell<PaceTable>,
     /// Pressure of these nodes' online requests, not yet reported to the leader.
-    pressure: RefCell<PressureCount>,
+    pressure: RefCell<PressureCounter>,
     /// Use of limits by these nodes' tenants, and what remains.
     uses: RefCell<UsageRelay>,
     /// Whether a node reported that tenants have limits.
@@ -129,7 +129,7 @@
 
     /// Returns the report for the leader, if any node reported recently. Pressure is reported only
     /// once.
-    pub fn sums_to_tell(&self, now: Instant, urgent: bool) -> Option<ToldLoad> {
+    pub fn sums_to_report(&self, now: Instant, urgent: bool) -> Option<ToldLoad> {
         let counts = self.sums(now);
         let mut uses = self.uses.borrow_mut();
         // Tenants' use by nodes that no longer report is still reported until it has expired.
@@ -147,7 +147,7 @@
 
     /// Applies the leader's response to a report sent at `queried_at`; `None` if there was no
     /// response.
-    fn record_response(&self, queried_at: Instant, response: Option<OthersLoad>) {
+    fn record_response(&self, queried_at: Instant, response: Option<LoadResponse>) {
         let mut uses = self.uses.borrow_mut();
         let Some(others) = response else {
             uses.unanswered();
@@ -184,13 +184,13 @@
             let queried_at = firshore_clock::now().into_std();
             let sums = match leads() {
                 true => None,
-                false => self.sums_to_tell(queried_at, urgent),
+                false => self.sums_to_report(queried_at, urgent),
             };
             let Some(sums) = sums else {
                 self.reported.notified().await;
                 continue;
             };
-            let response = journal.tell_leader(sums, true).await;
+            let response = journal.report_to_leader(sums, true).await;
             let interval = match response {
                 Some(_) => LEADER_INTERVAL,
                 None => URGENT_INTERVAL,
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -1,13 +1,13 @@
 //! An object store that queries relays first.
 
-use super::asker::{QueryOutcome, RelayAsker, RelayResponse};
-use super::budget::{FreshnessBudget, StoreTurn};
+use super::asker::{QueryOutcome, RelayClient, RelayResponse};
+use super::budget::{FreshnessBudget, StoreSchedule};
 use super::cache::{RelayedChanges, RelayedObject, RelayedPage};
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use firshore_adapter::objects::{
     Answer, Change, Changes, Object, ObjectError, ObjectStore, Page, Revision,
 };
-use firshore_gateway::belief::{Belief, BeliefSource};
+use firshore_gateway::belief::{Freshness, FreshnessSource};
 use futures_util::FutureExt;
 use serde_json::Value;
 use slog::{info, warn};
@@ -20,20 +20,20 @@
 ///
 /// Relays and the store are queried concurrently, so that waiting for one doesn't delay the other.
 pub struct RelayedStore {
-    asker: RelayAsker,
+    asker: RelayClient,
     direct: Rc<dyn ObjectStore>,
     budget: FreshnessBudget,
     /// Revision up to which the store is known; responses at an earlier one are refused.
     known: Cell<Revision>,
     /// When the store is queried directly.
-    schedule: RefCell<StoreTurn>,
+    schedule: RefCell<StoreSchedule>,
     /// Consecutive rounds of queries that no relay responded to.
     failed_rounds: Cell<u32>,
     /// Whether the last round ended with relays that are out of contact with the store.
     relays_disconnected: Cell<bool>,
     queries_store: Cell<bool>,
     /// Time as of which the kind is known.
-    freshness: Rc<Belief>,
+    freshness: Rc<Freshness>,
     /// Time as of which the first page of the current listing was read.
     listed_as_of: Cell<Option<Instant>>,
 }
@@ -88,12 +88,12 @@
     /// Queries relays through `asker`, and `direct` within `budget`. Records in `freshness` as of
     /// when the kind is known.
     pub fn new(
-        asker: RelayAsker,
+        asker: RelayClient,
         direct: Rc<dyn ObjectStore>,
         budget: FreshnessBudget,
-        freshness: Rc<Belief>,
+        freshness: Rc<Freshness>,
     ) -> Rc<Self> {
-        let schedule = StoreTurn::new(budget, firshore_clock::now(), rand::random());
+        let schedule = StoreSchedule::new(budget, firshore_clock::now(), rand::random());
         Rc::new(Self {
             asker,
             direct,
@@ -165,7 +165,7 @@
         call: impl Fn() -> Answer<'a, T>,
     ) -> StoreResponse<T> {
         loop {
-            actix_rt::time::sleep_until(firshore_clock::as_timer(self.store_due())).await;
+            actix_rt::time::sleep_until(firshore_clock::timer_deadline(self.store_due())).await;
             self.log_store_query(kind);
             if !self.reaches_store().await {
                 self.schedule.borrow_mut().failed(firshore_clock::now());
@@ -234,7 +234,7 @@
     }
 
     /// Records a page; the complete listing is as of its first page.
-    fn confirm_page(&self, page: &Page, after: Option<&str>, as_of: Instant, source: BeliefSource) {
+    fn confirm_page(&self, page: &Page, after: Option<&str>, as_of: Instant, source: FreshnessSource) {
         if after.is_none() {
             self.listed_as_of.set(Some(as_of));
         }
@@ -267,7 +267,7 @@
                     self.record_relayed(as_of);
                     (page(relayed), as_of, response.source())
                 }
-                FirstResponse::FromStore(response) => (response.value, response.queried_at, BeliefSource::Store),
+                FirstResponse::FromStore(response) => (response.value, response.queried_at, FreshnessSource::Store),
             };
             self.advance_known(page.revision)?;
             self.confirm_page(&page, after, as_of, source);
@@ -288,7 +288,7 @@
                 wait: wait.as_millis() as u64,
             };
             let query = self.query_relays(kind, request, wait);
-            let Ok(response) = timeout_at(firshore_clock::as_timer(self.store_due()), query).await
+            let Ok(response) = timeout_at(firshore_clock::timer_deadline(self.store_due()), query).await
             else {
                 return Err(ObjectError::HistoryGone);
             };
--- a/crates/firshore-node/src/runner/give_way.rs
+++ b/crates/firshore-node/src/runner/give_way.rs
@@ -8,7 +8,7 @@
 
 use super::ItemKey;
 use super::urgency::ItemUrgency;
-use super::work_ahead::ItemOutlook;
+use super::work_ahead::DeadlineRisk;
 use firshore_gateway::pressure::ServicePressure;
 use firshore_types::ids::ServiceName;
 use std::cmp::Reverse;
@@ -66,13 +66,13 @@
 
 /// A run that may step aside.
 #[derive(Clone, Debug)]
-pub struct HeldRun {
+pub struct PreemptibleRun {
     /// Item.
     pub key: ItemKey,
     /// Load of its back end in requests per slot, as believed.
     pub load: f32,
     /// How its work compares with its time.
-    pub outlook: ItemOutlook,
+    pub outlook: DeadlineRisk,
     /// How urgent it is.
     pub urgency: ItemUrgency,
     /// Events that are held.
@@ -171,11 +171,11 @@
 
 /// Which services are pressed, and which runs step aside for that.
 #[derive(Debug, Default)]
-pub struct GiveWay {
+pub struct PreemptionPolicy {
     services: HashMap<ServiceName, ServiceStanding>,
 }
 
-impl GiveWay {
+impl PreemptionPolicy {
     /// Takes in what nodes told of a service that has so much room.
     pub fn told(&mut self, now: Instant, room: ServiceRoom, pressure: &ServicePressure) {
         let standing = self
@@ -224,12 +224,12 @@
         service: &ServiceName,
         slots: u32,
         running: usize,
-        outlook: ItemOutlook,
+        outlook: DeadlineRisk,
     ) -> bool {
         if !self.is_pressed(service) {
             return true;
         }
-        outlook == ItemOutlook::LastChance && running < kept_slots(slots)
+        outlook == DeadlineRisk::LastChance && running < kept_slots(slots)
     }
 
     /// Returns which of a service's runs step aside now: those least in danger of being late and least
@@ -238,8 +238,8 @@
         &mut self,
         service: &ServiceName,
         room: ServiceRoom,
-        mut runs: Vec<HeldRun>,
-    ) -> Vec<HeldRun> {
+        mut runs: Vec<PreemptibleRun>,
+    ) -> Vec<PreemptibleRun> {
         let Some(standing) = self.services.get_mut(service).filter(|one| one.pressed) else {
             return Vec::new();
         };
@@ -248,7 +248,7 @@
         runs.sort_by_key(|run| (Reverse(run.outlook), run.urgency, Reverse(run.produced)));
         let in_danger = runs
             .iter()
-            .take_while(|run| run.outlook == ItemOutlook::LastChance);
+            .take_while(|run| run.outlook == DeadlineRisk::LastChance);
         let kept = in_danger.count().min(kept_slots(room.slots));
         let mut others = runs.split_off(kept);
         let roomy = ROOMY_SHARE * room.online as f32 / room.slots.max(1) as f32;
--- a/crates/firshore-node/src/runner/handover.rs
+++ b/crates/firshore-node/src/runner/handover.rs
@@ -39,7 +39,7 @@
 
 /// How far a delta goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToldThrough {
+pub struct DeltaEnd {
     /// Item.
     pub key: ItemKey,
     /// Events that a node holds once it has taken the delta in.
@@ -48,8 +48,8 @@
 
 impl ProgressDelta {
     /// How far it goes.
-    pub fn through(&self) -> ToldThrough {
-        ToldThrough {
+    pub fn through(&self) -> DeltaEnd {
+        DeltaEnd {
             key: (self.job.clone(), self.index),
             events: self.offset + self.events.len(),
         }
@@ -167,7 +167,7 @@
     }
 
     /// The node has answered: it holds what was sent, but for the gaps that it names.
-    pub fn answered(&mut self, sent: Vec<ToldThrough>, gaps: Vec<ItemKey>) {
+    pub fn answered(&mut self, sent: Vec<DeltaEnd>, gaps: Vec<ItemKey>) {
         for one in sent {
             self.lengths.insert(one.key, one.events);
         }
--- a/crates/firshore-node/src/runner/item.rs
+++ b/crates/firshore-node/src/runner/item.rs
@@ -8,10 +8,10 @@
 use bytes::Bytes;
 use firshore_adapter::backend::{Backend, Ran, SendTerms};
 use firshore_adapter::jobs::{ItemOutcome, JobItem, caller_id};
-use firshore_crashes::print::{AskedRequest, RequestPrint};
+use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
 use firshore_crashes::report::LostRun;
 use firshore_exchange::exchange::{self, Exchange, Reuse};
-use firshore_gateway::fleet::{Impression, endpoint};
+use firshore_gateway::fleet::{BackendOutcome, endpoint};
 use firshore_gateway::gateway::{Gateway, InFlight};
 use firshore_jobs::command::{Action, Completion};
 use rand::RngExt;
@@ -144,9 +144,9 @@
     }
 
     /// What stands for the item at all nodes, whatever job it came with.
-    fn print(&self) -> RequestPrint {
+    fn print(&self) -> RequestFingerprint {
         let Work { header, item, .. } = &self.work;
-        self.gateway.print_key.print(&AskedRequest {
+        self.gateway.fingerprint_key.print(&FingerprintInput {
             tenant: header.tenant.as_ref(),
             host: &header.host,
             method: Method::POST.as_str(),
@@ -158,7 +158,7 @@
     /// The run broke off: the back end may have ended under it.
     fn broke_off(&self) {
         self.gateway
-            .observed(&self.backend.incarnation, Impression::Broke);
+            .observed(&self.backend.incarnation, BackendOutcome::Broke);
         let run = LostRun {
             print: self.print(),
             reached: self.progress.borrow().held_bytes() as u64,
@@ -167,7 +167,7 @@
     }
 
     async fn send(&self) -> RunEnd {
-        if let Some(wait) = self.gateway.held_back_for(|| self.print()) {
+        if let Some(wait) = self.gateway.quarantined_for(|| self.print()) {
             info!(self.gateway.log, "runner: Held back."; "job" => caller_id(&self.work.header.job),
                 "item" => &self.work.item.id, "print" => %self.print(), "wait_s" => wait.as_secs());
             return RunEnd::HeldBack;
@@ -177,7 +177,7 @@
         };
         let incarnation = &self.backend.incarnation;
         let Ok(connection) = exchange::connect(endpoint(&self.backend), Reuse::Idle).await else {
-            self.gateway.observed(incarnation, Impression::Unreachable);
+            self.gateway.observed(incarnation, BackendOutcome::Unreachable);
             return RunEnd::NotRun;
         };
         let dialect = self.gateway.adapter.backend.clone();
@@ -207,8 +207,8 @@
         }
         if answer.ran == Ran::No {
             let seen = match answer.misdirected {
-                true => Impression::Unreachable,
-                false => Impression::Full,
+                true => BackendOutcome::Unreachable,
+                false => BackendOutcome::Full,
             };
             self.gateway.observed(incarnation, seen);
             return RunEnd::NotRun;
@@ -241,13 +241,13 @@
                     // chance in 3 of 180 plays where each back end ended every few seconds.
                     match self.progress.borrow().held_bytes() == held {
                         true => self.broke_off(),
-                        false => self.gateway.observed(incarnation, Impression::Broke),
+                        false => self.gateway.observed(incarnation, BackendOutcome::Broke),
                     }
                     return RunEnd::Broken;
                 }
             }
         }
-        self.gateway.observed(incarnation, Impression::Answered);
+        self.gateway.observed(incarnation, BackendOutcome::Answered);
         if self.progress.borrow().holds_part() {
             return RunEnd::Broken;
         }
--- a/crates/firshore-node/src/runner/progress.rs
+++ b/crates/firshore-node/src/runner/progress.rs
@@ -2,7 +2,7 @@
 
 use super::handover::{HeldProgress, event_bytes};
 use firshore_adapter::jobs::ItemOutcome;
-use firshore_gateway::events::{EventFault, EventStream, data_of};
+use firshore_gateway::events::{EventError, EventStream, data_of};
 use std::time::{Duration, Instant};
 
 /// Pause after a run that did not end well; doubled with each further one.
@@ -96,7 +96,7 @@
     }
 
     /// Takes in a part of the stream.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<(), EventFault> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<(), EventError> {
         let events = self.stream.feed(bytes)?;
         self.produced.extend(data_of(&events));
         Ok(())
--- a/crates/firshore-node/src/runner/progress_keeper.rs
+++ b/crates/firshore-node/src/runner/progress_keeper.rs
@@ -21,13 +21,13 @@
 }
 
 /// Progress that leaders told, this node among them.
-pub struct ProgressKeeper {
+pub struct ProgressStore {
     held: HeldItems,
     file: ProgressFile,
     newest: Leadership,
 }
 
-impl ProgressKeeper {
+impl ProgressStore {
     /// Opens what the data folder holds.
     ///
     /// # Errors
--- a/crates/firshore-node/src/runner/schedule.rs
+++ b/crates/firshore-node/src/runner/schedule.rs
@@ -3,7 +3,7 @@
 use super::item::{self, ItemRun};
 use super::progress::{ItemProgress, RunEnd};
 use super::urgency::{DueTime, ItemUrgency};
-use super::work_ahead::ItemOutlook;
+use super::work_ahead::DeadlineRisk;
 use super::{ITEM_LOAD, ItemKey, PRESSED_ITEM_LOAD, Run, Runner, Work};
 use crate::task::Task;
 use firshore_adapter::backend::Backend;
@@ -11,7 +11,7 @@
 use firshore_adapter::route::Route;
 use firshore_gateway::attempts::Attempts;
 use firshore_gateway::choice::affinity_key;
-use firshore_gateway::fleet::Wanted;
+use firshore_gateway::fleet::BackendRequirements;
 use firshore_jobs::table::OpenItem;
 use firshore_types::ids::ServiceName;
 use slog::info;
@@ -156,7 +156,7 @@
         let outlook = self.outlook(now, service, waiting, behind);
         let way = self.way.borrow();
         let may_start = way.may_start(service, look.slots, look.running, outlook);
-        may_start.then_some(outlook > ItemOutlook::Easy)
+        may_start.then_some(outlook > DeadlineRisk::Easy)
     }
 
     /// Jobs by urgency.
@@ -289,7 +289,7 @@
             false => ITEM_LOAD,
         };
         let fleet = self.gateway.fleet.borrow();
-        let wanted = Wanted {
+        let wanted = BackendRequirements {
             service: &service,
             attempts: &attempts,
             affinity: affinity_key(&terms.prompt),
--- a/crates/firshore-node/src/runner/stepping_aside.rs
+++ b/crates/firshore-node/src/runner/stepping_aside.rs
@@ -1,7 +1,7 @@
 //! Joins what is decided on giving way to what runs.
 
-use super::give_way::{HeldRun, ServiceRoom};
-use super::work_ahead::ItemOutlook;
+use super::give_way::{PreemptibleRun, ServiceRoom};
+use super::work_ahead::DeadlineRisk;
 use super::{ItemKey, Run, Runner};
 use firshore_adapter::jobs::caller_id;
 use firshore_gateway::fleet::Fleet;
@@ -76,7 +76,7 @@
         }
     }
 
-    fn stop_runs(&self, stopped: &[HeldRun]) {
+    fn stop_runs(&self, stopped: &[PreemptibleRun]) {
         let mut running = self.running.borrow_mut();
         for held in stopped {
             let Some(run) = running.remove(&held.key) else {
@@ -91,7 +91,7 @@
     }
 
     /// Runs of a service, as the decision sees them.
-    fn held_runs(&self, now: Instant, service: &ServiceName) -> Vec<HeldRun> {
+    fn held_runs(&self, now: Instant, service: &ServiceName) -> Vec<PreemptibleRun> {
         let calm_share = self.way.borrow().calm_share(service);
         let fleet = self.gateway.fleet.borrow();
         let running = self.running.borrow();
@@ -107,10 +107,10 @@
         key: &ItemKey,
         run: &Run,
         calm_share: f32,
-    ) -> HeldRun {
+    ) -> PreemptibleRun {
         let produced = self.produced(key);
         let work = self.work.borrow();
-        HeldRun {
+        PreemptibleRun {
             key: key.clone(),
             load: fleet.load(now, &run.backend).unwrap_or(0.0),
             outlook: work.outlook(now, &run.service, &run.due, produced, calm_share),
@@ -134,12 +134,12 @@
         service: &ServiceName,
         waiting: &super::schedule::WaitingItem<'_>,
         behind: bool,
-    ) -> ItemOutlook {
+    ) -> DeadlineRisk {
         let calm_share = self.way.borrow().calm_share(service);
         let work = self.work.borrow();
         let alone = work.outlook(now, service, &waiting.due, waiting.produced, calm_share);
         match behind {
-            true => alone.max(ItemOutlook::Pressed),
+            true => alone.max(DeadlineRisk::Pressed),
             false => alone,
         }
     }
--- a/crates/firshore-node/src/runner/telling.rs
+++ b/crates/firshore-node/src/runner/telling.rs
@@ -1,7 +1,7 @@
 //! Tells the nodes of the other replicas what items have produced, so that one that leads next goes
 //! on from there.
 
-use super::handover::{ProgressDelta, Told, ToldThrough};
+use super::handover::{ProgressDelta, Told, DeltaEnd};
 use super::progress::ItemProgress;
 use super::progress_keeper::Leadership;
 use super::{ItemKey, Runner};
@@ -64,7 +64,7 @@
     /// Keeps what items have produced on this node, for the case that all processes end.
     fn keep(&self, leadership: Leadership, kept: &mut Told) {
         let deltas = self.untold(kept, usize::MAX);
-        let sent: Vec<ToldThrough> = deltas.iter().map(ProgressDelta::through).collect();
+        let sent: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::through).collect();
         let mut keeper = self.journal.progress.borrow_mut();
         let gaps = keeper.told(leadership, deltas);
         kept.answered(sent, gaps);
@@ -85,7 +85,7 @@
             if deltas.is_empty() {
                 break;
             }
-            let sent: Vec<ToldThrough> = deltas.iter().map(ProgressDelta::through).collect();
+            let sent: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::through).collect();
             let request = PeerRequest::Progress { leadership, deltas };
             let call = self.journal.ask(&node, request);
             match timeout(TELL_TIMEOUT, call).await {
--- a/crates/firshore-node/src/runner/work_ahead.rs
+++ b/crates/firshore-node/src/runner/work_ahead.rs
@@ -26,7 +26,7 @@
 
 /// How an item's work compares with its time; the greater, the more in danger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ItemOutlook {
+pub enum DeadlineRisk {
     /// It has time, or none that counts any more.
     Easy,
     /// It needs most of the troughs until it is due.
@@ -51,12 +51,12 @@
 
 /// What items of each service usually need, and the room for them.
 #[derive(Debug, Default)]
-pub struct WorkAhead {
+pub struct BacklogEstimate {
     usual: HashMap<ServiceName, UsualItem>,
     rooms: HashMap<ServiceName, AverageRoom>,
 }
 
-impl WorkAhead {
+impl BacklogEstimate {
     /// An item was finished: it has `events` in all, of which its last run made some in a time.
     pub fn finished(&mut self, service: &ServiceName, events: usize, made: usize, took: Duration) {
         if made == 0 {
@@ -114,27 +114,27 @@
         due: &DueTime,
         produced: usize,
         calm_share: f32,
-    ) -> ItemOutlook {
+    ) -> DeadlineRisk {
         let Some(wanted) = due.wanted.filter(|wanted| now <= *wanted) else {
-            return ItemOutlook::Easy;
+            return DeadlineRisk::Easy;
         };
         let Some(left) = self.left(service, produced) else {
             return match due.is_pressed(now) {
-                true => ItemOutlook::Pressed,
-                false => ItemOutlook::Easy,
+                true => DeadlineRisk::Pressed,
+                false => DeadlineRisk::Easy,
             };
         };
         let time = wanted.duration_since(now).as_secs_f64();
         let left = left.as_secs_f64();
         if left > time * HOPELESS {
-            return ItemOutlook::Easy;
+            return DeadlineRisk::Easy;
         }
         if left * RESERVE > time {
-            return ItemOutlook::LastChance;
+            return DeadlineRisk::LastChance;
         }
         if due.is_pressed(now) || left * RESERVE > time * f64::from(calm_share) {
-            return ItemOutlook::Pressed;
+            return DeadlineRisk::Pressed;
         }
-        ItemOutlook::Easy
+        DeadlineRisk::Easy
     }
 }
