--- a/crates/firshore-admission/tests/sharing/mod.rs
+++ b/crates/firshore-admission/tests/sharing/mod.rs
@@ -283,7 +283,7 @@
                 tenant: TenantDigest(tenant as u64),
                 per_second,
             });
-            node.table.told(now, told);
+            node.table.update_demand(now, told);
         }
     }
 
@@ -298,7 +298,7 @@
             tenant: TenantDigest(tenant as u64),
             rank: CallerRank::new(None, 0),
         };
-        node.table.arrived(now, &ask);
+        node.table.record_arrival(now, &ask);
         let delay = Duration::from_secs_f64(self.line[0] / self.scene.room);
         let is_full = delay > BEYOND_LINE;
         let room = match self.scene.way {
@@ -306,7 +306,7 @@
             Way::Known | Way::None => self.scene.room,
         };
         let standing = match is_full && self.scene.way != Way::None {
-            true => node.table.standing(now, &ask, room),
+            true => node.table.status(now, &ask, room),
             false => ShareStatus::Within,
         };
         let admitted = match standing {
--- a/crates/firshore-gateway/src/fleet/places.rs
+++ b/crates/firshore-gateway/src/fleet/places.rs
@@ -2,7 +2,7 @@
 
 use super::room::ServiceRoom;
 use super::state::State;
-use super::{Fleet, BackendRequirements};
+use super::{BackendRequirements, Fleet};
 use crate::choice::{self, Candidate, Placement};
 use firshore_adapter::backend::Backend;
 use firshore_admission::admission::CapacityOutlook;
@@ -171,7 +171,7 @@
                 load: state.load(now),
                 pace: state.pace.factor(now),
                 turnover: room.turnover(until_next, state.pace.factor(now)),
-                at_home: state.backend.zone == self.zone,
+                same_zone: state.backend.zone == self.zone,
             })
             .collect();
         let position = choice::choose(&candidates, wanted.affinity, self.placement(), random)?;
--- a/crates/firshore-gateway/src/gateway.rs
+++ b/crates/firshore-gateway/src/gateway.rs
@@ -1,8 +1,8 @@
 //! What the requests of a node share.
 
-use crate::belief::StoreFreshness;
 use crate::crash_monitor::{CrashCounters, CrashMonitor};
-use crate::fleet::{EntryChange, Fleet, BackendOutcome};
+use crate::fleet::{BackendOutcome, EntryChange, Fleet};
+use crate::freshness::StoreFreshness;
 use crate::leaving::Leaving;
 use crate::metrics::GatewayMetrics;
 use crate::overload::OverloadControl;
@@ -16,9 +16,9 @@
 use firshore_adapter::route::Route;
 use firshore_adapter::tenant::Tenant;
 use firshore_admission::shares::ShareTable;
-use firshore_crashes::print::{FingerprintKey, RequestFingerprint};
+use firshore_crashes::fingerprint::{FingerprintKey, RequestFingerprint};
 use firshore_limits::limiter::{OverLimit, TenantLimiter};
-use firshore_limits::report::{UsageResponse, UsageReport};
+use firshore_limits::report::{UsageReport, UsageResponse};
 use firshore_metrics::Builder;
 use firshore_types::error::ApiError;
 use firshore_types::ids::ZoneName;
@@ -72,7 +72,7 @@
     /// The environment.
     pub adapter: Adapter,
     /// As of when the store is known, and from whom.
-    pub beliefs: Rc<StoreFreshness>,
+    pub freshness: Rc<StoreFreshness>,
     /// Back ends.
     pub fleet: Rc<RefCell<Fleet>>,
     /// The node's way out.
@@ -154,7 +154,7 @@
         Self {
             log,
             adapter,
-            beliefs: Rc::default(),
+            freshness: Rc::default(),
             fleet,
             leaving: Leaving::default(),
             jobs,
@@ -178,7 +178,10 @@
     /// Has requests known again by a key that all nodes share, and ends of back ends kept for `remember`.
     pub fn with_crash_memory(self, fingerprint_key: FingerprintKey, remember: Duration) -> Self {
         self.crashes.remember_for(remember);
-        Self { fingerprint_key, ..self }
+        Self {
+            fingerprint_key,
+            ..self
+        }
     }
 
     /// A request is about to be sent to a back end.
@@ -267,8 +270,8 @@
     pub fn forget(&self) {
         self.fleet.borrow_mut().replace(Vec::new());
         self.configuration.borrow_mut().take();
-        self.beliefs.configuration.forget();
-        self.beliefs.backends.forget();
+        self.freshness.configuration.forget();
+        self.freshness.backends.forget();
     }
 
     /// Admits a request of a tenant.
@@ -279,7 +282,7 @@
     pub fn admit(&self, tenant: &Tenant) -> Result<(), OverLimit> {
         let mut limiter = self.limiter.borrow_mut();
         let admitted = limiter.admit(firshore_clock::now().into_std(), tenant);
-        if limiter.has_to_tell(tenant) {
+        if limiter.is_report_due(tenant) {
             self.limits_pressing.notify_one();
         }
         admitted
@@ -288,7 +291,7 @@
     /// A request that was admitted has come to nothing: no back end ran it.
     pub fn return_admission(&self, tenant: &Tenant) {
         let now = firshore_clock::now().into_std();
-        self.limiter.borrow_mut().returned(now, tenant);
+        self.limiter.borrow_mut().refund(now, tenant);
     }
 
     /// Whether any tenant has a limit.
@@ -314,11 +317,11 @@
     pub fn apply_usage_report(&self, news: Option<(Instant, &UsageResponse)>) {
         let mut limiter = self.limiter.borrow_mut();
         match news {
-            Some((at, news)) => limiter.answered(at, news),
-            None => return limiter.unanswered(),
+            Some((at, news)) => limiter.apply_response(at, news),
+            None => return limiter.report_failed(),
         }
         if let Some((at, demands)) = limiter.reported_demand() {
-            self.shares.borrow_mut().told(at, demands);
+            self.shares.borrow_mut().update_demand(at, demands);
         }
     }
 
@@ -327,10 +330,14 @@
         let backends = self.fleet.borrow().len();
         self.metrics.backends.set(backends as i64);
         self.metrics.requests_open.set(self.requests_open() as i64);
-        self.metrics.set_belief_ages(&self.beliefs);
+        self.metrics.set_belief_ages(&self.freshness);
         let table = self.crashes.table();
-        self.metrics.crash_suspects.set(table.suspects() as i64);
-        self.metrics.crash_verdicts.set(table.verdicts() as i64);
+        self.metrics
+            .crash_suspects
+            .set(table.suspect_count() as i64);
+        self.metrics
+            .crash_verdicts
+            .set(table.quarantined_count() as i64);
     }
 
     /// Whether the node can serve requests, batch jobs included: one that is cut off from the journal
@@ -367,17 +374,17 @@
     }
 
     /// Something of a back end's answer has arrived.
-    pub fn heard(&self, incarnation: &Incarnation) {
+    pub fn record_activity(&self, incarnation: &Incarnation) {
         let mut fleet = self.fleet.borrow_mut();
-        fleet.heard(Instant::now(), incarnation);
+        fleet.record_activity(Instant::now(), incarnation);
     }
 
     /// Takes in how a back end handled a request.
-    pub fn observed(&self, incarnation: &Incarnation, seen: BackendOutcome) {
+    pub fn record_outcome(&self, incarnation: &Incarnation, seen: BackendOutcome) {
         let ejected = self
             .fleet
             .borrow_mut()
-            .observed(Instant::now(), incarnation, seen);
+            .record_outcome(Instant::now(), incarnation, seen);
         if ejected {
             self.metrics.ejections.inc();
             warn!(self.log, "fleet: Back end ejected."; "backend" => %incarnation, "seen" => ?seen);
--- a/crates/firshore-gateway/src/pressure.rs
+++ b/crates/firshore-gateway/src/pressure.rs
@@ -12,7 +12,7 @@
     pub service: ServiceName,
     /// How often and how.
     #[serde(flatten)]
-    pub figure: PressureCounts,
+    pub counts: PressureCounts,
 }
 
 /// Requests that found too little room.
@@ -84,9 +84,9 @@
     }
 
     /// Takes in what others told.
-    pub fn told(&mut self, pressures: &[ServicePressure]) {
+    pub fn add_reported(&mut self, pressures: &[ServicePressure]) {
         for one in pressures {
-            self.figure(&one.service).add(&one.figure);
+            self.figure(&one.service).add(&one.counts);
         }
     }
 
@@ -95,7 +95,7 @@
         let services = std::mem::take(&mut self.services);
         let pressures = services.into_iter();
         pressures
-            .map(|(service, figure)| ServicePressure { service, figure })
+            .map(|(service, counts)| ServicePressure { service, counts })
             .collect()
     }
 
--- a/crates/firshore-gateway/tests/access.rs
+++ b/crates/firshore-gateway/tests/access.rs
@@ -4,7 +4,7 @@
 
 use firshore_adapter::jobs::{JobId, JobItem, ResultPage};
 use firshore_adapter::route::Route;
-use firshore_gateway::belief::FreshnessSource;
+use firshore_gateway::freshness::FreshnessSource;
 use firshore_gateway::gateway::{JobFuture, JobService};
 use firshore_stand_in::adapter::{KEY, TENANT};
 use firshore_stand_in::backend::Play;
@@ -333,7 +333,7 @@
 fn nothing_is_refused_for_good_on_a_belief_that_is_overdue() {
     actix_rt::System::new().block_on(async {
         let place = place(configuration(1, &tenants()), &[&[]], Play::Whole).await;
-        let belief = &place.gateway.beliefs.configuration;
+        let belief = &place.gateway.freshness.configuration;
         let unknown = [("/none/", key("key-a")), ("/own/", key("key-x"))];
         let [no_route, no_key] = unknown.each_ref();
         assert_eq!(status(place.callers, no_route.0, &no_route.1).await, 404);
--- a/crates/firshore-gateway/tests/decisions.rs
+++ b/crates/firshore-gateway/tests/decisions.rs
@@ -6,8 +6,8 @@
 use firshore_adapter::route::{Repetition, Route, RouteTable, WeightedService};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
 use firshore_gateway::choice::{Candidate, Placement, affinity_key, choose};
-use firshore_gateway::events::{EventError, EventStream, data_of};
-use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
+use firshore_gateway::events::{EventError, EventStream, event_data};
+use firshore_gateway::fleet::{BackendOutcome, BackendRequirements, Fleet};
 use firshore_gateway::split::Split;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -287,7 +287,7 @@
         slots: 10,
         pace: None,
     };
-    fleet.reported(now, &incarnation("a"), load);
+    fleet.record_load(now, &incarnation("a"), load);
     assert_eq!(fleet.load(now, &incarnation("a")), Some(0.3));
     assert_eq!(fleet.excess(now, &incarnation("a"), 0.9), None);
     assert_eq!(fleet.excess(now, &incarnation("a"), 0.1), Some(2));
@@ -312,14 +312,14 @@
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b"]);
-    assert!(fleet.observed(now, &incarnation("a"), BackendOutcome::Unreachable));
+    assert!(fleet.record_outcome(now, &incarnation("a"), BackendOutcome::Unreachable));
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
-    assert!(fleet.observed(now, &incarnation("b"), BackendOutcome::Unreachable));
+    assert!(fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Unreachable));
     assert!(
         chosen(&fleet, now, &attempts, None).is_some(),
         "any is better than none"
     );
-    fleet.observed(now, &incarnation("b"), BackendOutcome::Answered);
+    fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Answered);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
     let later = now + Duration::from_secs(5);
     fleet.started(later, &incarnation("b"));
@@ -337,13 +337,13 @@
         fleet.started(now, &other);
     }
     let later = now + Duration::from_millis(700);
-    fleet.heard(later, &other);
+    fleet.record_activity(later, &other);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("a"));
     assert_eq!(chosen(&fleet, later, &attempts, None).as_deref(), Some("b"));
-    fleet.heard(later, &silent);
+    fleet.record_activity(later, &silent);
     assert_eq!(chosen(&fleet, later, &attempts, None).as_deref(), Some("a"));
     let much_later = later + Duration::from_secs(1);
-    fleet.heard(much_later, &other);
+    fleet.record_activity(much_later, &other);
     fleet.ended(now, &silent);
     let idle = chosen(&fleet, much_later, &attempts, None);
     assert_eq!(idle.as_deref(), Some("a"), "nothing is under way there");
@@ -353,14 +353,14 @@
 fn events_pass_whole_and_in_order() {
     let mut stream = EventStream::after(None);
     assert!(stream.feed(b"id: 1\ndata: a").unwrap().is_empty());
-    assert!(stream.holds_part());
+    assert!(stream.has_partial());
     let whole = stream.feed(b"\n\nid: 2\ndata: b\n\nid: 3").unwrap();
     assert_eq!(&whole[..], b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    assert_eq!(data_of(&whole), ["a", "b"]);
+    assert_eq!(event_data(&whole), ["a", "b"]);
     assert_eq!(stream.last(), Some(2));
-    stream.broken_off();
+    stream.discard_partial();
     let rest = stream.feed(b"id: 3\ndata: c\ndata: d\n\n").unwrap();
-    assert_eq!(data_of(&rest), ["c\nd"]);
+    assert_eq!(event_data(&rest), ["c\nd"]);
     for wrong in ["id: 3\ndata: c\n\n", "id: 5\ndata: e\n\n"] {
         let mut stream = EventStream::after(Some(3));
         let found = if wrong.starts_with("id: 3") { 3 } else { 5 };
@@ -372,12 +372,12 @@
 #[test]
 fn online_requests_spread_as_the_room_does() {
     const DRAWS: usize = 20_000;
-    let candidate = |identity, load, at_home| Candidate {
+    let candidate = |identity, load, same_zone| Candidate {
         identity,
         load,
         pace: 1.0,
         turnover: 0.0,
-        at_home,
+        same_zone,
     };
     // Room at home 0.5 and 0.25, elsewhere 0.5, which weighs 0.4 of that; none in the others.
     let candidates = [
@@ -434,7 +434,7 @@
         load,
         pace: 1.0,
         turnover: 0.0,
-        at_home: true,
+        same_zone: true,
     };
     let candidates = [candidate(1, 1.5), candidate(2, 1.0), candidate(3, 2.0)];
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -486,7 +486,7 @@
         slots: 10,
         pace: Pace::from_hundredths(pace),
     };
-    fleet.reported(now, &incarnation(name), load);
+    fleet.record_load(now, &incarnation(name), load);
 }
 
 /// How often each of two back ends, `a` and `b`, is chosen in 2,000 draws.
@@ -582,7 +582,7 @@
     reported(&mut fleet, now, "a", 100);
     reported(&mut fleet, now, "b", 60);
     for _ in 0..20 {
-        fleet.observed(now, &incarnation("b"), BackendOutcome::Failed);
+        fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Failed);
     }
     let [_, failing] = draws(&fleet, now, None);
     assert!(failing < 700, "it would get 1,250 by its pace: {failing}");
@@ -600,7 +600,7 @@
         Duration::from_millis(500),
     );
     for _ in 0..20 {
-        fleet.observed(now, &incarnation("b"), BackendOutcome::Failed);
+        fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Failed);
     }
     let others = HashMap::from([("a".into(), 5)]);
     fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
--- a/crates/firshore-gateway/tests/overload/world.rs
+++ b/crates/firshore-gateway/tests/overload/world.rs
@@ -6,7 +6,7 @@
 use firshore_adapter::route::Repetition;
 use firshore_admission::admission::{Admission, AdmissionRequest, ShareStatus, decide};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
-use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
+use firshore_gateway::fleet::{BackendOutcome, BackendRequirements, Fleet};
 use firshore_types::ids::ServiceName;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -289,7 +289,7 @@
             timeout: TIMEOUT,
             time_left: asking.time_left,
             age: self.now - self.start - asking.arrived,
-            standing: ShareStatus::Within,
+            share_status: ShareStatus::Within,
             behind_others: gateway.waiting.first().is_some_and(|first| *first < place),
             node_is_draining: false,
         };
@@ -374,8 +374,8 @@
         let incarnation = incarnation(engine);
         let sent = &mut self.requests[request];
         let fleet = &mut self.gateways[sent.gateway].fleet;
-        fleet.reported(self.now, &incarnation, load);
-        fleet.observed(self.now, &incarnation, BackendOutcome::Full);
+        fleet.record_load(self.now, &incarnation, load);
+        fleet.record_outcome(self.now, &incarnation, BackendOutcome::Full);
         fleet.ended(self.now, &incarnation);
         match sent.attempts.ended(&incarnation, SendEnd::NotRun) {
             Next::SendAgain => self.ask(request),
@@ -400,11 +400,11 @@
         let engine = begun.sent_to;
         let incarnation = incarnation(engine);
         let fleet = &mut self.gateways[begun.gateway].fleet;
-        fleet.heard(self.now, &incarnation);
+        fleet.record_activity(self.now, &incarnation);
         let (expected, began_after) = (begun.expected_wait, begun.began_after);
         fleet.began(self.now, &self.service, expected, began_after);
-        fleet.reported(self.now, &incarnation, self.engines[engine].load());
-        fleet.observed(self.now, &incarnation, BackendOutcome::Answered);
+        fleet.record_load(self.now, &incarnation, self.engines[engine].load());
+        fleet.record_outcome(self.now, &incarnation, BackendOutcome::Answered);
     }
 
     fn end(&mut self, engine: usize, request: Option<usize>) {
--- a/crates/firshore-gateway/tests/pressure.rs
+++ b/crates/firshore-gateway/tests/pressure.rs
@@ -23,8 +23,8 @@
         refused: 1,
         ..PressureCounts::default()
     };
-    assert_eq!(told[0].figure, chat_figure);
-    assert_eq!(told[1].figure, desk_figure);
+    assert_eq!(told[0].counts, chat_figure);
+    assert_eq!(told[1].counts, desk_figure);
     assert_eq!(told.len(), 2);
     assert_eq!(count.take(), Vec::new());
 }
@@ -44,12 +44,12 @@
     other.late(&"chat".into());
     other.waited(&"desk".into());
     let mut sum = PressureCounter::default();
-    sum.told(&one.take());
-    sum.told(&other.take());
+    sum.add_reported(&one.take());
+    sum.add_reported(&other.take());
     let sums: Vec<(String, u32)> = sum
         .take()
         .into_iter()
-        .map(|one| (one.service.to_string(), one.figure.sum()))
+        .map(|one| (one.service.to_string(), one.counts.sum()))
         .collect();
     assert_eq!(sums, [("chat".to_owned(), 2), ("desk".to_owned(), 1)]);
 }
@@ -58,7 +58,7 @@
 fn figures_of_zero_do_not_travel() {
     let pressure = ServicePressure {
         service: "chat".into(),
-        figure: PressureCounts {
+        counts: PressureCounts {
             late: 3,
             ..PressureCounts::default()
         },
--- a/crates/firshore-gateway/tests/uneven.rs
+++ b/crates/firshore-gateway/tests/uneven.rs
@@ -5,7 +5,7 @@
 use firshore_adapter::incarnation::Incarnation;
 use firshore_adapter::route::Repetition;
 use firshore_gateway::attempts::Attempts;
-use firshore_gateway::fleet::{Fleet, BackendRequirements};
+use firshore_gateway::fleet::{BackendRequirements, Fleet};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -141,7 +141,10 @@
 }
 
 fn exchange(fleets: &mut [Fleet], at: Instant, random: &mut impl Rng) {
-    let mut paces: Vec<_> = fleets.iter_mut().map(Fleet::take_unreported_paces).collect();
+    let mut paces: Vec<_> = fleets
+        .iter_mut()
+        .map(Fleet::take_unreported_paces)
+        .collect();
     for told in &mut paces {
         told.sort_by_key(|one| one.backend.clone());
     }
@@ -200,7 +203,7 @@
                     slots: SLOTS as u32,
                     pace: pace.filter(|_| tells),
                 };
-                fleets[asked.gateway].reported(at, &incarnation(engine), load);
+                fleets[asked.gateway].record_load(at, &incarnation(engine), load);
             }
         }
         if now.is_multiple_of(PICTURE_INTERVAL) {
--- a/crates/firshore-node/src/journal/client.rs
+++ b/crates/firshore-node/src/journal/client.rs
@@ -5,7 +5,7 @@
 use super::contact::PeerContact;
 use super::messages::{PeerRequest, PeerResponse};
 use super::registry::Registry;
-use crate::load_table::{BackendCount, ToldLoad};
+use crate::load_table::{BackendCount, NodeLoadReport};
 use crate::pace_table::BackendPace;
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::jobs::{JobId, JobItem, ResultPage};
@@ -60,24 +60,24 @@
     /// Requests that all other nodes have in flight at each back end.
     pub counts: HashMap<BackendName, u32>,
     /// Time until this node's next report.
-    pub pause: Duration,
+    pub interval: Duration,
     /// Age of the oldest data in it.
     pub age: Duration,
     /// Remaining limits of tenants.
-    pub news: Option<UsageResponse>,
+    pub usage: Option<UsageResponse>,
     /// Paces of back ends that others reported recently.
     pub paces: Vec<BackendPace>,
 }
 
 impl LoadResponse {
-    fn new(counts: Vec<BackendCount>, pause: u64, age: u64, news: Option<UsageResponse>) -> Self {
+    fn new(counts: Vec<BackendCount>, pause: u64, age: u64, usage: Option<UsageResponse>) -> Self {
         let counts = counts.into_iter();
         let counts = counts.map(|one| (BackendName::from(one.backend), one.count));
         Self {
             counts: counts.collect(),
-            pause: Duration::from_millis(pause),
+            interval: Duration::from_millis(pause),
             age: Duration::from_millis(age),
-            news,
+            usage,
             paces: Vec::new(),
         }
     }
@@ -185,7 +185,11 @@
 
     /// Reports load to the leader and returns that of all others. `sums` is set if a relay reports
     /// for several nodes. Makes one attempt: the next report follows soon.
-    pub async fn report_to_leader(&self, report: ToldLoad, sums: bool) -> Option<LoadResponse> {
+    pub async fn report_to_leader(
+        &self,
+        report: NodeLoadReport,
+        sums: bool,
+    ) -> Option<LoadResponse> {
         let leader = self.leader();
         let target = match leader.or_else(|| self.rotated_nodes().pop()) {
             Some(target) => target,
@@ -222,7 +226,11 @@
     }
 
     /// Reports this node's load to a relay and returns that of all others.
-    pub async fn report_to_relay(&self, relay: &NodeName, report: ToldLoad) -> Option<LoadResponse> {
+    pub async fn report_to_relay(
+        &self,
+        relay: &NodeName,
+        report: NodeLoadReport,
+    ) -> Option<LoadResponse> {
         match self.send_load(relay, report, false).await {
             AttemptOutcome::Answered(PeerResponse::Load {
                 counts,
@@ -247,7 +255,7 @@
     }
 
     /// Retracts the last report to a node, because later ones go to another node.
-    pub async fn retract(&self, node: &NodeName, report: ToldLoad) {
+    pub async fn retract(&self, node: &NodeName, report: NodeLoadReport) {
         if let AttemptOutcome::NotSent | AttemptOutcome::NoResponse =
             self.send_load(node, report, false).await
         {
@@ -255,7 +263,12 @@
         }
     }
 
-    async fn send_load(&self, target: &NodeName, report: ToldLoad, sums: bool) -> AttemptOutcome {
+    async fn send_load(
+        &self,
+        target: &NodeName,
+        report: NodeLoadReport,
+        sums: bool,
+    ) -> AttemptOutcome {
         let request = PeerRequest::Load {
             node: self.node.clone(),
             counts: report.counts,
@@ -284,7 +297,7 @@
     }
 
     /// Returns whether no node of the journal responds; logs each change.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let lost = self.contact.get().is_lost(firshore_clock::now().into_std());
         if lost != self.was_lost.replace(lost) {
             match lost {
@@ -309,13 +322,13 @@
         wait: Duration,
     ) -> AttemptOutcome {
         let now = firshore_clock::now().into_std();
-        self.update_contact(|contact| contact.asked(now, now + wait));
+        self.update_contact(|contact| contact.record_query(now, now + wait));
         let outcome = self.call(target, request, wait).await;
         if !matches!(
             outcome,
             AttemptOutcome::NotSent | AttemptOutcome::NoResponse
         ) {
-            self.update_contact(PeerContact::heard);
+            self.update_contact(PeerContact::record_response);
         }
         outcome
     }
@@ -347,7 +360,7 @@
 
 impl JobService for JournalClient {
     fn is_reachable(&self) -> bool {
-        !self.is_cut_off()
+        !self.is_isolated()
     }
 
     fn submit<'a>(
--- a/crates/firshore-node/src/journal/contact.rs
+++ b/crates/firshore-node/src/journal/contact.rs
@@ -20,14 +20,14 @@
 
 impl PeerContact {
     /// Records a query sent now whose response is due at `due`.
-    pub fn asked(&mut self, now: Instant, due: Instant) {
+    pub fn record_query(&mut self, now: Instant, due: Instant) {
         self.queried_at = Some(now);
         let since = self.unanswered_since.get_or_insert(due);
         *since = due.min(*since);
     }
 
     /// Records a response of any kind.
-    pub fn heard(&mut self) {
+    pub fn record_response(&mut self) {
         self.unanswered_since = None;
     }
 
--- a/crates/firshore-node/src/journal/passed_over.rs
+++ b/crates/firshore-node/src/journal/excluded_disks.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns whether a disk must not be tried yet.
-    pub fn holds(&self, now: Instant, disk: DiskId) -> bool {
+    pub fn is_excluded(&self, now: Instant, disk: DiskId) -> bool {
         let exclusion = self.disks.get(&disk);
         exclusion.is_some_and(|exclusion| now < exclusion.until)
     }
--- a/crates/firshore-node/src/journal/group_keeper.rs
+++ b/crates/firshore-node/src/journal/group_manager.rs
@@ -3,8 +3,8 @@
 //! passed in.
 
 use super::SILENCE_FRACTION;
+use super::excluded_disks::ExcludedDisks;
 use super::lost_quorum::{self, LeaderlessTime};
-use super::passed_over::ExcludedDisks;
 use super::registry::VoterRecord;
 use firshore_log::GroupStatus;
 use firshore_log::placement::{Candidate, GroupView, keeps_promises};
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct GroupPolicy {
     /// Desired number of voters.
-    pub target: usize,
+    pub target_voters: usize,
     /// Number of disks that must hold accepted jobs.
-    pub least: usize,
+    pub min_disks: usize,
     /// Time within which a new disk has to hold everything.
     pub catch_up: Duration,
 }
@@ -69,7 +69,7 @@
     /// The voters as recorded in the store.
     pub recorded: Option<&'a VoterRecord>,
     /// Whether an unconfirmed write of another record may still take effect.
-    pub doubtful: bool,
+    pub write_unconfirmed: bool,
     /// When the last full listing of the store began. What was listed earlier may have been changed
     /// since by a leader that this node followed.
     pub listed_at: Option<Instant>,
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupAction {
     /// Nothing to do.
-    Rest,
+    Idle,
     /// List the nodes to drain, and decide again.
     ListLeaving,
     /// Transfer leadership to this voter.
@@ -118,7 +118,7 @@
 
 /// Returns whether the store names these voters, as written by this leader in its term.
 fn is_recorded(view: &GroupInput, voters: &BTreeSet<DiskId>) -> bool {
-    let record = view.recorded.filter(|_| !view.doubtful);
+    let record = view.recorded.filter(|_| !view.write_unconfirmed);
     record.is_some_and(|record| {
         record.voters == *voters && !record.settled && record.term == view.status.term
     })
@@ -136,7 +136,7 @@
 /// State of the maintenance on one node.
 #[derive(Debug)]
 pub struct GroupManager {
-    terms: GroupPolicy,
+    policy: GroupPolicy,
     /// Disks excluded after failed attempts as learners.
     excluded: ExcludedDisks,
     /// Time since which no leader is known.
@@ -151,9 +151,9 @@
 
 impl GroupManager {
     /// Creates the state for a group with these desired properties.
-    pub fn new(terms: GroupPolicy) -> Self {
+    pub fn new(policy: GroupPolicy) -> Self {
         Self {
-            terms,
+            policy,
             excluded: ExcludedDisks::default(),
             leaderless_since: None,
             recorded: None,
@@ -173,7 +173,7 @@
         self.observe(now, view.status);
         self.update_record(now, view.recorded);
         if !view.status.holds_log {
-            return GroupAction::Rest;
+            return GroupAction::Idle;
         }
         if let Some(history) = later_history(view) {
             return GroupAction::JoinHistory(history);
@@ -184,7 +184,7 @@
         if view.status.leader.is_none() {
             return self.step_leaderless(now, view);
         }
-        GroupAction::Rest
+        GroupAction::Idle
     }
 
     /// Returns whether a node's disk is no longer needed for accepted jobs, as known by the leader.
@@ -192,7 +192,7 @@
         let membership = &view.status.membership;
         let mut replicas = membership.replicas.values();
         let holds = replicas.any(|replica| replica.node == *node);
-        let whole = keeps_promises(membership, self.terms.least);
+        let whole = keeps_promises(membership, self.policy.min_disks);
         !holds && view.status.membership_committed && whole
     }
 
@@ -227,7 +227,7 @@
     /// further loss leaves neither a quorum nor proof of what was committed; of two, it leaves one
     /// that can continue.
     fn unresponsive_voters(&self, now: Instant) -> impl Iterator<Item = DiskId> {
-        let threshold = self.terms.catch_up.mul_f64(GIVE_UP_FRACTION);
+        let threshold = self.policy.catch_up.mul_f64(GIVE_UP_FRACTION);
         let unresponsive = self.unresponsive_since.iter();
         unresponsive
             .filter(move |(_, since)| now.saturating_duration_since(**since) >= threshold)
@@ -238,7 +238,7 @@
     fn place_replicas(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
         // Without the nodes to drain, the leader might add a replica on one of them.
         let Some(leaving) = view.leaving else {
-            return GroupAction::Rest;
+            return GroupAction::Idle;
         };
         let status = view.status;
         let group = self.group(now, view, leaving);
@@ -251,7 +251,7 @@
         let usable = self.usable(now, view, leaving, group.is_short());
         if !status.membership_committed {
             // Nothing may be recorded that might never enter the log.
-            return GroupAction::Rest;
+            return GroupAction::Idle;
         }
         if let Some(learner) = self.overdue_learner(now, &group)
             && !usable.is_empty()
@@ -293,8 +293,8 @@
         let superseded = replicas().filter(|(disk, _)| is_superseded(view, **disk));
         let on_leaving = replicas().filter(|(_, one)| leaving.contains(&one.node));
         GroupView {
-            target: self.terms.target,
-            least: self.terms.least,
+            target: self.policy.target_voters,
+            least: self.policy.min_disks,
             own: status.disk,
             membership: status.membership.clone(),
             silent: status.silent.clone(),
@@ -315,7 +315,7 @@
         if self.learner.map(|(disk, _)| disk) != learner {
             self.learner = learner.map(|disk| (disk, now));
         }
-        let limit = self.terms.catch_up.mul_f64(LEARNER_FRACTION);
+        let limit = self.policy.catch_up.mul_f64(LEARNER_FRACTION);
         let (disk, since) = self.learner?;
         (now.saturating_duration_since(since) >= limit).then_some(disk)
     }
@@ -336,7 +336,7 @@
             .candidates
             .iter()
             .filter(|one| !membership.replicas.contains_key(&one.disk))
-            .filter(|one| !self.excluded.holds(now, one.disk))
+            .filter(|one| !self.excluded.is_excluded(now, one.disk))
             .filter(|one| !leaving.done.contains(&one.node));
         let (last, staying): (Vec<&Candidate>, Vec<&Candidate>) =
             open.partition(|one| leaving.open.contains(&one.node));
@@ -347,7 +347,7 @@
         // A lost node stays listed. Disks that failed less often come first, so that it doesn't
         // block a disk that may be reachable by now.
         let failures = |one: &&Candidate| self.excluded.backoff(one.disk);
-        if membership.voters().count() < self.terms.target {
+        if membership.voters().count() < self.policy.target_voters {
             let fewest = usable.iter().map(failures).min();
             usable.retain(|one| Some(failures(one)) == fewest);
         }
@@ -356,18 +356,18 @@
 
     fn step_leaderless(&self, now: Instant, view: &GroupInput) -> GroupAction {
         if !self.is_listed_since(view) {
-            return GroupAction::Rest;
+            return GroupAction::Idle;
         }
         let since = self.leaderless_since;
         let recorded = self.recorded.as_ref().map(|(_, since)| *since);
         let leaderless = self.leaderless_time(now, since);
         let unchanged = self.leaderless_time(now, since.max(recorded));
-        lost_quorum::step(view, self.terms.least, leaderless, unchanged)
+        lost_quorum::step(view, self.policy.min_disks, leaderless, unchanged)
     }
 
     fn leaderless_time(&self, now: Instant, since: Option<Instant>) -> LeaderlessTime {
         let lasts = |share: f64| {
-            let threshold = self.terms.catch_up.mul_f64(share);
+            let threshold = self.policy.catch_up.mul_f64(share);
             since.is_some_and(|since| now.saturating_duration_since(since) >= threshold)
         };
         LeaderlessTime {
@@ -413,10 +413,10 @@
 /// Records that the change to these voters is committed.
 fn settle_record(view: &GroupInput, voters: BTreeSet<DiskId>) -> GroupAction {
     let Some(record) = view.recorded else {
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     };
-    if record.settled && record.voters == voters && !view.doubtful {
-        return GroupAction::Rest;
+    if record.settled && record.voters == voters && !view.write_unconfirmed {
+        return GroupAction::Idle;
     }
     let alone = voters.len() == 1;
     let left_behind = left_behind(view).filter(|disk| alone && !voters.contains(disk));
--- a/crates/firshore-node/src/journal/duties.rs
+++ b/crates/firshore-node/src/journal/leader_tasks.rs
@@ -5,8 +5,8 @@
 use super::registry::KIND;
 use super::retirement::Retirements;
 use crate::environment;
-use crate::observation::Terms;
-use crate::relay::asker::RelayClient;
+use crate::list_watch::WatchOptions;
+use crate::relay::client::RelayClient;
 use crate::settings::Objects;
 use crate::task::Task;
 use crate::watcher::{self, Watcher};
@@ -39,7 +39,7 @@
     ///
     /// A leader that watched the store directly would notice a partition only when its connection
     /// is closed, and run items at back ends that were removed meanwhile.
-    pub asker: Option<RelayClientFactory>,
+    pub relay_client: Option<RelayClientFactory>,
 }
 
 /// Creates a client of relays; one is needed for each kind.
@@ -64,9 +64,9 @@
     }
 
     fn follow(&self) -> Vec<Task> {
-        let terms = Terms {
-            longest_wait: MAX_WATCH_WAIT,
-            ..environment::terms(&self.objects, CHANGE_SPACING)
+        let options = WatchOptions {
+            max_wait: MAX_WATCH_WAIT,
+            ..environment::watch_options(&self.objects, CHANGE_SPACING)
         };
         let store = &self.gateway.adapter.objects;
         let log = &self.gateway.log;
@@ -75,20 +75,20 @@
             log: log.clone(),
             store: store.clone(),
             kind: kind.to_owned(),
-            terms,
+            options,
             renewal: Rc::default(),
         };
-        let node_watch = watcher::follow(watcher(KIND), move |observed| registry.learn(observed));
+        let node_watch = watcher::follow(watcher(KIND), move |observed| registry.apply(observed));
         let (retirements, gateway) = (self.retirements.clone(), self.gateway.clone());
         let kind = self.gateway.adapter.decoder.retirement_kind();
         let retirement_watch = watcher::follow(watcher(kind), move |observed| {
-            retirements.learn(&gateway.adapter, &gateway.log, observed);
+            retirements.apply(&gateway.adapter, &gateway.log, observed);
         });
         let mut tasks = vec![Task::spawn(node_watch), Task::spawn(retirement_watch)];
-        if let Some(asker) = &self.asker {
-            let asker = asker.clone();
+        if let Some(relay_client) = &self.relay_client {
+            let relay_client = relay_client.clone();
             tasks.extend(environment::follow(&self.gateway, &self.objects, || {
-                asker()
+                relay_client()
             }));
         }
         tasks
@@ -97,7 +97,7 @@
     /// Drops watched state, which must not be used once it is no longer updated.
     fn discard(&self) {
         self.retirements.stop_watching();
-        if self.asker.is_some() {
+        if self.relay_client.is_some() {
             self.gateway.forget();
         }
     }
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -10,7 +10,7 @@
 //! the record; the single voter has to write the record before it accepts anything, and is then
 //! excluded.
 
-use super::group_keeper::{GroupAction, GroupInput, LeavingNodes, is_superseded, voters_of};
+use super::group_manager::{GroupAction, GroupInput, LeavingNodes, is_superseded, voters_of};
 use super::registry::VoterRecord;
 use firshore_replication::replica::Survivors;
 use firshore_replication::types::{DiskId, ReplicaInfo, ReplicaRole};
@@ -29,11 +29,11 @@
     voters.len() / 2 + 1
 }
 
-/// Returns the next step of a replica without a leader. `least` disks have to hold accepted jobs;
+/// Returns the next step of a replica without a leader. `min_disks` disks have to hold accepted jobs;
 /// `unchanged` counts from the last change of the record if that is later.
 pub fn step(
     view: &GroupInput,
-    least: usize,
+    min_disks: usize,
     leaderless: LeaderlessTime,
     unchanged: LeaderlessTime,
 ) -> GroupAction {
@@ -56,17 +56,17 @@
         .any(|voters| voters.contains(&local))
     {
         // This replica was removed and must not continue.
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     }
     let present = voters_of(&view.status.membership);
     let superseded = present.iter().any(|disk| is_superseded(view, *disk));
     if !(leaderless.timed_out || superseded) || !record.names_groups() {
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     }
     let Some(leaving) = view.leaving else {
         return GroupAction::ListLeaving;
     };
-    let possible = possible_groups(view, leaving, record, least);
+    let possible = possible_groups(view, leaving, record, min_disks);
     let sets = disk_sets(view, leaving, &possible, leaderless);
     let remaining = &sets.remaining;
     let lost_quorum = present.intersection(remaining).count() < quorum_of(&present);
@@ -75,11 +75,11 @@
         intersects_quorums(remaining, voters, &never_held) && excludes_other_commits(&sets, voters)
     });
     if !lost_quorum || !certain || !remaining.contains(&local) {
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     }
     match survivors(view, remaining) {
         Some(replicas) => continue_with(view, leaving, record, replicas, possible),
-        None => GroupAction::Rest,
+        None => GroupAction::Idle,
     }
 }
 
@@ -88,7 +88,7 @@
     view: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
-    least: usize,
+    min_disks: usize,
 ) -> Vec<BTreeSet<DiskId>> {
     let present = voters_of(&view.status.membership);
     let mut possible = record.possible_voters();
@@ -97,7 +97,7 @@
     }
     // A group too small to accept anything doesn't bind replicas whose log names its successor.
     if record.voters == present {
-        possible.retain(|voters| *voters == present || quorum_of(voters) >= least);
+        possible.retain(|voters| *voters == present || quorum_of(voters) >= min_disks);
     }
     // A node is reported as drained only once the change that removed its disk is committed.
     possible.retain(|voters| {
@@ -187,14 +187,14 @@
         (_, []) => record_next_history(view, record, BTreeSet::from([local]), Vec::new(), None),
         ([], [lone]) => {
             if !unchanged.timed_out {
-                return GroupAction::Rest;
+                return GroupAction::Idle;
             }
             let Some(leaving) = view.leaving else {
                 return GroupAction::ListLeaving;
             };
             let pair = BTreeSet::from([local, *lone]);
             if !unchanged.catch_up_elapsed && !has_replacement(view, leaving, &pair) {
-                return GroupAction::Rest;
+                return GroupAction::Idle;
             }
             record_next_history(
                 view,
@@ -216,7 +216,7 @@
                 None,
             )
         }
-        _ => GroupAction::Rest,
+        _ => GroupAction::Idle,
     }
 }
 
@@ -244,9 +244,9 @@
 /// Continues in the history that this disk begins according to the record.
 fn begin_history(view: &GroupInput, record: &VoterRecord) -> GroupAction {
     let Some(replicas) = survivors(view, &record.voters) else {
-        return GroupAction::Rest;
+        return GroupAction::Idle;
     };
-    if view.doubtful {
+    if view.write_unconfirmed {
         return GroupAction::Record(record.clone());
     }
     GroupAction::ContinueWith(Survivors {
@@ -275,7 +275,7 @@
 ) -> GroupAction {
     let voters: BTreeSet<DiskId> = replicas.keys().copied().collect();
     let history = view.status.history;
-    if record.voters == voters && !record.settled && !view.doubtful {
+    if record.voters == voters && !record.settled && !view.write_unconfirmed {
         return GroupAction::ContinueWith(Survivors {
             replicas,
             never_held: record.gone.clone(),
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -2,10 +2,10 @@
 //! removal of old jobs.
 
 use super::Journal;
-use super::group_keeper::{GroupManager, GroupAction, GroupInput};
+use super::group_manager::{GroupAction, GroupInput, GroupManager};
 use super::registry::NodeRecord;
 use super::retirement::Retirements;
-use crate::observation::Learned;
+use crate::list_watch::ObjectUpdate;
 use firshore_adapter::Adapter;
 use firshore_jobs::command::Action;
 use firshore_log::GroupStatus;
@@ -27,7 +27,7 @@
 const FORGET_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Dependencies of the maintenance.
-pub struct Upkeep {
+pub struct MaintenanceTask {
     /// The journal with the replica.
     pub journal: Rc<Journal>,
     /// Adapter to the environment, for retirement objects.
@@ -39,27 +39,27 @@
     /// Nodes to drain.
     pub retirements: Rc<Retirements>,
     /// Decides on the replicas of the group.
-    pub keeper: RefCell<GroupManager>,
+    pub manager: RefCell<GroupManager>,
 }
 
 /// Runs the maintenance until the node ends.
-pub async fn run(upkeep: Upkeep) {
+pub async fn run(task: MaintenanceTask) {
     let mut forget_at = Instant::now() + FORGET_INTERVAL;
     loop {
-        upkeep.run_once().await;
+        task.run_once().await;
         if Instant::now() >= forget_at {
             forget_at = Instant::now() + FORGET_INTERVAL;
-            upkeep.forget().await;
+            task.forget().await;
         }
         actix_rt::time::sleep(INTERVAL).await;
     }
 }
 
-impl Upkeep {
+impl MaintenanceTask {
     async fn run_once(&self) {
         let registry = &self.journal.registry;
         let status = self.journal.replica.status();
-        self.keeper.borrow_mut().observe(Instant::now(), &status);
+        self.manager.borrow_mut().observe(Instant::now(), &status);
         if self.needs_listing(&status) || registry.has_pending_write() {
             registry.refresh().await;
         }
@@ -86,7 +86,7 @@
         let status = self.journal.replica.status();
         let is_drained = |node: &NodeName| {
             let emptied =
-                |keeper: &mut GroupManager, view: &GroupInput| keeper.is_drained(view, node);
+                |manager: &mut GroupManager, view: &GroupInput| manager.is_drained(view, node);
             status.leads && self.with_view(&status, true, emptied)
         };
         let log = &self.journal.log;
@@ -108,7 +108,7 @@
         }
         let replica = &self.journal.replica;
         match step {
-            GroupAction::Rest | GroupAction::ListLeaving => {}
+            GroupAction::Idle | GroupAction::ListLeaving => {}
             GroupAction::StepAside(heir) => replica.hand_over(heir).await,
             GroupAction::Record(record) => self.journal.registry.record_voters(&record).await,
             GroupAction::Change(change) => replica.change(change),
@@ -128,7 +128,9 @@
 
     fn step(&self, status: &GroupStatus, leaving_known: bool) -> GroupAction {
         let now = Instant::now();
-        self.with_view(status, leaving_known, |keeper, view| keeper.step(now, view))
+        self.with_view(status, leaving_known, |manager, view| {
+            manager.step(now, view)
+        })
     }
 
     /// Passes the current state to the manager.
@@ -148,10 +150,10 @@
             candidates: &candidates,
             leaving: leaving.as_ref(),
             recorded: recorded.as_ref(),
-            doubtful: registry.has_unconfirmed_write(),
+            write_unconfirmed: registry.has_unconfirmed_write(),
             listed_at: registry.last_listing(),
         };
-        decide(&mut self.keeper.borrow_mut(), &view)
+        decide(&mut self.manager.borrow_mut(), &view)
     }
 
     /// Lists the nodes to drain. Returns whether they are known now.
@@ -159,9 +161,9 @@
         let kind = self.adapter.decoder.retirement_kind();
         match self.adapter.objects.list(kind, None).await {
             Ok(page) => {
-                let listed = Learned::All(page.objects);
+                let listed = ObjectUpdate::All(page.objects);
                 self.retirements
-                    .learn(&self.adapter, &self.journal.log, listed);
+                    .apply(&self.adapter, &self.journal.log, listed);
                 true
             }
             Err(error) => {
@@ -193,14 +195,14 @@
             return self.journal.replica.found(founders);
         }
         let candidates = registry.candidates();
-        let enough = candidates.len() >= self.journal.terms.target;
+        let enough = candidates.len() >= self.journal.policy.target_voters;
         let first = candidates
             .iter()
             .min_by(|one, other| one.node.cmp(&other.node));
         let Some(local) = first.filter(|one| enough && one.node == self.node) else {
             return;
         };
-        let founders = placement::founders(&candidates, local, self.journal.terms.target);
+        let founders = placement::founders(&candidates, local, self.journal.policy.target_voters);
         info!(self.journal.log, "journal: Naming founders."; "count" => founders.replicas.len());
         registry.name_founders(&founders).await;
     }
--- a/crates/firshore-node/src/journal/missing_results.rs
+++ b/crates/firshore-node/src/journal/missing_results.rs
@@ -31,7 +31,7 @@
 
     /// Records that a reader of `job` was refused because the replica lacks the commands of these
     /// `entries`.
-    pub fn note(&self, now: Instant, job: &str, entries: &BTreeSet<LogIndex>) {
+    pub fn record(&self, now: Instant, job: &str, entries: &BTreeSet<LogIndex>) {
         let quiet = |logged_at: Instant| now.saturating_duration_since(logged_at) < LOG_INTERVAL;
         if self.logged_at.get().is_some_and(quiet) {
             return self.suppressed.set(self.suppressed.get() + 1);
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -4,7 +4,7 @@
 //! when they need a record. The founding object is created once and never changed, so its creator
 //! determines the founders.
 
-use crate::observation::Learned;
+use crate::list_watch::ObjectUpdate;
 use crate::refusals::RefusalLog;
 use firshore_adapter::decode::brief;
 use firshore_adapter::objects::{Change, Object, ObjectError, ObjectStore, Revision};
@@ -199,7 +199,7 @@
         self.refreshed_at.set(Some(now));
         match self.list().await {
             Ok(objects) => {
-                self.learn(Learned::All(objects));
+                self.apply(ObjectUpdate::All(objects));
                 // The listing shows at least the state at the time of the request.
                 self.listed_at.set(Some(now.into_std()));
                 true
@@ -344,10 +344,10 @@
     }
 
     /// Applies an observation of the store.
-    pub fn learn(&self, observed: Learned) {
+    pub fn apply(&self, observed: ObjectUpdate) {
         self.write_pending.set(false);
         match observed {
-            Learned::All(objects) => {
+            ObjectUpdate::All(objects) => {
                 self.state.borrow_mut().unreadable.clear();
                 for object in &objects {
                     self.apply_object(object);
@@ -359,7 +359,7 @@
                     .nodes
                     .retain(|node, _| listed.contains(format!("{NODE_PREFIX}{node}").as_str()));
             }
-            Learned::Changed(changes) => {
+            ObjectUpdate::Changed(changes) => {
                 for change in changes {
                     match change {
                         Change::Written(object) => self.apply_object(&object),
--- a/crates/firshore-node/src/journal/retirement.rs
+++ b/crates/firshore-node/src/journal/retirement.rs
@@ -1,7 +1,7 @@
 //! Nodes that operators are draining, and the progress of that.
 
-use super::group_keeper::LeavingNodes;
-use crate::observation::Learned;
+use super::group_manager::LeavingNodes;
+use crate::list_watch::ObjectUpdate;
 use crate::refusals::RefusalLog;
 use firshore_adapter::Adapter;
 use firshore_adapter::decode::{Retirement, RetirementProgress};
@@ -35,9 +35,9 @@
 
 impl Retirements {
     /// Applies an observation of the store.
-    pub fn learn(&self, adapter: &Adapter, log: &Logger, observed: Learned) {
+    pub fn apply(&self, adapter: &Adapter, log: &Logger, observed: ObjectUpdate) {
         match observed {
-            Learned::All(objects) => {
+            ObjectUpdate::All(objects) => {
                 self.listed.set(true);
                 let listed: BTreeSet<&str> = objects.iter().map(|one| one.name.as_str()).collect();
                 let mut requests = self.requests.borrow_mut();
@@ -50,7 +50,7 @@
                     self.apply_object(adapter, log, object);
                 }
             }
-            Learned::Changed(changes) => {
+            ObjectUpdate::Changed(changes) => {
                 for change in changes {
                     match change {
                         Change::Written(object) => self.apply_object(adapter, log, &object),
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -6,13 +6,13 @@
 use super::pending_submissions::PendingSubmissions;
 use super::registry::Registry;
 use super::{GROUP, Replica};
-use crate::load_table::{LoadTable, ToldLoad, as_counts};
+use crate::load_table::{LoadTable, NodeLoadReport, as_counts};
 use crate::memory::{MemoryBudget, MemoryLedger, MemoryUse};
 use crate::pace_table::{PaceSource, PaceTable};
 use crate::relay::Relay;
 use crate::relay::loads::LoadRelay;
 use crate::runner::handover::ProgressDelta;
-use crate::runner::progress_keeper::{Leadership, ProgressStore};
+use crate::runner::progress_store::{Leadership, ProgressStore};
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::jobs::{JobItem, caller_id};
 use firshore_gateway::crash_monitor::CrashMonitor;
@@ -21,7 +21,7 @@
 use firshore_jobs::listing::ListedPage;
 use firshore_jobs::table::JobTable;
 use firshore_limits::ledger::UsageLedger;
-use firshore_limits::report::{UsageResponse, UsageReport};
+use firshore_limits::report::{UsageReport, UsageResponse};
 use firshore_link::listener::Handler;
 use firshore_log::machine::SharedState;
 use firshore_log::placement::may_show;
@@ -62,7 +62,7 @@
 /// Handles requests of peers on a node with a replica.
 pub(super) struct PeerService {
     pub(super) replica: Rc<Replica>,
-    pub(super) loads: Rc<Loads>,
+    pub(super) loads: Rc<ClusterLoad>,
     pub(super) progress: Rc<RefCell<ProgressStore>>,
     pub(super) registry: Rc<Registry>,
     /// Number of disks required by the durability guarantee.
@@ -83,17 +83,17 @@
 }
 
 /// Requests in flight at back ends, as reported by nodes, with notifications of reports.
-pub struct Loads {
+pub struct ClusterLoad {
     /// Reports of other nodes.
     pub table: RefCell<LoadTable>,
     /// Items of this node at each back end.
-    pub own: RefCell<HashMap<BackendName, u32>>,
+    pub local: RefCell<HashMap<BackendName, u32>>,
     /// Paces of back ends, as reported by nodes.
     paces: RefCell<PaceTable>,
     /// Pressure of online requests of all nodes, until the item runner takes it.
     pub pressure: RefCell<PressureCounter>,
     /// Notified of each report.
-    pub told: Notify,
+    pub reported: Notify,
     /// Notified when a node's requests found no free slot.
     pub crowded: Notify,
     /// Remaining limits of tenants, for the term in which this node leads.
@@ -108,15 +108,15 @@
     ledger: UsageLedger,
 }
 
-impl Loads {
+impl ClusterLoad {
     /// Creates an empty table. Rates of tenants are counted over `rate_span`.
     pub fn new(rate_span: Duration) -> Self {
         Self {
             table: RefCell::default(),
-            own: RefCell::default(),
+            local: RefCell::default(),
             paces: RefCell::default(),
             pressure: RefCell::default(),
-            told: Notify::new(),
+            reported: Notify::new(),
             crowded: Notify::new(),
             ledger: RefCell::default(),
             rate_span,
@@ -125,22 +125,22 @@
 
     /// Records a node's report and returns the load of all others. `term` is the one in which this
     /// node leads.
-    fn exchange(&self, term: u64, node: NodeName, report: ToldLoad) -> PeerResponse {
+    fn exchange(&self, term: u64, node: NodeName, report: NodeLoadReport) -> PeerResponse {
         let now = firshore_clock::now().into_std();
         let news = report
             .uses
             .map(|uses| self.record_usage(now, term, &node, &uses));
-        self.pressure.borrow_mut().told(&report.pressures);
+        self.pressure.borrow_mut().add_reported(&report.pressures);
         let mut table = self.table.borrow_mut();
-        table.told(now, node.clone(), report.counts);
+        table.record(now, node.clone(), report.counts);
         let mut others = table.others(&node);
-        for (backend, count) in self.own.borrow().iter() {
+        for (backend, count) in self.local.borrow().iter() {
             *others.entry(backend.clone()).or_default() += count;
         }
         let client = PaceSource::Node(node);
         let mut paces = self.paces.borrow_mut();
-        paces.told(now, &client, report.paces);
-        self.told.notify_one();
+        paces.record(now, &client, report.paces);
+        self.reported.notify_one();
         if report.urgent {
             self.crowded.notify_one();
         }
@@ -150,7 +150,7 @@
             age: 0,
             leader: None,
             news,
-            paces: paces.news(now, &client),
+            paces: paces.take_updates(now, &client),
         }
     }
 
@@ -167,8 +167,8 @@
             term,
             ledger: UsageLedger::new(term, now, self.rate_span),
         }));
-        one.ledger.forget_old(now);
-        one.ledger.told(now, node, uses)
+        one.ledger.remove_stale(now);
+        one.ledger.apply_report(now, node, uses)
     }
 }
 
@@ -176,7 +176,7 @@
     /// Records output of items that the leader runs.
     fn record_progress(&self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> PeerResponse {
         let mut keeper = self.progress.borrow_mut();
-        let gaps = keeper.told(leadership, deltas);
+        let gaps = keeper.apply(leadership, deltas);
         let state = self.replica.applied_state();
         let state = state.read();
         keeper.keep(|(job, index)| state.is_open(job, *index));
@@ -185,7 +185,7 @@
 
     /// Handles a load report: the leader accepts all, other nodes those of nodes that they are a
     /// relay for.
-    fn exchange_load(&self, node: NodeName, report: ToldLoad, sums: bool) -> PeerResponse {
+    fn exchange_load(&self, node: NodeName, report: NodeLoadReport, sums: bool) -> PeerResponse {
         let status = self.replica.status();
         if status.leads {
             return self.loads.exchange(status.term, node, report);
@@ -232,7 +232,7 @@
             submissions: self.ledger.submissions.held(),
             ..MemoryUse::default()
         };
-        if leads && !state.holds(&header.job) && !self.budget.admits_job(&used, bytes) {
+        if leads && !state.contains(&header.job) && !self.budget.admits_job(&used, bytes) {
             self.ledger.refused.set(true);
             warn!(self.log, "journal: Job refused."; "job" => caller_id(&header.job), "bytes" => bytes,
                 "held" => used.jobs, "committing" => used.submissions, "reason" => "memory");
@@ -268,7 +268,7 @@
             }
             PeerRequest::Changed { kind, revision } => {
                 let relay = self.relay.clone();
-                actix_rt::spawn(async move { relay.heard(&kind, revision).await });
+                actix_rt::spawn(async move { relay.apply_hint(&kind, revision).await });
             }
             _ => {}
         }
@@ -289,7 +289,7 @@
             paces,
         } = request
         {
-            let report = ToldLoad {
+            let report = NodeLoadReport {
                 counts,
                 urgent,
                 pressures,
@@ -318,7 +318,7 @@
                     .boxed_local();
             }
             PeerRequest::Crashes(question) => {
-                let response = PeerResponse::Crashes(self.crashes.answer(&question));
+                let response = PeerResponse::Crashes(self.crashes.handle_request(&question));
                 return std::future::ready(response).boxed_local();
             }
             _ => {}
@@ -455,12 +455,12 @@
         let mut missing_entries = listed.entries();
         let commands = self.replica.load(missing_entries.clone()).await;
         missing_entries.retain(|index| !commands.contains_key(index));
-        match listed.filled(commands) {
+        match listed.into_result_page(commands) {
             Some(page) => Ok(PeerResponse::Results(Some(page))),
             // Never reported as absent, so that the reader retries.
             None => {
                 let now = firshore_clock::now().into_std();
-                self.missing.note(now, job, &missing_entries);
+                self.missing.record(now, job, &missing_entries);
                 Err(JournalRefusal::Unsettled)
             }
         }
--- a/crates/firshore-node/src/journal/standing.rs
+++ b/crates/firshore-node/src/journal/status.rs
@@ -112,15 +112,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusReport {
     /// The status.
-    pub standing: JournalStatus,
+    pub status: JournalStatus,
     /// How long it has lasted.
-    pub lasted: Duration,
+    pub duration: Duration,
 }
 
 /// Tracks the status and decides when to log it.
 #[derive(Debug)]
 pub struct StatusTracker {
-    standing: JournalStatus,
+    status: JournalStatus,
     since: Instant,
     reported: JournalStatus,
     reported_at: Option<Instant>,
@@ -130,7 +130,7 @@
     /// Starts outside the group.
     pub fn new(now: Instant) -> Self {
         Self {
-            standing: JournalStatus::Outside,
+            status: JournalStatus::Outside,
             since: now,
             reported: JournalStatus::Outside,
             reported_at: None,
@@ -140,29 +140,29 @@
     /// Returns the last status and how long it has lasted.
     pub fn current(&self, now: Instant) -> StatusReport {
         StatusReport {
-            standing: self.standing,
-            lasted: now.saturating_duration_since(self.since),
+            status: self.status,
+            duration: now.saturating_duration_since(self.since),
         }
     }
 
     /// Records the current status. Returns a report if one is due: for each change, and repeatedly
     /// for a status that blocks work.
-    pub fn step(&mut self, now: Instant, standing: JournalStatus) -> Option<StatusReport> {
-        if standing != self.standing {
-            self.standing = standing;
+    pub fn step(&mut self, now: Instant, status: JournalStatus) -> Option<StatusReport> {
+        if status != self.status {
+            self.status = status;
             self.since = now;
         }
-        let interval = match standing == self.reported {
+        let interval = match status == self.reported {
             false => MIN_REPORT_INTERVAL,
-            true if standing.blocks_work() => REPEAT_INTERVAL,
+            true if status.blocks_work() => REPEAT_INTERVAL,
             true => return None,
         };
         let last = self.reported_at.unwrap_or(self.since);
-        let first_change = self.reported_at.is_none() && standing != self.reported;
+        let first_change = self.reported_at.is_none() && status != self.reported;
         if !first_change && now.saturating_duration_since(last) < interval {
             return None;
         }
-        self.reported = standing;
+        self.reported = status;
         self.reported_at = Some(now);
         Some(self.current(now))
     }
--- a/crates/firshore-node/src/relay/budget.rs
+++ b/crates/firshore-node/src/relay/budget.rs
@@ -245,7 +245,7 @@
 
     /// Records that a relay has delivered the store's state as of a time; earlier failures are
     /// cleared.
-    pub fn relayed(&mut self, as_of: Instant) {
+    pub fn record_relayed(&mut self, as_of: Instant) {
         if self.failed_at.is_some_and(|failed_at| failed_at < as_of) {
             self.failures = 0;
             self.failed_at = None;
@@ -253,13 +253,13 @@
     }
 
     /// Records that the store did not respond.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
         self.failed_at = Some(now);
     }
 
     /// Records a response of the store; `jitter` is a new random number from 0 to 1.
-    pub fn answered(&mut self, jitter: f64) {
+    pub fn record_success(&mut self, jitter: f64) {
         self.failures = 0;
         self.failed_at = None;
         self.jitter = jitter;
--- a/crates/firshore-node/src/relay/cache.rs
+++ b/crates/firshore-node/src/relay/cache.rs
@@ -6,7 +6,7 @@
 //! revision receives what was observed later. Objects that it knows already may be repeated;
 //! observers ignore these.
 
-use crate::observation::Learned;
+use crate::list_watch::ObjectUpdate;
 use firshore_adapter::objects::{Change, Object, Revision};
 use firshore_crashes::report::TableCursor;
 use firshore_types::payload::Payload;
@@ -184,11 +184,11 @@
     }
 
     /// Applies what was observed; `revision` is the one up to which the store is known now.
-    pub fn learn(&mut self, observed: Option<Learned>, revision: Revision) {
+    pub fn apply(&mut self, observed: Option<ObjectUpdate>, revision: Revision) {
         match observed {
             None => {}
-            Some(Learned::All(objects)) => self.replace(objects, revision),
-            Some(Learned::Changed(changes)) => {
+            Some(ObjectUpdate::All(objects)) => self.replace(objects, revision),
+            Some(ObjectUpdate::Changed(changes)) => {
                 for change in changes {
                     match change {
                         Change::Written(object) => self.write(object, revision),
--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/client.rs
@@ -6,7 +6,7 @@
 use crate::journal::PeerClient;
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use crate::journal::registry::Registry;
-use firshore_gateway::belief::FreshnessSource;
+use firshore_gateway::freshness::FreshnessSource;
 use firshore_types::ids::{NodeName, ZoneName};
 use slog::{Logger, info};
 use std::cell::RefCell;
@@ -31,9 +31,9 @@
     /// Receives the log lines.
     pub log: Logger,
     /// Called with the contact state that a relay's response carries.
-    pub heard: ContactListener,
+    pub on_contact: ContactListener,
     /// Exclusions of relays whose last query failed; removed by the next useful response.
-    pub passed_over: RefCell<HashMap<NodeName, RelayExclusion>>,
+    pub excluded: RefCell<HashMap<NodeName, RelayExclusion>>,
 }
 
 /// Why a query to a relay failed.
@@ -132,9 +132,9 @@
             let failure = match timeout(limit, call).await {
                 Ok(Ok(PeerResponse::NoContact)) => RelayFailure::OutOfContact,
                 Ok(Ok(mut message)) => {
-                    self.passed_over.borrow_mut().remove(&relay);
+                    self.excluded.borrow_mut().remove(&relay);
                     if let Some(contact) = message.contact_mut() {
-                        (self.heard)(&relay, contact);
+                        (self.on_contact)(&relay, contact);
                     }
                     return QueryOutcome::Answered(RelayResponse {
                         relay,
@@ -156,7 +156,7 @@
     }
 
     fn exclusion(&self, relay: &NodeName) -> Option<RelayExclusion> {
-        self.passed_over.borrow().get(relay).copied()
+        self.excluded.borrow().get(relay).copied()
     }
 
     /// Returns the relays in the order in which they are queried. At most one of those that timed
@@ -210,6 +210,6 @@
             reason,
             attempts,
         };
-        self.passed_over.borrow_mut().insert(relay, exclusion);
+        self.excluded.borrow_mut().insert(relay, exclusion);
     }
 }
--- a/crates/firshore-node/src/relay/loads.rs
+++ b/crates/firshore-node/src/relay/loads.rs
@@ -5,7 +5,7 @@
 //! as old as two short exchanges.
 
 use crate::journal::client::{JournalClient, LoadResponse};
-use crate::load_table::{BackendCount, LoadTable, ToldLoad, as_counts};
+use crate::load_table::{BackendCount, LoadTable, NodeLoadReport, as_counts};
 use crate::pace_table::{BackendPace, PaceSource, PaceTable};
 use firshore_adapter::incarnation::BackendName;
 use firshore_gateway::pressure::PressureCounter;
@@ -86,12 +86,17 @@
 
     /// Records a node's report and returns the load of all others; `None` while the leader's report
     /// is missing or too old.
-    pub fn exchange(&self, now: Instant, node: NodeName, report: ToldLoad) -> Option<RelayedLoad> {
+    pub fn exchange(
+        &self,
+        now: Instant,
+        node: NodeName,
+        report: NodeLoadReport,
+    ) -> Option<RelayedLoad> {
         let mut table = self.table.borrow_mut();
-        table.told(now, node.clone(), report.counts);
+        table.record(now, node.clone(), report.counts);
         let client = PaceSource::Node(node.clone());
         let mut paces = self.paces.borrow_mut();
-        paces.told(now, &client, report.paces);
+        paces.record(now, &client, report.paces);
         self.reported.notify_one();
         if report.urgent {
             self.crowded.notify_one();
@@ -104,12 +109,12 @@
             // tenants' use would count twice.
             return None;
         }
-        self.pressure.borrow_mut().told(&report.pressures);
+        self.pressure.borrow_mut().add_reported(&report.pressures);
         let news = report.uses.map(|uses| {
             self.has_limits.set(true);
             let mut relayed = self.uses.borrow_mut();
-            let news = relayed.told(now, &node, &uses);
-            if relayed.has_to_tell() {
+            let news = relayed.apply_report(now, &node, &uses);
+            if relayed.is_report_due() {
                 self.limits_urgent.notify_one();
             }
             news
@@ -123,25 +128,28 @@
             age,
             nodes: table.nodes(),
             news,
-            paces: paces.news(now, &client),
+            paces: paces.take_updates(now, &client),
         })
     }
 
     /// Returns the report for the leader, if any node reported recently. Pressure is reported only
     /// once.
-    pub fn sums_to_report(&self, now: Instant, urgent: bool) -> Option<ToldLoad> {
+    pub fn sums_to_report(&self, now: Instant, urgent: bool) -> Option<NodeLoadReport> {
         let counts = self.sums(now);
         let mut uses = self.uses.borrow_mut();
         // Tenants' use by nodes that no longer report is still reported until it has expired.
         if counts.is_none() && uses.is_empty() {
             return None;
         }
-        Some(ToldLoad {
+        Some(NodeLoadReport {
             counts: counts.unwrap_or_default(),
             urgent,
             pressures: self.pressure.borrow_mut().take(),
             uses: self.has_limits.get().then(|| uses.report(now)),
-            paces: self.paces.borrow_mut().news(now, &PaceSource::Leader),
+            paces: self
+                .paces
+                .borrow_mut()
+                .take_updates(now, &PaceSource::Leader),
         })
     }
 
@@ -150,22 +158,22 @@
     fn record_response(&self, queried_at: Instant, response: Option<LoadResponse>) {
         let mut uses = self.uses.borrow_mut();
         let Some(others) = response else {
-            uses.unanswered();
+            uses.report_failed();
             return;
         };
-        match &others.news {
-            Some(news) => uses.answered(news),
-            None => uses.unanswered(),
+        match &others.usage {
+            Some(news) => uses.apply_response(news),
+            None => uses.report_failed(),
         }
         drop(uses);
         let mut paces = self.paces.borrow_mut();
-        paces.told(queried_at, &PaceSource::Leader, others.paces);
+        paces.record(queried_at, &PaceSource::Leader, others.paces);
         drop(paces);
-        self.learned(queried_at, others.counts);
+        self.record_leader_report(queried_at, others.counts);
     }
 
     /// Records the load received from the leader at a time.
-    pub fn learned(&self, at: Instant, counts: HashMap<BackendName, u32>) {
+    pub fn record_leader_report(&self, at: Instant, counts: HashMap<BackendName, u32>) {
         *self.view.borrow_mut() = Some(FleetView { counts, at });
     }
 
--- a/crates/firshore-node/src/relay/mod.rs
+++ b/crates/firshore-node/src/relay/mod.rs
@@ -5,15 +5,15 @@
 //! [`Relay`] therefore follows a kind only while clients query it. A [`store::RelayedStore`]
 //! queries relays, and the store directly when they don't respond within the [`budget`].
 
-pub mod asker;
 pub mod budget;
 pub mod cache;
+pub mod client;
 pub mod loads;
 pub mod ranking;
 pub mod store;
 
 use crate::journal::messages::PeerResponse;
-use crate::observation::{Learned, Observation, Terms};
+use crate::list_watch::{ListWatch, ObjectUpdate, WatchOptions};
 use crate::task::Task;
 use crate::watcher::{self, Watcher};
 use budget::FreshnessBudget;
@@ -39,7 +39,7 @@
     /// Name of the kind.
     pub name: String,
     /// Timing of calls to the store.
-    pub terms: Terms,
+    pub terms: WatchOptions,
     /// How soon changes must be visible.
     pub budget: FreshnessBudget,
 }
@@ -103,15 +103,15 @@
     /// observed yet.
     fn learn(
         &self,
-        observed: Option<Learned>,
-        observation: &Observation,
+        observed: Option<ObjectUpdate>,
+        observation: &ListWatch,
         as_of: Instant,
     ) -> Option<Revision> {
         self.update_contact(observation, as_of);
         let mut cache = self.cache.borrow_mut();
         let before = cache.changed_at();
         if let Some(revision) = observation.revision() {
-            cache.learn(observed, revision);
+            cache.apply(observed, revision);
         }
         self.steps.send_modify(|steps| *steps += 1);
         let changed_at = cache.changed_at();
@@ -121,7 +121,7 @@
     /// Records whether the store has responded, and as of when. A single failed watch doesn't count
     /// as lost contact, as the store may close the watches of all relays at the same time: queries
     /// wait for the listing that follows. Otherwise nodes would exclude all relays at once.
-    fn update_contact(&self, observation: &Observation, as_of: Instant) {
+    fn update_contact(&self, observation: &ListWatch, as_of: Instant) {
         let failures = observation.failures();
         let is_watching = failures == 0 && observation.revision().is_some();
         self.is_watching.set(is_watching);
@@ -130,7 +130,7 @@
             self.connected.set(true);
             self.confirmed_at.set(as_of);
             self.answered_at.set(now);
-            self.paused_until.set(now + observation.pause());
+            self.paused_until.set(now + observation.delay());
         } else if failures > 1 {
             self.connected.set(false);
         }
@@ -302,7 +302,7 @@
             log: self.log.clone(),
             store: self.store.clone(),
             kind: relayed.name.clone(),
-            terms: relayed.terms,
+            options: relayed.terms,
             renewal: served.renewal.clone(),
         };
         let weak_kind = Rc::downgrade(&served);
@@ -346,7 +346,7 @@
     /// Applies a notification that another relay has observed a change. If this relay doesn't
     /// observe it soon, its own watch may be lost, such as by a store that stopped responding or a
     /// network partition that was not detected yet; then the store is queried again.
-    pub async fn heard(&self, kind: &str, changed: Revision) {
+    pub async fn apply_hint(&self, kind: &str, changed: Revision) {
         let served = self.served_kinds.borrow().get(kind).cloned();
         let Some(served) = served.filter(|served| served.is_behind(changed)) else {
             return;
--- a/crates/firshore-node/src/relay/ranking.rs
+++ b/crates/firshore-node/src/relay/ranking.rs
@@ -40,7 +40,7 @@
 }
 
 /// Returns the relays of a node's local zone, in the order in which it queries them.
-pub fn at_home(candidates: &[Candidate], zone: &ZoneName, client: &NodeName) -> Vec<NodeName> {
+pub fn local_relays(candidates: &[Candidate], zone: &ZoneName, client: &NodeName) -> Vec<NodeName> {
     let mut relays = relays(candidates).remove(zone).unwrap_or_default();
     relays.sort_by_key(|relay| preference(client, relay));
     relays
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -1,13 +1,13 @@
 //! An object store that queries relays first.
 
-use super::asker::{QueryOutcome, RelayClient, RelayResponse};
 use super::budget::{FreshnessBudget, StoreSchedule};
 use super::cache::{RelayedChanges, RelayedObject, RelayedPage};
+use super::client::{QueryOutcome, RelayClient, RelayResponse};
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use firshore_adapter::objects::{
     Answer, Change, Changes, Object, ObjectError, ObjectStore, Page, Revision,
 };
-use firshore_gateway::belief::{Freshness, FreshnessSource};
+use firshore_gateway::freshness::{Freshness, FreshnessSource};
 use futures_util::FutureExt;
 use serde_json::Value;
 use slog::{info, warn};
@@ -20,7 +20,7 @@
 ///
 /// Relays and the store are queried concurrently, so that waiting for one doesn't delay the other.
 pub struct RelayedStore {
-    asker: RelayClient,
+    relay_client: RelayClient,
     direct: Rc<dyn ObjectStore>,
     budget: FreshnessBudget,
     /// Revision up to which the store is known; responses at an earlier one are refused.
@@ -85,17 +85,17 @@
 }
 
 impl RelayedStore {
-    /// Queries relays through `asker`, and `direct` within `budget`. Records in `freshness` as of
+    /// Queries relays through `relay_client`, and `direct` within `budget`. Records in `freshness` as of
     /// when the kind is known.
     pub fn new(
-        asker: RelayClient,
+        relay_client: RelayClient,
         direct: Rc<dyn ObjectStore>,
         budget: FreshnessBudget,
         freshness: Rc<Freshness>,
     ) -> Rc<Self> {
         let schedule = StoreSchedule::new(budget, firshore_clock::now(), rand::random());
         Rc::new(Self {
-            asker,
+            relay_client,
             direct,
             budget,
             known: Cell::new(0),
@@ -117,7 +117,11 @@
     ) -> RelayResponse {
         let limit = wait + self.budget.answer_margin();
         loop {
-            match self.asker.query(kind, &request, limit, self.budget).await {
+            match self
+                .relay_client
+                .query(kind, &request, limit, self.budget)
+                .await
+            {
                 QueryOutcome::Answered(response) => return response,
                 QueryOutcome::NoContact => self.relays_disconnected.set(true),
                 QueryOutcome::NoResponse => self.refresh_relays(),
@@ -153,7 +157,7 @@
         let rounds = self.failed_rounds.get().saturating_add(1);
         self.failed_rounds.set(rounds);
         if rounds.is_power_of_two() {
-            let registry = self.asker.registry.clone();
+            let registry = self.relay_client.registry.clone();
             actix_rt::spawn(async move { registry.refresh().await });
         }
     }
@@ -168,17 +172,21 @@
             actix_rt::time::sleep_until(firshore_clock::timer_deadline(self.store_due())).await;
             self.log_store_query(kind);
             if !self.reaches_store().await {
-                self.schedule.borrow_mut().failed(firshore_clock::now());
+                self.schedule
+                    .borrow_mut()
+                    .record_failure(firshore_clock::now());
                 continue;
             }
             let queried_at = firshore_clock::now();
             let limit = self.schedule.borrow().timeout();
             let response = timeout(limit, call()).await;
             if let Ok(Ok(value)) = response {
-                self.schedule.borrow_mut().answered(rand::random());
+                self.schedule.borrow_mut().record_success(rand::random());
                 return StoreResponse { queried_at, value };
             }
-            self.schedule.borrow_mut().failed(firshore_clock::now());
+            self.schedule
+                .borrow_mut()
+                .record_failure(firshore_clock::now());
         }
     }
 
@@ -207,15 +215,15 @@
     fn record_relayed(&self, as_of: Instant) {
         self.failed_rounds.set(0);
         self.relays_disconnected.set(false);
-        self.schedule.borrow_mut().relayed(as_of);
+        self.schedule.borrow_mut().record_relayed(as_of);
         if self.queries_store.replace(false) {
-            info!(self.asker.log, "relay: Relays are used again.");
+            info!(self.relay_client.log, "relay: Relays are used again.");
         }
     }
 
     fn log_store_query(&self, kind: &str) {
         if !self.queries_store.replace(true) {
-            warn!(self.asker.log, "relay: No relay responded in time; querying the store directly.";
+            warn!(self.relay_client.log, "relay: No relay responded in time; querying the store directly.";
                 "kind" => kind, "belief_age_ms" => self.freshness.age_ms(),
                 "bound_ms" => self.budget.bound().as_millis() as u64);
         }
@@ -225,7 +233,7 @@
     /// never goes back.
     fn advance_known(&self, revision: Revision) -> Result<(), ObjectError> {
         if revision < self.known.get() {
-            warn!(self.asker.log, "relay: Response refused."; "revision" => revision,
+            warn!(self.relay_client.log, "relay: Response refused."; "revision" => revision,
                 "known" => self.known.get(), "reason" => "an older revision");
             return Err(ObjectError::Unanswered("an older revision".to_owned()));
         }
@@ -234,7 +242,13 @@
     }
 
     /// Records a page; the complete listing is as of its first page.
-    fn confirm_page(&self, page: &Page, after: Option<&str>, as_of: Instant, source: FreshnessSource) {
+    fn confirm_page(
+        &self,
+        page: &Page,
+        after: Option<&str>,
+        as_of: Instant,
+        source: FreshnessSource,
+    ) {
         if after.is_none() {
             self.listed_as_of.set(Some(as_of));
         }
@@ -288,7 +302,8 @@
                 wait: wait.as_millis() as u64,
             };
             let query = self.query_relays(kind, request, wait);
-            let Ok(response) = timeout_at(firshore_clock::timer_deadline(self.store_due()), query).await
+            let Ok(response) =
+                timeout_at(firshore_clock::timer_deadline(self.store_due()), query).await
             else {
                 return Err(ObjectError::HistoryGone);
             };
--- a/crates/firshore-node/tests/cluster/mod.rs
+++ b/crates/firshore-node/tests/cluster/mod.rs
@@ -10,16 +10,16 @@
 use firshore_link::handshake::ClusterSecret;
 use firshore_metrics::Builder;
 use firshore_node::journal::client::JournalClient;
-use firshore_node::journal::duties::{LeaderTasks, RelayClientFactory};
-use firshore_node::journal::group_keeper::GroupManager;
-use firshore_node::journal::maintenance::{self, Upkeep};
+use firshore_node::journal::group_manager::GroupManager;
+use firshore_node::journal::leader_tasks::{LeaderTasks, RelayClientFactory};
+use firshore_node::journal::maintenance::{self, MaintenanceTask};
 use firshore_node::journal::registry::{KIND, NodeRecord, Registry};
 use firshore_node::journal::retirement::Retirements;
 use firshore_node::journal::{Journal, NodeRelays, PeerClient};
+use firshore_node::list_watch::WatchOptions;
 use firshore_node::metrics::RunnerMetrics;
-use firshore_node::observation::Terms;
-use firshore_node::relay::asker::RelayClient;
 use firshore_node::relay::budget::FreshnessBudget;
+use firshore_node::relay::client::RelayClient;
 use firshore_node::relay::loads::LoadRelay;
 use firshore_node::relay::{Relay, RelayedKind};
 use firshore_node::runner::Runner;
@@ -122,8 +122,8 @@
         registry: registry.clone(),
         peers: peers(),
         log: log(),
-        heard: Rc::new(|_, _| {}),
-        passed_over: RefCell::default(),
+        on_contact: Rc::new(|_, _| {}),
+        excluded: RefCell::default(),
     })
 }
 
@@ -131,11 +131,11 @@
 pub fn relayed_kinds() -> Vec<RelayedKind> {
     let kinds = [BACKENDS, CONFIGURATION].map(|name| RelayedKind {
         name: name.to_owned(),
-        terms: Terms {
+        terms: WatchOptions {
             history: Duration::from_secs(20),
             spacing: Duration::from_millis(100),
             creation_spacing: Duration::from_millis(100),
-            longest_wait: budget().watch_wait(),
+            max_wait: budget().watch_wait(),
         },
         budget: budget(),
     });
@@ -177,9 +177,9 @@
         journal: journal.clone(),
         retirements: retirements.clone(),
         objects: settings.objects.clone(),
-        asker: Some(make_asker),
+        relay_client: Some(make_asker),
     };
-    let upkeep = Upkeep {
+    let upkeep = MaintenanceTask {
         journal: journal.clone(),
         adapter: gateway.adapter.clone(),
         node: settings.name.clone(),
@@ -189,7 +189,7 @@
             disk: journal.replica.status().disk,
         },
         retirements,
-        keeper: RefCell::new(GroupManager::new(journal.terms)),
+        manager: RefCell::new(GroupManager::new(journal.policy)),
     };
     let metrics = RunnerMetrics::new(&mut Builder::default());
     let runner = Runner::new(gateway.clone(), journal.clone(), metrics);
