--- a/crates/firshore-node/src/journal/group_manager.rs
+++ b/crates/firshore-node/src/journal/group_manager.rs
@@ -117,19 +117,19 @@
 }
 
 /// Returns whether the store names these voters, as written by this leader in its term.
-fn is_recorded(view: &GroupInput, voters: &BTreeSet<DiskId>) -> bool {
-    let record = view.recorded.filter(|_| !view.write_unconfirmed);
+fn is_recorded(input: &GroupInput, voters: &BTreeSet<DiskId>) -> bool {
+    let record = input.recorded.filter(|_| !input.write_unconfirmed);
     record.is_some_and(|record| {
-        record.voters == *voters && !record.settled && record.term == view.status.term
+        record.voters == *voters && !record.settled && record.term == input.status.term
     })
 }
 
 /// Returns whether a replica's disk is lost for good, because its node has another one.
-pub(super) fn is_superseded(view: &GroupInput, disk: DiskId) -> bool {
-    let Some(replica) = view.status.membership.replicas.get(&disk) else {
+pub(super) fn is_superseded(input: &GroupInput, disk: DiskId) -> bool {
+    let Some(replica) = input.status.membership.replicas.get(&disk) else {
         return false;
     };
-    let present = view.candidates.iter().find(|one| one.node == replica.node);
+    let present = input.candidates.iter().find(|one| one.node == replica.node);
     present.is_some_and(|one| one.disk != disk)
 }
 
@@ -162,38 +162,39 @@
         }
     }
 
-    /// Records the replica's status. Called before the store is queried for the rest of a step's input.
+    /// Records the replica's status. Called before the store is queried for the rest of a step's
+    /// input.
     pub fn observe(&mut self, now: Instant, status: &GroupStatus) {
         self.update_leader(now, status);
         self.update_unresponsive(now, status);
     }
 
     /// Updates the state and returns the next step.
-    pub fn step(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
-        self.observe(now, view.status);
-        self.update_record(now, view.recorded);
-        if !view.status.holds_log {
+    pub fn step(&mut self, now: Instant, input: &GroupInput) -> GroupAction {
+        self.observe(now, input.status);
+        self.update_record(now, input.recorded);
+        if !input.status.holds_log {
             return GroupAction::Idle;
         }
-        if let Some(history) = later_history(view) {
+        if let Some(history) = later_history(input) {
             return GroupAction::JoinHistory(history);
         }
-        if view.status.leads {
-            return self.place_replicas(now, view);
+        if input.status.leads {
+            return self.place_replicas(now, input);
         }
-        if view.status.leader.is_none() {
-            return self.step_leaderless(now, view);
+        if input.status.leader.is_none() {
+            return self.step_leaderless(now, input);
         }
         GroupAction::Idle
     }
 
     /// Returns whether a node's disk is no longer needed for accepted jobs, as known by the leader.
-    pub fn is_drained(&self, view: &GroupInput, node: &NodeName) -> bool {
-        let membership = &view.status.membership;
+    pub fn is_drained(&self, input: &GroupInput, node: &NodeName) -> bool {
+        let membership = &input.status.membership;
         let mut replicas = membership.replicas.values();
         let holds = replicas.any(|replica| replica.node == *node);
         let whole = keeps_promises(membership, self.policy.min_disks);
-        !holds && view.status.membership_committed && whole
+        !holds && input.status.membership_committed && whole
     }
 
     fn update_leader(&mut self, now: Instant, status: &GroupStatus) {
@@ -235,20 +236,20 @@
     }
 
     /// Keeps the desired number of replicas on available disks.
-    fn place_replicas(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
+    fn place_replicas(&mut self, now: Instant, input: &GroupInput) -> GroupAction {
         // Without the nodes to drain, the leader might add a replica on one of them.
-        let Some(leaving) = view.leaving else {
+        let Some(leaving) = input.leaving else {
             return GroupAction::Idle;
         };
-        let status = view.status;
-        let group = self.group(now, view, leaving);
-        if leaving.contains(view.node)
+        let status = input.status;
+        let group = self.group(now, input, leaving);
+        if leaving.contains(input.node)
             && let Some(heir) = group.heir()
         {
             // The next leader removes this replica.
             return GroupAction::StepAside(heir);
         }
-        let usable = self.usable(now, view, leaving, group.is_short());
+        let usable = self.usable(now, input, leaving, group.is_short());
         if !status.membership_committed {
             // Nothing may be recorded that might never enter the log.
             return GroupAction::Idle;
@@ -262,17 +263,17 @@
         let change = group.next_change(&usable);
         let present = voters_of(&status.membership);
         let Some(change) = change else {
-            return settle_record(view, present);
+            return settle_record(input, present);
         };
         let voters = voters_after(&status.membership, &change);
-        if voters != present && !is_recorded(view, &voters) {
+        if voters != present && !is_recorded(input, &voters) {
             return GroupAction::Record(VoterRecord {
-                gone: lost_before(view, &voters),
+                gone: lost_before(input, &voters),
                 voters,
                 settled: false,
                 term: status.term,
                 before: vec![present],
-                left_behind: left_behind(view),
+                left_behind: left_behind(input),
                 history: status.history,
                 begins: false,
             });
@@ -287,10 +288,10 @@
         GroupAction::Change(change)
     }
 
-    fn group(&self, now: Instant, view: &GroupInput, leaving: &LeavingNodes) -> GroupView {
-        let status = view.status;
+    fn group(&self, now: Instant, input: &GroupInput, leaving: &LeavingNodes) -> GroupView {
+        let status = input.status;
         let replicas = || status.membership.replicas.iter();
-        let superseded = replicas().filter(|(disk, _)| is_superseded(view, **disk));
+        let superseded = replicas().filter(|(disk, _)| is_superseded(input, **disk));
         let on_leaving = replicas().filter(|(_, one)| leaving.contains(&one.node));
         GroupView {
             target: self.policy.target_voters,
@@ -326,13 +327,13 @@
     fn usable(
         &mut self,
         now: Instant,
-        view: &GroupInput,
+        input: &GroupInput,
         leaving: &LeavingNodes,
         short: bool,
     ) -> Vec<Candidate> {
-        let membership = &view.status.membership;
+        let membership = &input.status.membership;
         self.excluded.forget(|disk| membership.is_voter(disk));
-        let open = view
+        let open = input
             .candidates
             .iter()
             .filter(|one| !membership.replicas.contains_key(&one.disk))
@@ -354,15 +355,15 @@
         usable.into_iter().cloned().collect()
     }
 
-    fn step_leaderless(&self, now: Instant, view: &GroupInput) -> GroupAction {
-        if !self.is_listed_since(view) {
+    fn step_leaderless(&self, now: Instant, input: &GroupInput) -> GroupAction {
+        if !self.is_listed_since(input) {
             return GroupAction::Idle;
         }
         let since = self.leaderless_since;
         let recorded = self.recorded.as_ref().map(|(_, since)| *since);
         let leaderless = self.leaderless_time(now, since);
         let unchanged = self.leaderless_time(now, since.max(recorded));
-        lost_quorum::step(view, self.policy.min_disks, leaderless, unchanged)
+        lost_quorum::step(input, self.policy.min_disks, leaderless, unchanged)
     }
 
     fn leaderless_time(&self, now: Instant, since: Option<Instant>) -> LeaderlessTime {
@@ -377,49 +378,49 @@
     }
 
     /// Returns whether the store was listed since the leader was lost.
-    fn is_listed_since(&self, view: &GroupInput) -> bool {
+    fn is_listed_since(&self, input: &GroupInput) -> bool {
         let since = self.leaderless_since;
-        since.is_some_and(|since| view.listed_at.is_some_and(|listed| listed >= since))
+        since.is_some_and(|since| input.listed_at.is_some_and(|listed| listed >= since))
     }
 }
 
 /// Returns those of these voters whose disks are known to be lost before they become the voters. If
 /// the record names these voters already, its list is used: more of them may have been present when
 /// it was written.
-fn lost_before(view: &GroupInput, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
-    let recorded = view.recorded.filter(|record| record.voters == *voters);
+fn lost_before(input: &GroupInput, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
+    let recorded = input.recorded.filter(|record| record.voters == *voters);
     if let Some(record) = recorded {
         return record.gone.clone();
     }
     let gone = voters.iter().copied();
-    gone.filter(|disk| is_superseded(view, *disk)).collect()
+    gone.filter(|disk| is_superseded(input, *disk)).collect()
 }
 
 /// Returns the later history that the record names and that this replica must join. Other disks
 /// continued in it; a replica that stays in the earlier one would overwrite the record and be a
 /// second leader. A disk that is to begin the history does so by continuing, unless it still leads.
-fn later_history(view: &GroupInput) -> Option<u64> {
-    let record = view.recorded?;
-    let begins = record.is_begun_by(view.status.disk) && !view.status.leads;
-    (record.history > view.status.history && !begins).then_some(record.history)
+fn later_history(input: &GroupInput) -> Option<u64> {
+    let record = input.recorded?;
+    let begins = record.is_begun_by(input.status.disk) && !input.status.leads;
+    (record.history > input.status.history && !begins).then_some(record.history)
 }
 
 /// Returns the recorded disk that the only voter left behind and that still holds all accepted
 /// jobs.
-fn left_behind(view: &GroupInput) -> Option<DiskId> {
-    view.recorded.and_then(|record| record.left_behind)
+fn left_behind(input: &GroupInput) -> Option<DiskId> {
+    input.recorded.and_then(|record| record.left_behind)
 }
 
 /// Records that the change to these voters is committed.
-fn settle_record(view: &GroupInput, voters: BTreeSet<DiskId>) -> GroupAction {
-    let Some(record) = view.recorded else {
+fn settle_record(input: &GroupInput, voters: BTreeSet<DiskId>) -> GroupAction {
+    let Some(record) = input.recorded else {
         return GroupAction::Idle;
     };
-    if record.settled && record.voters == voters && !view.write_unconfirmed {
+    if record.settled && record.voters == voters && !input.write_unconfirmed {
         return GroupAction::Idle;
     }
     let alone = voters.len() == 1;
-    let left_behind = left_behind(view).filter(|disk| alone && !voters.contains(disk));
+    let left_behind = left_behind(input).filter(|disk| alone && !voters.contains(disk));
     // Voters that the record doesn't name were in force before; lost ones may have been present
     // then.
     let known = record.voters == voters;
@@ -428,10 +429,10 @@
         gone: gone.collect(),
         voters,
         settled: true,
-        term: view.status.term,
+        term: input.status.term,
         before: Vec::new(),
         left_behind,
-        history: view.status.history,
+        history: input.status.history,
         begins: false,
     })
 }
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -29,26 +29,26 @@
     voters.len() / 2 + 1
 }
 
-/// Returns the next step of a replica without a leader. `min_disks` disks have to hold accepted jobs;
-/// `unchanged` counts from the last change of the record if that is later.
+/// Returns the next step of a replica without a leader. `min_disks` disks have to hold accepted
+/// jobs; `unchanged` counts from the last change of the record if that is later.
 pub fn step(
-    view: &GroupInput,
+    input: &GroupInput,
     min_disks: usize,
     leaderless: LeaderlessTime,
     unchanged: LeaderlessTime,
 ) -> GroupAction {
     let unrecorded = VoterRecord {
-        voters: voters_of(&view.status.membership),
+        voters: voters_of(&input.status.membership),
         settled: true,
         ..VoterRecord::default()
     };
-    let record = view.recorded.unwrap_or(&unrecorded);
-    let local = view.status.disk;
+    let record = input.recorded.unwrap_or(&unrecorded);
+    let local = input.status.disk;
     if record.is_begun_by(local) {
-        return begin_history(view, record);
+        return begin_history(input, record);
     }
     if record.left_behind == Some(local) {
-        return step_left_behind(view, record, unchanged);
+        return step_left_behind(input, record, unchanged);
     }
     if !record
         .possible_voters()
@@ -58,16 +58,16 @@
         // This replica was removed and must not continue.
         return GroupAction::Idle;
     }
-    let present = voters_of(&view.status.membership);
-    let superseded = present.iter().any(|disk| is_superseded(view, *disk));
+    let present = voters_of(&input.status.membership);
+    let superseded = present.iter().any(|disk| is_superseded(input, *disk));
     if !(leaderless.timed_out || superseded) || !record.names_groups() {
         return GroupAction::Idle;
     }
-    let Some(leaving) = view.leaving else {
+    let Some(leaving) = input.leaving else {
         return GroupAction::ListLeaving;
     };
-    let possible = possible_groups(view, leaving, record, min_disks);
-    let sets = disk_sets(view, leaving, &possible, leaderless);
+    let possible = possible_groups(input, leaving, record, min_disks);
+    let sets = disk_sets(input, leaving, &possible, leaderless);
     let remaining = &sets.remaining;
     let lost_quorum = present.intersection(remaining).count() < quorum_of(&present);
     let certain = possible.iter().all(|voters| {
@@ -77,22 +77,22 @@
     if !lost_quorum || !certain || !remaining.contains(&local) {
         return GroupAction::Idle;
     }
-    match survivors(view, remaining) {
-        Some(replicas) => continue_with(view, leaving, record, replicas, possible),
+    match survivors(input, remaining) {
+        Some(replicas) => continue_with(input, leaving, record, replicas, possible),
         None => GroupAction::Idle,
     }
 }
 
 /// Returns the groups that may be in force and may have accepted something.
 fn possible_groups(
-    view: &GroupInput,
+    input: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     min_disks: usize,
 ) -> Vec<BTreeSet<DiskId>> {
-    let present = voters_of(&view.status.membership);
+    let present = voters_of(&input.status.membership);
     let mut possible = record.possible_voters();
-    if record.voters == voters_of(&view.status.committed_membership) {
+    if record.voters == voters_of(&input.status.committed_membership) {
         possible.truncate(1);
     }
     // A group too small to accept anything doesn't bind replicas whose log names its successor.
@@ -103,7 +103,7 @@
     possible.retain(|voters| {
         !voters
             .iter()
-            .any(|disk| is_drained_disk(view, leaving, *disk))
+            .any(|disk| is_drained_disk(input, leaving, *disk))
     });
     possible
 }
@@ -120,22 +120,22 @@
 /// catch-up time, or for less if another disk can replace them. Meanwhile accepted jobs are on too
 /// few disks, and the next tolerated loss may lose them.
 fn disk_sets(
-    view: &GroupInput,
+    input: &GroupInput,
     leaving: &LeavingNodes,
     possible: &[BTreeSet<DiskId>],
     leaderless: LeaderlessTime,
 ) -> DiskSets {
     let all: BTreeSet<DiskId> = possible.iter().flatten().copied().collect();
     let alive = all.iter().copied();
-    let alive: BTreeSet<DiskId> = alive.filter(|disk| !is_superseded(view, *disk)).collect();
-    let early = leaderless.timed_out && has_replacement(view, leaving, &all);
+    let alive: BTreeSet<DiskId> = alive.filter(|disk| !is_superseded(input, *disk)).collect();
+    let early = leaderless.timed_out && has_replacement(input, leaving, &all);
     if !early && !leaderless.catch_up_elapsed {
         return DiskSets {
             remaining: alive,
             unresponsive: BTreeSet::new(),
         };
     }
-    let answers = |disk: &DiskId| *disk == view.status.disk || view.status.heard.contains(disk);
+    let answers = |disk: &DiskId| *disk == input.status.disk || input.status.heard.contains(disk);
     let (remaining, unresponsive) = alive.iter().copied().partition(answers);
     DiskSets {
         remaining,
@@ -164,8 +164,8 @@
 }
 
 /// Returns whether a disk was on a node that was reported as drained.
-fn is_drained_disk(view: &GroupInput, leaving: &LeavingNodes, disk: DiskId) -> bool {
-    let mut listed = view.candidates.iter();
+fn is_drained_disk(input: &GroupInput, leaving: &LeavingNodes, disk: DiskId) -> bool {
+    let mut listed = input.candidates.iter();
     listed.any(|one| one.disk == disk && leaving.done.contains(&one.node))
 }
 
@@ -175,29 +175,29 @@
 /// next voters to the record. Once this disk is recorded first, it needs no proof that the other
 /// one is lost: a replica that stays in the earlier history is excluded.
 fn step_left_behind(
-    view: &GroupInput,
+    input: &GroupInput,
     record: &VoterRecord,
     unchanged: LeaderlessTime,
 ) -> GroupAction {
-    let local = view.status.disk;
+    let local = input.status.disk;
     let others = record.voters.iter().copied().filter(|disk| *disk != local);
     let (lost, present): (Vec<DiskId>, Vec<DiskId>) =
-        others.partition(|disk| is_superseded(view, *disk));
+        others.partition(|disk| is_superseded(input, *disk));
     match (&lost[..], &present[..]) {
-        (_, []) => record_next_history(view, record, BTreeSet::from([local]), Vec::new(), None),
+        (_, []) => record_next_history(input, record, BTreeSet::from([local]), Vec::new(), None),
         ([], [lone]) => {
             if !unchanged.timed_out {
                 return GroupAction::Idle;
             }
-            let Some(leaving) = view.leaving else {
+            let Some(leaving) = input.leaving else {
                 return GroupAction::ListLeaving;
             };
             let pair = BTreeSet::from([local, *lone]);
-            if !unchanged.catch_up_elapsed && !has_replacement(view, leaving, &pair) {
+            if !unchanged.catch_up_elapsed && !has_replacement(input, leaving, &pair) {
                 return GroupAction::Idle;
             }
             record_next_history(
-                view,
+                input,
                 record,
                 BTreeSet::from([local]),
                 Vec::new(),
@@ -209,7 +209,7 @@
         ([lone], [learner]) if record.before == [BTreeSet::from([*lone])] => {
             let before = vec![record.voters.clone()];
             record_next_history(
-                view,
+                input,
                 record,
                 BTreeSet::from([local, *learner]),
                 before,
@@ -223,7 +223,7 @@
 /// Records that these disks begin the next history. Until they have, one of them may hold entries
 /// that only a group in `before` has committed.
 fn record_next_history(
-    view: &GroupInput,
+    input: &GroupInput,
     record: &VoterRecord,
     voters: BTreeSet<DiskId>,
     before: Vec<BTreeSet<DiskId>>,
@@ -232,7 +232,7 @@
     GroupAction::Record(VoterRecord {
         voters,
         settled: false,
-        term: view.status.term,
+        term: input.status.term,
         before,
         gone: BTreeSet::new(),
         left_behind,
@@ -242,11 +242,11 @@
 }
 
 /// Continues in the history that this disk begins according to the record.
-fn begin_history(view: &GroupInput, record: &VoterRecord) -> GroupAction {
-    let Some(replicas) = survivors(view, &record.voters) else {
+fn begin_history(input: &GroupInput, record: &VoterRecord) -> GroupAction {
+    let Some(replicas) = survivors(input, &record.voters) else {
         return GroupAction::Idle;
     };
-    if view.write_unconfirmed {
+    if input.write_unconfirmed {
         return GroupAction::Record(record.clone());
     }
     GroupAction::ContinueWith(Survivors {
@@ -258,24 +258,27 @@
 }
 
 /// Returns the addresses of these disks' replicas, if all are listed.
-fn survivors(view: &GroupInput, disks: &BTreeSet<DiskId>) -> Option<BTreeMap<DiskId, ReplicaInfo>> {
+fn survivors(
+    input: &GroupInput,
+    disks: &BTreeSet<DiskId>,
+) -> Option<BTreeMap<DiskId, ReplicaInfo>> {
     let place = |disk: &DiskId| {
-        let candidate = view.candidates.iter().find(|one| one.disk == *disk)?;
+        let candidate = input.candidates.iter().find(|one| one.disk == *disk)?;
         Some((*disk, candidate.info(ReplicaRole::Voter)))
     };
     disks.iter().map(place).collect()
 }
 
 fn continue_with(
-    view: &GroupInput,
+    input: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     replicas: BTreeMap<DiskId, ReplicaInfo>,
     possible: Vec<BTreeSet<DiskId>>,
 ) -> GroupAction {
     let voters: BTreeSet<DiskId> = replicas.keys().copied().collect();
-    let history = view.status.history;
-    if record.voters == voters && !record.settled && !view.write_unconfirmed {
+    let history = input.status.history;
+    if record.voters == voters && !record.settled && !input.write_unconfirmed {
         return GroupAction::ContinueWith(Survivors {
             replicas,
             never_held: record.gone.clone(),
@@ -284,10 +287,10 @@
         });
     }
     GroupAction::Record(VoterRecord {
-        left_behind: other_of_pair(view, leaving, record, &voters),
+        left_behind: other_of_pair(input, leaving, record, &voters),
         voters,
         settled: false,
-        term: view.status.term,
+        term: input.status.term,
         gone: record.never_held(possible.first().unwrap_or(&BTreeSet::new())),
         before: possible,
         history,
@@ -298,28 +301,28 @@
 /// Returns the other disk of a pair that one voter continues without. `None` if the pair may not be
 /// in force yet, since that disk need not hold what was accepted before.
 fn other_of_pair(
-    view: &GroupInput,
+    input: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     voters: &BTreeSet<DiskId>,
 ) -> Option<DiskId> {
-    let pair = voters_of(&view.status.membership);
+    let pair = voters_of(&input.status.membership);
     let mut recorded = record.possible_voters();
     recorded.retain(|voters| {
         !voters
             .iter()
-            .any(|disk| is_drained_disk(view, leaving, *disk))
+            .any(|disk| is_drained_disk(input, leaving, *disk))
     });
     let in_force = recorded.iter().all(|voters| *voters == pair)
-        || pair == voters_of(&view.status.committed_membership);
+        || pair == voters_of(&input.status.committed_membership);
     let alone = voters.len() == 1 && pair.len() == 2 && in_force;
     pair.difference(voters).copied().find(|_| alone)
 }
 
 /// Returns whether a disk beyond these could hold a replica, on any node that is not drained. Nodes
 /// to drain count too, as they are better than none.
-fn has_replacement(view: &GroupInput, leaving: &LeavingNodes, pair: &BTreeSet<DiskId>) -> bool {
-    let mut present = view
+fn has_replacement(input: &GroupInput, leaving: &LeavingNodes, pair: &BTreeSet<DiskId>) -> bool {
+    let mut present = input
         .candidates
         .iter()
         .filter(|candidate| !leaving.done.contains(&candidate.node));
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -86,8 +86,8 @@
         let status = self.journal.replica.status();
         let is_drained = |node: &NodeName| {
             let emptied =
-                |manager: &mut GroupManager, view: &GroupInput| manager.is_drained(view, node);
-            status.leads && self.with_view(&status, true, emptied)
+                |manager: &mut GroupManager, input: &GroupInput| manager.is_drained(input, node);
+            status.leads && self.with_input(&status, true, emptied)
         };
         let log = &self.journal.log;
         self.retirements
@@ -128,13 +128,13 @@
 
     fn step(&self, status: &GroupStatus, leaving_known: bool) -> GroupAction {
         let now = Instant::now();
-        self.with_view(status, leaving_known, |manager, view| {
-            manager.step(now, view)
+        self.with_input(status, leaving_known, |manager, input| {
+            manager.step(now, input)
         })
     }
 
     /// Passes the current state to the manager.
-    fn with_view<T>(
+    fn with_input<T>(
         &self,
         status: &GroupStatus,
         leaving_known: bool,
@@ -144,7 +144,7 @@
         let candidates = registry.candidates();
         let leaving = self.retirements.leaving().filter(|_| leaving_known);
         let recorded = registry.recorded_voters();
-        let view = GroupInput {
+        let input = GroupInput {
             node: &self.node,
             status,
             candidates: &candidates,
@@ -153,7 +153,7 @@
             write_unconfirmed: registry.has_unconfirmed_write(),
             listed_at: registry.last_listing(),
         };
-        decide(&mut self.manager.borrow_mut(), &view)
+        decide(&mut self.manager.borrow_mut(), &input)
     }
 
     /// Lists the nodes to drain. Returns whether they are known now.
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -175,11 +175,11 @@
 impl PeerService {
     /// Records output of items that the leader runs.
     fn record_progress(&self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> PeerResponse {
-        let mut keeper = self.progress.borrow_mut();
-        let gaps = keeper.apply(leadership, deltas);
+        let mut store = self.progress.borrow_mut();
+        let gaps = store.apply(leadership, deltas);
         let state = self.replica.applied_state();
         let state = state.read();
-        keeper.keep(|(job, index)| state.is_open(job, *index));
+        store.keep(|(job, index)| state.is_open(job, *index));
         PeerResponse::Gaps(gaps)
     }
 
@@ -203,7 +203,7 @@
                 pause: exchange_interval(relayed.nodes).as_millis() as u64,
                 age: relayed.age.as_millis() as u64,
                 leader,
-                news: relayed.news,
+                news: relayed.usage,
                 paces: relayed.paces,
             },
         }
--- a/crates/firshore-node/src/relay/loads.rs
+++ b/crates/firshore-node/src/relay/loads.rs
@@ -38,7 +38,7 @@
     /// Number of nodes that report to this relay.
     pub nodes: usize,
     /// Remaining limits of tenants, for a node that reported their use.
-    pub news: Option<UsageResponse>,
+    pub usage: Option<UsageResponse>,
     /// Paces of back ends that others reported since this node's last report.
     pub paces: Vec<BackendPace>,
 }
@@ -110,14 +110,14 @@
             return None;
         }
         self.pressure.borrow_mut().add_reported(&report.pressures);
-        let news = report.uses.map(|uses| {
+        let usage = report.uses.map(|uses| {
             self.has_limits.set(true);
             let mut relayed = self.uses.borrow_mut();
-            let news = relayed.apply_report(now, &node, &uses);
+            let usage = relayed.apply_report(now, &node, &uses);
             if relayed.is_report_due() {
                 self.limits_urgent.notify_one();
             }
-            news
+            usage
         });
         let mut others = table.others(&node);
         for (backend, count) in &view.counts {
@@ -127,7 +127,7 @@
             others: as_counts(others),
             age,
             nodes: table.nodes(),
-            news,
+            usage,
             paces: paces.take_updates(now, &client),
         })
     }
@@ -162,7 +162,7 @@
             return;
         };
         match &others.usage {
-            Some(news) => uses.apply_response(news),
+            Some(usage) => uses.apply_response(usage),
             None => uses.report_failed(),
         }
         drop(uses);
--- a/crates/firshore-node/src/relay/mod.rs
+++ b/crates/firshore-node/src/relay/mod.rs
@@ -104,13 +104,13 @@
     fn learn(
         &self,
         observed: Option<ObjectUpdate>,
-        observation: &ListWatch,
+        list_watch: &ListWatch,
         as_of: Instant,
     ) -> Option<Revision> {
-        self.update_contact(observation, as_of);
+        self.update_contact(list_watch, as_of);
         let mut cache = self.cache.borrow_mut();
         let before = cache.changed_at();
-        if let Some(revision) = observation.revision() {
+        if let Some(revision) = list_watch.revision() {
             cache.apply(observed, revision);
         }
         self.steps.send_modify(|steps| *steps += 1);
@@ -121,16 +121,16 @@
     /// Records whether the store has responded, and as of when. A single failed watch doesn't count
     /// as lost contact, as the store may close the watches of all relays at the same time: queries
     /// wait for the listing that follows. Otherwise nodes would exclude all relays at once.
-    fn update_contact(&self, observation: &ListWatch, as_of: Instant) {
-        let failures = observation.failures();
-        let is_watching = failures == 0 && observation.revision().is_some();
+    fn update_contact(&self, list_watch: &ListWatch, as_of: Instant) {
+        let failures = list_watch.failures();
+        let is_watching = failures == 0 && list_watch.revision().is_some();
         self.is_watching.set(is_watching);
         if is_watching {
             let now = firshore_clock::now();
             self.connected.set(true);
             self.confirmed_at.set(as_of);
             self.answered_at.set(now);
-            self.paused_until.set(now + observation.delay());
+            self.paused_until.set(now + list_watch.delay());
         } else if failures > 1 {
             self.connected.set(false);
         }
@@ -307,10 +307,10 @@
         };
         let weak_kind = Rc::downgrade(&served);
         let (announce, kind) = (self.announce.clone(), relayed.name.clone());
-        let task = watcher::observe(watcher, move |observed, observation, as_of| {
+        let task = watcher::observe(watcher, move |observed, list_watch, as_of| {
             let served = weak_kind.upgrade();
             if let Some(changed) =
-                served.and_then(|served| served.learn(observed, observation, as_of))
+                served.and_then(|served| served.learn(observed, list_watch, as_of))
             {
                 announce(&kind, changed);
             }
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -85,8 +85,8 @@
 }
 
 impl RelayedStore {
-    /// Queries relays through `relay_client`, and `direct` within `budget`. Records in `freshness` as of
-    /// when the kind is known.
+    /// Queries relays through `relay_client`, and `direct` within `budget`. Records in `freshness`
+    /// as of when the kind is known.
     pub fn new(
         relay_client: RelayClient,
         direct: Rc<dyn ObjectStore>,
