--- a/crates/firshore-node/src/journal/group_manager.rs
+++ b/crates/firshore-node/src/journal/group_manager.rs
@@ -1,5 +1,6 @@
-//! What the upkeep of a group's replicas does next: hand leadership over, record the voters, change the
-//! membership, go on alone. No I/O; the time and what the store lists are passed in.
+//! Decides the next step of a group's maintenance: transfer leadership, record the voters, change
+//! the membership, or continue without a quorum. No I/O; the time and the store's listing are
+//! passed in.
 
 use super::SILENCE_FRACTION;
 use super::excluded_disks::ExcludedDisks;
@@ -13,36 +14,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Part of the time in which a new disk has to hold everything after which one of a pair goes on
-/// without the other although no other disk could take its place: cuts mostly end sooner, and a
-/// lone replica may promise nothing, but lets what is listed be read.
-const LONE_SHARE: f64 = 1.0;
+/// Fraction of the catch-up time after which one voter of a pair continues without the other
+/// although no disk could replace it. Partitions mostly end sooner, and a single replica may accept
+/// nothing, though it can serve what is listed.
+const LONE_FRACTION: f64 = 1.0;
 
-/// Part of that time for which a voter stays silent beyond the limit until the group does without it though
-/// no other disk takes its place: with the silence itself and a change of leader this ends before the
-/// machine that replaces it counts as recovered, after which the next loss may come.
-const GIVEN_UP_SHARE: f64 = 0.4;
+/// Fraction of the catch-up time for which a voter, beyond the timeout, stays unresponsive until it
+/// is removed although no disk replaces it. Together with the timeout and a change of leader this
+/// is shorter than a replaced machine needs to count as recovered, after which the next loss may
+/// occur.
+const GIVE_UP_FRACTION: f64 = 0.4;
 
-/// The same for a disk that answers and does not catch up, where another one could be tried.
-const LEARNER_SHARE: f64 = 2.0;
+/// Fraction of the catch-up time after which a learner that responds but doesn't catch up is
+/// replaced by another disk.
+const LEARNER_FRACTION: f64 = 2.0;
 
-/// What a group is to be.
+/// Desired state of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupPolicy {
-    /// Voters that the group is to have.
+    /// Desired number of voters.
     pub target_voters: usize,
-    /// Disks that have to hold what is promised.
+    /// Number of disks that must hold accepted jobs.
     pub min_disks: usize,
-    /// Time in which a new disk has to hold everything.
+    /// Time within which a new disk has to hold everything.
     pub catch_up: Duration,
 }
 
-/// Nodes that operators want emptied.
+/// Nodes that operators are draining.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeavingNodes {
-    /// Those that hold or may hold something still.
+    /// Nodes that hold or may still hold replicas.
     pub open: BTreeSet<NodeName>,
-    /// Those that were reported as empty, and are gone with their disks.
+    /// Nodes that were reported as drained, and may be removed with their disks.
     pub done: BTreeSet<NodeName>,
 }
 
@@ -52,44 +55,45 @@
     }
 }
 
-/// What is known at one look.
+/// Input to one decision.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupInput<'a> {
     /// This node.
     pub node: &'a NodeName,
-    /// What this node's replica told last.
+    /// Last status of this node's replica.
     pub status: &'a GroupStatus,
     /// Disks that the store lists.
     pub candidates: &'a [Candidate],
-    /// Nodes that are to be emptied; `None` where they are not followed.
+    /// Nodes to drain; `None` while they are not watched.
     pub leaving: Option<&'a LeavingNodes>,
-    /// The voters as the store records them.
+    /// The voters as recorded in the store.
     pub recorded: Option<&'a VoterRecord>,
-    /// Whether another record, written without an answer, may still take effect.
+    /// Whether an unconfirmed write of another record may still take effect.
     pub write_unconfirmed: bool,
-    /// When the store was last listed whole; what was known before may have been changed by a leader that
-    /// this node followed since.
+    /// When the last full listing of the store began. What was listed earlier may have been changed
+    /// since by a leader that this node followed.
     pub listed_at: Option<Instant>,
 }
 
-/// What to do.
+/// Next step of the maintenance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupAction {
-    /// Nothing.
+    /// Nothing to do.
     Idle,
-    /// List the nodes that are to be emptied, and look again.
+    /// List the nodes to drain, and decide again.
     ListLeaving,
-    /// Hand leadership to this voter.
+    /// Transfer leadership to this voter.
     StepAside(DiskId),
     /// Write these voters to the store.
     Record(VoterRecord),
     /// Change the membership.
     Change(MembershipChange),
-    /// Take a disk that never answered out of the group; it is passed over for a while.
+    /// Remove a learner that doesn't respond or doesn't catch up, and exclude its disk for this
+    /// time.
     PassOver(DiskId, Duration),
-    /// Go on without a quorum, with these disks.
+    /// Continue without a quorum, with these disks.
     ContinueWith(Survivors),
-    /// Leave the history of the log for this later one.
+    /// Leave the log's history for this later one.
     JoinHistory(u64),
 }
 
@@ -97,7 +101,7 @@
     membership.voters().collect()
 }
 
-/// The voters once a change is in force.
+/// Returns the voters once a change is in force.
 fn voters_after(membership: &Membership, change: &MembershipChange) -> BTreeSet<DiskId> {
     let mut voters = voters_of(membership);
     match change {
@@ -112,88 +116,88 @@
     voters
 }
 
-/// Whether the store names these voters, as this leader wrote them in its term.
-fn is_recorded(view: &GroupInput, voters: &BTreeSet<DiskId>) -> bool {
-    let record = view.recorded.filter(|_| !view.write_unconfirmed);
+/// Returns whether the store names these voters, as written by this leader in its term.
+fn is_recorded(input: &GroupInput, voters: &BTreeSet<DiskId>) -> bool {
+    let record = input.recorded.filter(|_| !input.write_unconfirmed);
     record.is_some_and(|record| {
-        record.voters == *voters && !record.settled && record.term == view.status.term
+        record.voters == *voters && !record.settled && record.term == input.status.term
     })
 }
 
-/// Whether a replica's disk is known never to come back: its node has another one by now.
-pub(super) fn is_superseded(view: &GroupInput, disk: DiskId) -> bool {
-    let Some(replica) = view.status.membership.replicas.get(&disk) else {
+/// Returns whether a replica's disk is lost for good, because its node has another one.
+pub(super) fn is_superseded(input: &GroupInput, disk: DiskId) -> bool {
+    let Some(replica) = input.status.membership.replicas.get(&disk) else {
         return false;
     };
-    let present = view.candidates.iter().find(|one| one.node == replica.node);
+    let present = input.candidates.iter().find(|one| one.node == replica.node);
     present.is_some_and(|one| one.disk != disk)
 }
 
-/// The state of the upkeep on one node.
+/// State of the maintenance on one node.
 #[derive(Debug)]
 pub struct GroupManager {
-    terms: GroupPolicy,
-    /// Disks that were taken in and stayed silent.
-    passed_over: ExcludedDisks,
-    /// Since when no leader is known.
+    policy: GroupPolicy,
+    /// Disks excluded after failed attempts as learners.
+    excluded: ExcludedDisks,
+    /// Time since which no leader is known.
     leaderless_since: Option<Instant>,
-    /// The record of voters as it was seen last, and since when.
+    /// Last record of voters, and since when it is unchanged.
     recorded: Option<(VoterRecord, Instant)>,
-    /// Since when voters are silent for longer than the limit.
-    silent_since: BTreeMap<DiskId, Instant>,
-    /// The disk that is to catch up, and since when.
+    /// Time since which each voter has exceeded the timeout.
+    unresponsive_since: BTreeMap<DiskId, Instant>,
+    /// The disk that is catching up, and since when.
     learner: Option<(DiskId, Instant)>,
 }
 
 impl GroupManager {
-    /// Returns the upkeep of a group that is to be as `terms` say.
-    pub fn new(terms: GroupPolicy) -> Self {
+    /// Creates the state for a group with these desired properties.
+    pub fn new(policy: GroupPolicy) -> Self {
         Self {
-            terms,
-            passed_over: ExcludedDisks::default(),
+            policy,
+            excluded: ExcludedDisks::default(),
             leaderless_since: None,
             recorded: None,
-            silent_since: BTreeMap::new(),
+            unresponsive_since: BTreeMap::new(),
             learner: None,
         }
     }
 
-    /// Takes in what the replica told, before the store is asked for what a step rests on.
+    /// Records the replica's status. Called before the store is queried for the rest of a step's
+    /// input.
     pub fn observe(&mut self, now: Instant, status: &GroupStatus) {
-        self.note_leader(now, status);
-        self.note_silent(now, status);
+        self.update_leader(now, status);
+        self.update_unresponsive(now, status);
     }
 
-    /// Takes in what is known now, and returns what to do.
-    pub fn step(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
-        self.observe(now, view.status);
-        self.note_record(now, view.recorded);
-        if !view.status.holds_log {
+    /// Updates the state and returns the next step.
+    pub fn step(&mut self, now: Instant, input: &GroupInput) -> GroupAction {
+        self.observe(now, input.status);
+        self.update_record(now, input.recorded);
+        if !input.status.holds_log {
             return GroupAction::Idle;
         }
-        if let Some(history) = later_history(view) {
+        if let Some(history) = later_history(input) {
             return GroupAction::JoinHistory(history);
         }
-        if view.status.leads {
-            return self.place(now, view);
+        if input.status.leads {
+            return self.place_replicas(now, input);
         }
-        if view.status.leader.is_none() {
-            return self.without_leader(now, view);
+        if input.status.leader.is_none() {
+            return self.step_leaderless(now, input);
         }
         GroupAction::Idle
     }
 
-    /// Returns whether nothing that was promised needs the disk of a node any more, as the leader knows
-    /// it.
-    pub fn is_drained(&self, view: &GroupInput, node: &NodeName) -> bool {
-        let membership = &view.status.membership;
+    /// Returns whether a node's disk is no longer needed for accepted jobs, as known by the leader.
+    pub fn is_drained(&self, input: &GroupInput, node: &NodeName) -> bool {
+        let membership = &input.status.membership;
         let mut replicas = membership.replicas.values();
         let holds = replicas.any(|replica| replica.node == *node);
-        let whole = keeps_promises(membership, self.terms.min_disks);
-        !holds && view.status.membership_committed && whole
+        let whole = keeps_promises(membership, self.policy.min_disks);
+        !holds && input.status.membership_committed && whole
     }
 
-    fn note_leader(&mut self, now: Instant, status: &GroupStatus) {
+    fn update_leader(&mut self, now: Instant, status: &GroupStatus) {
         if status.leader.is_some() {
             self.leaderless_since = None;
         } else {
@@ -201,7 +205,7 @@
         }
     }
 
-    fn note_record(&mut self, now: Instant, recorded: Option<&VoterRecord>) {
+    fn update_record(&mut self, now: Instant, recorded: Option<&VoterRecord>) {
         let Some(record) = recorded else {
             return;
         };
@@ -211,64 +215,65 @@
         }
     }
 
-    fn note_silent(&mut self, now: Instant, status: &GroupStatus) {
-        self.silent_since
+    fn update_unresponsive(&mut self, now: Instant, status: &GroupStatus) {
+        self.unresponsive_since
             .retain(|disk, _| status.silent.contains(disk));
         for disk in &status.silent {
-            self.silent_since.entry(*disk).or_insert(now);
+            self.unresponsive_since.entry(*disk).or_insert(now);
         }
     }
 
-    /// Voters that stayed silent for so long that a disk in their place would soon have caught up. The
-    /// group is better off without them, also where no disk is there: of three voters one of which is gone
-    /// for good, a further loss leaves no quorum and no proof, of two it leaves one that can go on.
-    fn given_up(&self, now: Instant) -> impl Iterator<Item = DiskId> {
-        let least = self.terms.catch_up.mul_f64(GIVEN_UP_SHARE);
-        let silent = self.silent_since.iter();
-        silent
-            .filter(move |(_, since)| now.saturating_duration_since(**since) >= least)
+    /// Returns voters that were unresponsive for so long that a replacement would soon have caught
+    /// up. They are removed even without a replacement. If one of three voters is lost for good, a
+    /// further loss leaves neither a quorum nor proof of what was committed; of two, it leaves one
+    /// that can continue.
+    fn unresponsive_voters(&self, now: Instant) -> impl Iterator<Item = DiskId> {
+        let threshold = self.policy.catch_up.mul_f64(GIVE_UP_FRACTION);
+        let unresponsive = self.unresponsive_since.iter();
+        unresponsive
+            .filter(move |(_, since)| now.saturating_duration_since(**since) >= threshold)
             .map(|(disk, _)| *disk)
     }
 
-    /// Keeps as many replicas as are to be, on disks that are there.
-    fn place(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
-        // A leader that does not know yet who is to be emptied would take such a node in.
-        let Some(leaving) = view.leaving else {
+    /// Keeps the desired number of replicas on available disks.
+    fn place_replicas(&mut self, now: Instant, input: &GroupInput) -> GroupAction {
+        // Without the nodes to drain, the leader might add a replica on one of them.
+        let Some(leaving) = input.leaving else {
             return GroupAction::Idle;
         };
-        let status = view.status;
-        let group = self.group(now, view, leaving);
-        if leaving.contains(view.node)
+        let status = input.status;
+        let group = self.group(now, input, leaving);
+        if leaving.contains(input.node)
             && let Some(heir) = group.heir()
         {
-            // The next leader takes this replica out of the group.
+            // The next leader removes this replica.
             return GroupAction::StepAside(heir);
         }
-        let usable = self.usable(now, view, leaving, group.is_short());
+        let usable = self.usable(now, input, leaving, group.is_short());
         if !status.membership_committed {
-            // Nothing is recorded that might never enter the log.
+            // Nothing may be recorded that might never enter the log.
             return GroupAction::Idle;
         }
         if let Some(learner) = self.overdue_learner(now, &group)
             && !usable.is_empty()
         {
-            let pause = self.passed_over.record_timeout(now, learner);
-            return GroupAction::PassOver(learner, pause);
+            let backoff = self.excluded.record_timeout(now, learner);
+            return GroupAction::PassOver(learner, backoff);
         }
         let change = group.next_change(&usable);
         let present = voters_of(&status.membership);
         let Some(change) = change else {
-            return settle(view, present);
+            return settle_record(input, present);
         };
         let voters = voters_after(&status.membership, &change);
-        if voters != present && !is_recorded(view, &voters) {
+        if voters != present && !is_recorded(input, &voters) {
             return GroupAction::Record(VoterRecord {
-                gone: gone_before(view, &voters),
+                gone: lost_before(input, &voters),
                 voters,
                 settled: false,
                 term: status.term,
                 before: vec![present],
-                left_behind: left_behind(view),
+                left_behind: left_behind(input),
                 history: status.history,
                 begins: false,
             });
@@ -276,159 +281,158 @@
         if let MembershipChange::Remove(disk) = &change
             && !present.contains(disk)
         {
-            // A learner that never answered: its node is registered, but gone.
-            let pause = self.passed_over.record_timeout(now, *disk);
-            return GroupAction::PassOver(*disk, pause);
+            // A learner that never responded: its node is registered but lost.
+            let backoff = self.excluded.record_timeout(now, *disk);
+            return GroupAction::PassOver(*disk, backoff);
         }
         GroupAction::Change(change)
     }
 
-    fn group(&self, now: Instant, view: &GroupInput, leaving: &LeavingNodes) -> GroupView {
-        let status = view.status;
+    fn group(&self, now: Instant, input: &GroupInput, leaving: &LeavingNodes) -> GroupView {
+        let status = input.status;
         let replicas = || status.membership.replicas.iter();
-        let superseded = replicas().filter(|(disk, _)| is_superseded(view, **disk));
+        let superseded = replicas().filter(|(disk, _)| is_superseded(input, **disk));
         let on_leaving = replicas().filter(|(_, one)| leaving.contains(&one.node));
         GroupView {
-            target: self.terms.target_voters,
-            least: self.terms.min_disks,
+            target: self.policy.target_voters,
+            least: self.policy.min_disks,
             own: status.disk,
             membership: status.membership.clone(),
             silent: status.silent.clone(),
             gone: superseded
                 .map(|(disk, _)| *disk)
-                .chain(self.given_up(now))
+                .chain(self.unresponsive_voters(now))
                 .collect(),
             leaving: on_leaving.map(|(disk, _)| *disk).collect(),
             caught_up: status.caught_up.clone(),
         }
     }
 
-    /// The disk that is to catch up, if it has been at that for too long: one that answers but never holds
-    /// everything, as its disk is full or slow, would keep all others out. It goes on where it was when it
-    /// is tried again.
+    /// Returns the learner if it has been catching up for too long. One that responds but never
+    /// holds everything, because its disk is full or slow, would block all other disks. It
+    /// continues from its position when it is tried again.
     fn overdue_learner(&mut self, now: Instant, group: &GroupView) -> Option<DiskId> {
         let learner = group.learner();
         if self.learner.map(|(disk, _)| disk) != learner {
             self.learner = learner.map(|disk| (disk, now));
         }
-        let most = self.terms.catch_up.mul_f64(LEARNER_SHARE);
+        let limit = self.policy.catch_up.mul_f64(LEARNER_FRACTION);
         let (disk, since) = self.learner?;
-        (now.saturating_duration_since(since) >= most).then_some(disk)
+        (now.saturating_duration_since(since) >= limit).then_some(disk)
     }
 
-    /// Disks that could be taken in: on nodes that are to stay, but for those that stayed silent a moment
-    /// ago. Where the group is short of disks, those on nodes that are to be emptied too: until that is
-    /// reported as done, they are better than none.
+    /// Returns disks that could be added: on nodes that stay, and not excluded after a recent
+    /// failure. If the group is short of disks and these have all failed, includes disks on nodes
+    /// to drain that are not reported as drained yet.
     fn usable(
         &mut self,
         now: Instant,
-        view: &GroupInput,
+        input: &GroupInput,
         leaving: &LeavingNodes,
         short: bool,
     ) -> Vec<Candidate> {
-        let membership = &view.status.membership;
-        self.passed_over.forget(|disk| membership.is_voter(disk));
-        let open = view
+        let membership = &input.status.membership;
+        self.excluded.forget(|disk| membership.is_voter(disk));
+        let open = input
             .candidates
             .iter()
             .filter(|one| !membership.replicas.contains_key(&one.disk))
-            .filter(|one| !self.passed_over.is_excluded(now, one.disk))
+            .filter(|one| !self.excluded.is_excluded(now, one.disk))
             .filter(|one| !leaving.done.contains(&one.node));
         let (last, staying): (Vec<&Candidate>, Vec<&Candidate>) =
             open.partition(|one| leaving.open.contains(&one.node));
         let mut usable = staying;
-        if short
-            && usable
-                .iter()
-                .all(|one| self.passed_over.has_failed(one.disk))
-        {
+        if short && usable.iter().all(|one| self.excluded.has_failed(one.disk)) {
             usable.extend(last);
         }
-        // A node that is gone for good stays listed: those that failed less often go first, so that it does
-        // not keep one out that could be reached meanwhile.
-        let failures = |one: &&Candidate| self.passed_over.pause(one.disk);
-        if membership.voters().count() < self.terms.target_voters {
+        // A lost node stays listed. Disks that failed less often come first, so that it doesn't
+        // block a disk that may be reachable by now.
+        let failures = |one: &&Candidate| self.excluded.backoff(one.disk);
+        if membership.voters().count() < self.policy.target_voters {
             let fewest = usable.iter().map(failures).min();
             usable.retain(|one| Some(failures(one)) == fewest);
         }
         usable.into_iter().cloned().collect()
     }
 
-    fn without_leader(&self, now: Instant, view: &GroupInput) -> GroupAction {
-        if !self.is_listed_since(view) {
+    fn step_leaderless(&self, now: Instant, input: &GroupInput) -> GroupAction {
+        if !self.is_listed_since(input) {
             return GroupAction::Idle;
         }
         let since = self.leaderless_since;
         let recorded = self.recorded.as_ref().map(|(_, since)| *since);
-        let leaderless = self.waited(now, since);
-        let unchanged = self.waited(now, since.max(recorded));
-        lost_quorum::step(view, self.terms.min_disks, leaderless, unchanged)
+        let leaderless = self.leaderless_time(now, since);
+        let unchanged = self.leaderless_time(now, since.max(recorded));
+        lost_quorum::step(input, self.policy.min_disks, leaderless, unchanged)
     }
 
-    fn waited(&self, now: Instant, since: Option<Instant>) -> LeaderlessTime {
+    fn leaderless_time(&self, now: Instant, since: Option<Instant>) -> LeaderlessTime {
         let lasts = |share: f64| {
-            let least = self.terms.catch_up.mul_f64(share);
-            since.is_some_and(|since| now.saturating_duration_since(since) >= least)
+            let threshold = self.policy.catch_up.mul_f64(share);
+            since.is_some_and(|since| now.saturating_duration_since(since) >= threshold)
         };
         LeaderlessTime {
-            late: lasts(SILENCE_FRACTION),
-            overdue: lasts(LONE_SHARE),
+            timed_out: lasts(SILENCE_FRACTION),
+            catch_up_elapsed: lasts(LONE_FRACTION),
         }
     }
 
-    /// Whether the store was listed since no leader is known.
-    fn is_listed_since(&self, view: &GroupInput) -> bool {
+    /// Returns whether the store was listed since the leader was lost.
+    fn is_listed_since(&self, input: &GroupInput) -> bool {
         let since = self.leaderless_since;
-        since.is_some_and(|since| view.listed_at.is_some_and(|listed| listed >= since))
+        since.is_some_and(|since| input.listed_at.is_some_and(|listed| listed >= since))
     }
 }
 
-/// Those of these voters whose disks are known to be gone before they become the voters. A record that names
-/// them already was written earlier, when more of them may have been there.
-fn gone_before(view: &GroupInput, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
-    let recorded = view.recorded.filter(|record| record.voters == *voters);
+/// Returns those of these voters whose disks are known to be lost before they become the voters. If
+/// the record names these voters already, its list is used: more of them may have been present when
+/// it was written.
+fn lost_before(input: &GroupInput, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
+    let recorded = input.recorded.filter(|record| record.voters == *voters);
     if let Some(record) = recorded {
         return record.gone.clone();
     }
     let gone = voters.iter().copied();
-    gone.filter(|disk| is_superseded(view, *disk)).collect()
+    gone.filter(|disk| is_superseded(input, *disk)).collect()
 }
 
-/// The later history that the record names and that is to be joined: others went on in it, and whoever
-/// stays in the earlier one would write over the record and lead beside them. A disk that is to begin it
-/// does so by going on, unless it still leads.
-fn later_history(view: &GroupInput) -> Option<u64> {
-    let record = view.recorded?;
-    let begins = record.is_begun_by(view.status.disk) && !view.status.leads;
-    (record.history > view.status.history && !begins).then_some(record.history)
+/// Returns the later history that the record names and that this replica must join. Other disks
+/// continued in it; a replica that stays in the earlier one would overwrite the record and be a
+/// second leader. A disk that is to begin the history does so by continuing, unless it still leads.
+fn later_history(input: &GroupInput) -> Option<u64> {
+    let record = input.recorded?;
+    let begins = record.is_begun_by(input.status.disk) && !input.status.leads;
+    (record.history > input.status.history && !begins).then_some(record.history)
 }
 
-/// The disk that the only voter left behind and that still holds everything promised, on record.
-fn left_behind(view: &GroupInput) -> Option<DiskId> {
-    view.recorded.and_then(|record| record.left_behind)
+/// Returns the recorded disk that the only voter left behind and that still holds all accepted
+/// jobs.
+fn left_behind(input: &GroupInput) -> Option<DiskId> {
+    input.recorded.and_then(|record| record.left_behind)
 }
 
 /// Records that the change to these voters is committed.
-fn settle(view: &GroupInput, voters: BTreeSet<DiskId>) -> GroupAction {
-    let Some(record) = view.recorded else {
+fn settle_record(input: &GroupInput, voters: BTreeSet<DiskId>) -> GroupAction {
+    let Some(record) = input.recorded else {
         return GroupAction::Idle;
     };
-    if record.settled && record.voters == voters && !view.write_unconfirmed {
+    if record.settled && record.voters == voters && !input.write_unconfirmed {
         return GroupAction::Idle;
     }
     let alone = voters.len() == 1;
-    let left_behind = left_behind(view).filter(|disk| alone && !voters.contains(disk));
-    // Voters that the record does not name were in force before; whoever is gone by now may have been there.
+    let left_behind = left_behind(input).filter(|disk| alone && !voters.contains(disk));
+    // Voters that the record doesn't name were in force before; lost ones may have been present
+    // then.
     let known = record.voters == voters;
     let gone = record.gone.iter().copied().filter(|_| known);
     GroupAction::Record(VoterRecord {
         gone: gone.collect(),
         voters,
         settled: true,
-        term: view.status.term,
+        term: input.status.term,
         before: Vec::new(),
         left_behind,
-        history: view.status.history,
+        history: input.status.history,
         begins: false,
     })
 }
--- a/crates/firshore-node/src/journal/leader_tasks.rs
+++ b/crates/firshore-node/src/journal/leader_tasks.rs
@@ -1,5 +1,5 @@
-//! What only the leader of the journal follows: calls to the store are dear, and its followers
-//! learn what they need when they lead.
+//! Watches that only the journal's leader runs. Calls to the store are expensive, and followers
+//! read what they need when they become the leader.
 
 use super::Journal;
 use super::registry::KIND;
@@ -15,38 +15,38 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time between looks while nothing changes.
+/// Interval between checks while nothing changes.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause after a change of the nodes or of the wishes to empty some.
-const SPACING: Duration = Duration::from_millis(500);
+/// Wait after a change of the nodes or of the requests to drain some.
+const CHANGE_SPACING: Duration = Duration::from_millis(500);
 
-/// Longest wait for a change of these, so that a swallowed watch is noticed: 24 calls a minute in all.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+/// Maximum wait of a watch, so that a lost one is noticed: 24 calls per minute in all.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// What a leader follows.
+/// Watches of the leader.
 pub struct LeaderTasks {
-    /// Back ends and configuration.
+    /// Receives back ends and configuration.
     pub gateway: Rc<Gateway>,
-    /// The journal.
+    /// The journal that this node may lead.
     pub journal: Rc<Journal>,
-    /// Nodes that are to be emptied.
+    /// Receives the nodes to drain.
     pub retirements: Rc<Retirements>,
-    /// The store.
+    /// Settings of the object store.
     pub objects: Objects,
-    /// Who asks relays for back ends and the configuration; `None` where something else on this node
-    /// follows them.
+    /// Creates clients of relays for back ends and the configuration; `None` where something else
+    /// on this node follows these.
     ///
-    /// A leader that watched the store itself learned of a cut only when its connection was given up, 3 s
-    /// later, and ran items at back ends that had left meanwhile.
+    /// A leader that watched the store directly would notice a partition only when its connection
+    /// is closed, and run items at back ends that were removed meanwhile.
     pub relay_client: Option<RelayClientFactory>,
 }
 
-/// Makes who asks relays, one for each kind.
+/// Creates a client of relays; one is needed for each kind.
 pub type RelayClientFactory = Rc<dyn Fn() -> RelayClient>;
 
 impl LeaderTasks {
-    /// Runs until the node ends.
+    /// Starts and stops the watches with leadership, until the node ends.
     pub async fn run(self) {
         let mut changes = self.journal.replica.changes();
         let mut tasks: Vec<Task> = Vec::new();
@@ -57,7 +57,7 @@
             }
             if !leads && !tasks.is_empty() {
                 tasks.clear();
-                self.forget();
+                self.discard();
             }
             let _ = timeout(INTERVAL, changes.changed()).await;
         }
@@ -65,8 +65,8 @@
 
     fn follow(&self) -> Vec<Task> {
         let options = WatchOptions {
-            max_wait: LONGEST_WAIT,
-            ..environment::watch_options(&self.objects, SPACING)
+            max_wait: MAX_WATCH_WAIT,
+            ..environment::watch_options(&self.objects, CHANGE_SPACING)
         };
         let store = &self.gateway.adapter.objects;
         let log = &self.gateway.log;
@@ -78,25 +78,25 @@
             options,
             renewal: Rc::default(),
         };
-        let nodes = watcher::follow(watcher(KIND), move |learned| registry.apply(learned));
+        let node_watch = watcher::follow(watcher(KIND), move |observed| registry.apply(observed));
         let (retirements, gateway) = (self.retirements.clone(), self.gateway.clone());
         let kind = self.gateway.adapter.decoder.retirement_kind();
-        let wishes = watcher::follow(watcher(kind), move |learned| {
-            retirements.apply(&gateway.adapter, &gateway.log, learned);
+        let retirement_watch = watcher::follow(watcher(kind), move |observed| {
+            retirements.apply(&gateway.adapter, &gateway.log, observed);
         });
-        let mut tasks = vec![Task::spawn(nodes), Task::spawn(wishes)];
-        if let Some(asker) = &self.relay_client {
-            let asker = asker.clone();
+        let mut tasks = vec![Task::spawn(node_watch), Task::spawn(retirement_watch)];
+        if let Some(relay_client) = &self.relay_client {
+            let relay_client = relay_client.clone();
             tasks.extend(environment::follow(&self.gateway, &self.objects, || {
-                asker()
+                relay_client()
             }));
         }
         tasks
     }
 
-    /// What is not followed any more must not be acted on.
-    fn forget(&self) {
-        self.retirements.unfollow();
+    /// Drops watched state, which must not be used once it is no longer updated.
+    fn discard(&self) {
+        self.retirements.stop_watching();
         if self.relay_client.is_some() {
             self.gateway.forget();
         }
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -1,5 +1,5 @@
-//! Upkeep of the replica on this node: registration, founding, placement, retirements, forgetting
-//! old jobs.
+//! Maintenance of the replica on this node: registration, founding, placement, retirement of nodes,
+//! removal of old jobs.
 
 use super::Journal;
 use super::group_manager::{GroupAction, GroupInput, GroupManager};
@@ -17,50 +17,50 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time between looks.
+/// Interval between two runs.
 const INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time that a job with nothing left to run is kept after its submission.
+/// Time after its submission for which a job with nothing left to run is kept.
 const RETENTION: Duration = Duration::from_secs(900);
 
-/// Time between commands that forget old jobs.
+/// Interval between commands that remove old jobs.
 const FORGET_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What upkeep needs beside the journal.
+/// Dependencies of the maintenance.
 pub struct MaintenanceTask {
-    /// The journal.
+    /// The journal with the replica.
     pub journal: Rc<Journal>,
-    /// The environment.
+    /// Adapter to the environment, for retirement objects.
     pub adapter: Adapter,
     /// This node.
     pub node: NodeName,
-    /// What this node registers.
+    /// What this node registers in the store.
     pub record: NodeRecord,
-    /// Nodes that are to be emptied.
+    /// Nodes to drain.
     pub retirements: Rc<Retirements>,
     /// Decides on the replicas of the group.
     pub manager: RefCell<GroupManager>,
 }
 
-/// Runs until the node ends.
-pub async fn run(upkeep: MaintenanceTask) {
+/// Runs the maintenance until the node ends.
+pub async fn run(task: MaintenanceTask) {
     let mut forget_at = Instant::now() + FORGET_INTERVAL;
     loop {
-        upkeep.look().await;
+        task.run_once().await;
         if Instant::now() >= forget_at {
             forget_at = Instant::now() + FORGET_INTERVAL;
-            upkeep.forget().await;
+            task.forget().await;
         }
         actix_rt::time::sleep(INTERVAL).await;
     }
 }
 
 impl MaintenanceTask {
-    async fn look(&self) {
+    async fn run_once(&self) {
         let registry = &self.journal.registry;
         let status = self.journal.replica.status();
         self.manager.borrow_mut().observe(Instant::now(), &status);
-        if self.misses_nodes(&status) || registry.is_unsettled() {
+        if self.needs_listing(&status) || registry.has_pending_write() {
             registry.refresh().await;
         }
         if !registry.is_listed() {
@@ -68,25 +68,26 @@
         }
         registry.register(&self.node, &self.record).await;
         if !status.holds_log {
-            self.found().await;
+            self.found_group().await;
         }
-        self.keep_group(&status).await;
+        self.maintain_group(&status).await;
         if status.leads {
             self.report().await;
         }
     }
 
-    /// Tells how far the emptying of nodes is. A quorum has to confirm first that this node leads: one that
-    /// stood still and was deposed would report a node as empty that the group rests on by now.
+    /// Reports the progress of draining nodes. First a quorum has to confirm that this node leads:
+    /// a leader that was suspended and deposed could report a node as drained that the group needs
+    /// again.
     async fn report(&self) {
-        if !self.retirements.wants_report() || self.journal.replica.read().await.is_err() {
+        if !self.retirements.has_unreported() || self.journal.replica.read().await.is_err() {
             return;
         }
         let status = self.journal.replica.status();
         let is_drained = |node: &NodeName| {
             let emptied =
-                |keeper: &mut GroupManager, view: &GroupInput| keeper.is_drained(view, node);
-            status.leads && self.with_view(&status, true, emptied)
+                |manager: &mut GroupManager, input: &GroupInput| manager.is_drained(input, node);
+            status.leads && self.with_input(&status, true, emptied)
         };
         let log = &self.journal.log;
         self.retirements
@@ -94,9 +95,9 @@
             .await;
     }
 
-    /// Does what the group's replicas need next.
-    async fn keep_group(&self, status: &GroupStatus) {
-        // Only the leader follows the wishes to empty nodes.
+    /// Performs the next step for the group's replicas.
+    async fn maintain_group(&self, status: &GroupStatus) {
+        // Only the leader watches the nodes to drain.
         let followed = status.leads;
         let mut step = self.step(status, followed);
         if step == GroupAction::ListLeaving {
@@ -111,49 +112,51 @@
             GroupAction::StepAside(heir) => replica.hand_over(heir).await,
             GroupAction::Record(record) => self.journal.registry.record_voters(&record).await,
             GroupAction::Change(change) => replica.change(change),
-            GroupAction::PassOver(disk, pause) => {
-                info!(self.journal.log, "journal: Disk passed over."; "disk" => %disk,
-                    "pause_ms" => pause.as_millis() as u64);
+            GroupAction::PassOver(disk, backoff) => {
+                info!(self.journal.log, "journal: Disk excluded."; "disk" => %disk,
+                    "pause_ms" => backoff.as_millis() as u64);
                 replica.change(MembershipChange::Remove(disk));
             }
             GroupAction::ContinueWith(survivors) => replica.continue_with(survivors),
             GroupAction::JoinHistory(history) => {
-                warn!(self.journal.log, "journal: Joins a later history."; "history" => history,
+                warn!(self.journal.log, "journal: Joining a later history."; "history" => history,
                     "former" => status.history, "led" => status.leads);
                 replica.join_history(history);
             }
         }
     }
 
-    fn step(&self, status: &GroupStatus, knows_leaving: bool) -> GroupAction {
+    fn step(&self, status: &GroupStatus, leaving_known: bool) -> GroupAction {
         let now = Instant::now();
-        self.with_view(status, knows_leaving, |keeper, view| keeper.step(now, view))
+        self.with_input(status, leaving_known, |manager, input| {
+            manager.step(now, input)
+        })
     }
 
-    /// Gives the keeper what is known now.
-    fn with_view<T>(
+    /// Passes the current state to the manager.
+    fn with_input<T>(
         &self,
         status: &GroupStatus,
-        knows_leaving: bool,
+        leaving_known: bool,
         decide: impl FnOnce(&mut GroupManager, &GroupInput) -> T,
     ) -> T {
         let registry = &self.journal.registry;
         let candidates = registry.candidates();
-        let leaving = self.retirements.leaving().filter(|_| knows_leaving);
+        let leaving = self.retirements.leaving().filter(|_| leaving_known);
         let recorded = registry.recorded_voters();
-        let view = GroupInput {
+        let input = GroupInput {
             node: &self.node,
             status,
             candidates: &candidates,
             leaving: leaving.as_ref(),
             recorded: recorded.as_ref(),
-            write_unconfirmed: registry.is_doubtful(),
+            write_unconfirmed: registry.has_unconfirmed_write(),
             listed_at: registry.last_listing(),
         };
-        decide(&mut self.manager.borrow_mut(), &view)
+        decide(&mut self.manager.borrow_mut(), &input)
     }
 
-    /// Lists the wishes to empty nodes. Returns whether they are known now.
+    /// Lists the nodes to drain. Returns whether they are known now.
     async fn list_leaving(&self) -> bool {
         let kind = self.adapter.decoder.retirement_kind();
         match self.adapter.objects.list(kind, None).await {
@@ -164,16 +167,16 @@
                 true
             }
             Err(error) => {
-                warn!(self.journal.log, "retirement: Not listed."; "reason" => %error);
+                warn!(self.journal.log, "retirement: Listing failed."; "reason" => %error);
                 false
             }
         }
     }
 
-    /// Whether the nodes are to be listed anew: this one is not listed as it is, or a replica knows no
-    /// leader, which may be at another address or on another node. A node without a replica is found by
-    /// the leader, and has nothing to look for once founders are named.
-    fn misses_nodes(&self, status: &GroupStatus) -> bool {
+    /// Returns whether the nodes have to be listed again: this node's record is missing or differs,
+    /// or a replica knows no leader, which may be on another node or have moved. A node without a
+    /// replica is contacted by the leader and needs no listing once founders are named.
+    fn needs_listing(&self, status: &GroupStatus) -> bool {
         let registry = &self.journal.registry;
         if status.leads {
             return false;
@@ -181,12 +184,12 @@
         if !registry.is_registered(&self.node, &self.record) {
             return true;
         }
-        let holds_part = status.holds_log || registry.founding().is_none();
-        holds_part && status.leader.is_none()
+        let has_replica = status.holds_log || registry.founding().is_none();
+        has_replica && status.leader.is_none()
     }
 
-    /// Takes part in the founding: the first of enough nodes names the founders.
-    async fn found(&self) {
+    /// Takes part in the founding: once there are enough nodes, the first one names the founders.
+    async fn found_group(&self) {
         let registry = &self.journal.registry;
         if let Some(founders) = registry.founding() {
             return self.journal.replica.found(founders);
@@ -196,12 +199,12 @@
         let first = candidates
             .iter()
             .min_by(|one, other| one.node.cmp(&other.node));
-        let Some(own) = first.filter(|one| enough && one.node == self.node) else {
+        let Some(local) = first.filter(|one| enough && one.node == self.node) else {
             return;
         };
-        let founders = placement::founders(&candidates, own, self.journal.policy.target_voters);
+        let founders = placement::founders(&candidates, local, self.journal.policy.target_voters);
         info!(self.journal.log, "journal: Naming founders."; "count" => founders.replicas.len());
-        registry.found(&founders).await;
+        registry.name_founders(&founders).await;
     }
 
     async fn forget(&self) {
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -1,8 +1,8 @@
-//! Nodes with a disk, and the founders of the journal, as objects in the store tell.
+//! Nodes with disks and the founders of the journal, as objects in the store.
 //!
-//! A node writes its own object once. The journal's leader reads them by watching, other nodes by
-//! listing when they miss something. The founding object is created
-//! once and never changed: who creates it decides.
+//! Each node writes its own object. The journal's leader watches the objects; other nodes list them
+//! when they need a record. The founding object is created once and never changed, so its creator
+//! determines the founders.
 
 use crate::list_watch::ObjectUpdate;
 use crate::refusals::RefusalLog;
@@ -23,97 +23,98 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Kind of the product's own objects.
+/// Kind of this product's objects.
 pub const KIND: &str = "firshore";
 
 const NODE_PREFIX: &str = "node.";
 const FOUNDING: &str = "group.0";
 const VOTERS: &str = "voters.0";
 
-/// Where nodes listen for peers, shared with the replica's thread.
+/// Peer addresses of nodes, shared with the replica's thread.
 pub type Addresses = Arc<RwLock<BTreeMap<NodeName, SocketAddr>>>;
 
-/// Revision at which the store lists this node as it is, 0 while that was not seen; shared with the
-/// replica's thread.
-pub type OwnRevision = Arc<AtomicU64>;
+/// Revision at which the store lists this node's current record, 0 until that was observed. Shared
+/// with the replica's thread.
+pub type LocalRevision = Arc<AtomicU64>;
 
-/// A node with a disk.
+/// Record of a node with a disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Where it listens for peers.
+    /// Peer address.
     pub address: SocketAddr,
-    /// Zone it stands in.
+    /// Zone of the node.
     pub zone: ZoneName,
     /// Identity of its disk.
     pub disk: DiskId,
 }
 
-/// Shortest time between two listings.
+/// Minimum time between two listings.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(1_000);
 
 #[derive(Debug, Default)]
-struct Known {
+struct RegistryState {
     listed: bool,
     nodes: BTreeMap<NodeName, (Revision, NodeRecord)>,
-    /// Nodes whose record cannot be read as it is now, and its revision. They are reached as listed before.
-    mangled: BTreeMap<NodeName, Revision>,
+    /// Nodes whose current record cannot be decoded, with its revision. They are reached at the
+    /// address listed before.
+    unreadable: BTreeMap<NodeName, Revision>,
     founding: Option<Membership>,
-    voters: KnownVoters,
-    /// Revision on which a write of the voters was conditional that was not answered.
-    doubtful: Option<Revision>,
-    /// Nodes that told where they listen themselves, and as of which revision.
-    heard: BTreeMap<NodeName, Revision>,
+    voters: VotersState,
+    /// Revision that an unconfirmed write of the voters was conditional on.
+    unconfirmed_write: Option<Revision>,
+    /// Revisions of the addresses that nodes have reported themselves.
+    reported: BTreeMap<NodeName, Revision>,
 }
 
 /// The voters of the journal, written before any change of them enters the log.
 ///
-/// Voters whose others are gone may go on without a quorum only if each group that may be in force
-/// leaves them one that holds everything. The record names these groups; as it changes by
-/// compare-and-set, of two that would go on only one can.
+/// Voters may continue without a quorum only if they intersect a quorum of each group that may be
+/// in force. The record names these groups. As it is changed by compare-and-set, only one of two
+/// sets of voters can continue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterRecord {
-    /// Voters.
+    /// The voters.
     pub voters: BTreeSet<DiskId>,
-    /// Whether the change that made them voters is known to be committed.
+    /// Whether the change to these voters is known to be committed.
     pub settled: bool,
-    /// Term of the one who wrote it. A leader writes it anew before it acts on it, so that what an earlier
-    /// one wrote without an answer cannot take effect afterwards.
+    /// Term of the writer. A leader writes the record again before it acts on it, so that an
+    /// unconfirmed write of an earlier leader cannot take effect afterwards.
     #[serde(default)]
     pub term: Term,
-    /// While that is not known: the voters that may be in force instead.
+    /// Voters that may be in force instead, while the record is not settled.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub before: Vec<BTreeSet<DiskId>>,
-    /// Disks that were gone for good before the newest group that names them became one: they never held
+    /// Disks that were lost before the newest group that names them was formed, and so never held
     /// anything that it committed.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub gone: BTreeSet<DiskId>,
-    /// The disk that the only voter went on without, while nothing was promised since: it may be whole,
-    /// and holds everything promised should the voter lose its own.
+    /// The disk that the only voter left behind, while nothing was accepted since. It may be
+    /// intact, and holds all accepted jobs if the voter's disk is lost.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub left_behind: Option<DiskId>,
-    /// History of the group's log in which they are the voters. Who was left behind goes on in the next one:
-    /// a replica of an earlier one promises nothing any more, as that needs this record.
+    /// History of the log in which these are the voters. A disk that was left behind continues in
+    /// the next one; a replica of an earlier history accepts nothing, as that needs this record.
     #[serde(default)]
     pub history: u64,
-    /// Whether these voters begin that history, and so leave the earlier one for good.
+    /// Whether these voters begin that history, leaving the earlier one for good.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub begins: bool,
 }
 
 impl VoterRecord {
-    /// Returns whether this disk is to begin the history, as one of its voters.
+    /// Returns whether this disk, as one of the voters, is to begin the history.
     pub fn is_begun_by(&self, disk: DiskId) -> bool {
         self.begins && !self.settled && self.voters.contains(&disk)
     }
 
-    /// Returns whether the record says which groups may be in force: one that was written before records
-    /// named them does not.
-    pub fn tells_groups(&self) -> bool {
+    /// Returns whether the record names the groups that may be in force. Records of earlier
+    /// versions don't.
+    pub fn names_groups(&self) -> bool {
         self.settled || self.term > 0
     }
 
-    /// Returns the disks that never held anything these voters committed: they were gone when this group, the
-    /// newest one that named them, was recorded.
+    /// Returns the disks that never held anything these voters committed, because they were lost
+    /// when this group was recorded and it is the newest one that names them.
     pub fn never_held(&self, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
         let newest = match self.voters.is_disjoint(&self.gone) {
             true => self.before.first(),
@@ -126,7 +127,7 @@
     }
 
     /// Returns each set of voters that may be in force.
-    pub fn possible(&self) -> Vec<BTreeSet<DiskId>> {
+    pub fn possible_voters(&self) -> Vec<BTreeSet<DiskId>> {
         let mut possible = vec![self.voters.clone()];
         if !self.settled {
             possible.extend(self.before.iter().cloned());
@@ -135,21 +136,21 @@
     }
 }
 
-/// What is known of the record of the voters.
+/// State of the record of voters.
 #[derive(Debug, Default)]
-enum KnownVoters {
-    /// None was listed.
+enum VotersState {
+    /// No record was listed.
     #[default]
     Absent,
-    /// As recorded at a revision.
+    /// The record at a revision.
     Recorded(Revision, VoterRecord),
-    /// It stands there and cannot be read: it may name anybody, so that nothing may follow from a former one,
-    /// and nobody writes over it.
+    /// The record cannot be decoded. It may name any voters, so no decision may rest on an earlier
+    /// one, and it must not be overwritten.
     Unreadable,
 }
 
-impl KnownVoters {
-    /// Returns the revision of the record, where one can be read.
+impl VotersState {
+    /// Returns the revision of the record, if it could be decoded.
     fn revision(&self) -> Option<Revision> {
         match self {
             Self::Recorded(revision, _) => Some(*revision),
@@ -158,37 +159,37 @@
     }
 }
 
-/// What the store lists.
+/// View of the nodes, founders and voters in the store.
 pub struct Registry {
     store: Rc<dyn ObjectStore>,
     log: Logger,
-    known: RefCell<Known>,
+    state: RefCell<RegistryState>,
     addresses: Addresses,
-    own_revision: OwnRevision,
+    local_revision: LocalRevision,
     refreshed_at: Cell<Option<Instant>>,
     listed_at: Cell<Option<std::time::Instant>>,
-    /// Something was written that no listing has shown yet.
-    unsettled: Cell<bool>,
+    /// Whether something was written that no listing has shown yet.
+    write_pending: Cell<bool>,
     refusals: RefCell<RefusalLog>,
 }
 
 impl Registry {
-    /// Nothing is known yet.
+    /// Creates an empty view.
     pub fn new(store: Rc<dyn ObjectStore>, log: Logger) -> Self {
         Self {
             store,
             log,
-            known: RefCell::default(),
+            state: RefCell::default(),
             addresses: Addresses::default(),
-            own_revision: OwnRevision::default(),
+            local_revision: LocalRevision::default(),
             refreshed_at: Cell::new(None),
             listed_at: Cell::new(None),
-            unsettled: Cell::new(false),
+            write_pending: Cell::new(false),
             refusals: RefCell::default(),
         }
     }
 
-    /// Lists the nodes anew, unless that was done a moment ago. Returns whether they were listed.
+    /// Lists the nodes again, unless that was done recently. Returns whether they were listed.
     pub async fn refresh(&self) -> bool {
         let now = Instant::now();
         let recent = |at: Instant| now.duration_since(at) < REFRESH_INTERVAL;
@@ -199,12 +200,12 @@
         match self.list().await {
             Ok(objects) => {
                 self.apply(ObjectUpdate::All(objects));
-                // What was listed was there when it was asked for.
+                // The listing shows at least the state at the time of the request.
                 self.listed_at.set(Some(now.into_std()));
                 true
             }
             Err(error) => {
-                warn!(self.log, "registry: Not listed."; "reason" => %error);
+                warn!(self.log, "registry: Listing failed."; "reason" => %error);
                 false
             }
         }
@@ -221,100 +222,104 @@
                 return Ok(objects);
             }
             if cursor <= after {
-                let reason = "more follow, and no name to ask for them after";
+                let reason = "more objects follow, and no name to continue after";
                 return Err(ObjectError::Unanswered(reason.to_owned()));
             }
             after = cursor;
         }
     }
 
-    /// Where nodes listen.
+    /// Returns the peer addresses of nodes, shared with the replica's thread.
     pub fn addresses(&self) -> Addresses {
         self.addresses.clone()
     }
 
-    /// Takes in where a node that writes to this one listens, as the store lists it at `revision`. It
-    /// is to be answered there, also while the store cannot be asked, or was asked before the node
-    /// came to be or moved. What is older than the listing known here is late and says nothing.
+    /// Records the address of a node that has sent a message, as listed in the store at `revision`.
+    /// Responses can then reach it even while the store is unreachable, or if it was added or moved
+    /// after the last listing. A revision older than the known listing is ignored.
     pub fn update_address(&self, node: &NodeName, address: SocketAddr, revision: Revision) {
         if self.addresses.read().get(node) == Some(&address) {
             return;
         }
-        let known = self.known.borrow();
-        let listed = known.nodes.get(node).map_or(0, |(listed, _)| *listed);
-        let heard = known.heard.get(node).copied().unwrap_or(0);
-        drop(known);
-        if revision <= listed || revision < heard {
+        let state = self.state.borrow();
+        let listed = state.nodes.get(node).map_or(0, |(listed, _)| *listed);
+        let reported = state.reported.get(node).copied().unwrap_or(0);
+        drop(state);
+        if revision <= listed || revision < reported {
             return;
         }
-        info!(self.log, "registry: Node heard."; "node" => %node, "address" => %address,
+        info!(self.log, "registry: Node address updated."; "node" => %node, "address" => %address,
             "revision" => revision);
-        self.known.borrow_mut().heard.insert(node.clone(), revision);
+        self.state
+            .borrow_mut()
+            .reported
+            .insert(node.clone(), revision);
         self.addresses.write().insert(node.clone(), address);
     }
 
     /// Returns the revision at which the store lists this node, shared with the replica's thread.
-    pub fn own_revision(&self) -> OwnRevision {
-        self.own_revision.clone()
+    pub fn local_revision(&self) -> LocalRevision {
+        self.local_revision.clone()
     }
 
-    /// Names of the nodes with a disk.
+    /// Returns the names of the nodes with disks.
     pub fn names(&self) -> Vec<NodeName> {
-        self.known.borrow().nodes.keys().cloned().collect()
+        self.state.borrow().nodes.keys().cloned().collect()
     }
 
-    /// Where a node listens.
+    /// Returns the peer address of a node.
     pub fn address(&self, node: &NodeName) -> Option<SocketAddr> {
-        let known = self.known.borrow();
-        known.nodes.get(node).map(|(_, record)| record.address)
+        let state = self.state.borrow();
+        state.nodes.get(node).map(|(_, record)| record.address)
     }
 
-    /// The founders of the journal, once they are named.
+    /// Returns the founders of the journal, once they are named.
     pub fn founding(&self) -> Option<Membership> {
-        self.known.borrow().founding.clone()
+        self.state.borrow().founding.clone()
     }
 
-    /// The voters as recorded last.
+    /// Returns the last recorded voters.
     pub fn recorded_voters(&self) -> Option<VoterRecord> {
-        match &self.known.borrow().voters {
-            KnownVoters::Recorded(_, record) => Some(record.clone()),
-            KnownVoters::Absent | KnownVoters::Unreadable => None,
+        match &self.state.borrow().voters {
+            VotersState::Recorded(_, record) => Some(record.clone()),
+            VotersState::Absent | VotersState::Unreadable => None,
         }
     }
 
-    /// Returns whether a write of the voters may still take effect that this node sent and that nobody
-    /// answered: until something else was written, nothing may rest on the record.
-    pub fn is_doubtful(&self) -> bool {
-        let known = self.known.borrow();
-        known.doubtful == Some(known.voters.revision().unwrap_or(0))
+    /// Returns whether an unconfirmed write of the voters by this node may still take effect. Until
+    /// the record has changed, no decision may rest on it.
+    pub fn has_unconfirmed_write(&self) -> bool {
+        let state = self.state.borrow();
+        state.unconfirmed_write == Some(state.voters.revision().unwrap_or(0))
     }
 
-    /// Records the voters, if nobody else has meanwhile. The next listing tells what was recorded.
+    /// Writes the voters, unless the record was changed since it was read. The next listing shows
+    /// the outcome.
     pub async fn record_voters(&self, record: &VoterRecord) {
-        if self.is_unsettled() {
+        if self.has_pending_write() {
             return;
         }
         let spec = serde_json::to_value(record).expect("records serialise");
-        if matches!(self.known.borrow().voters, KnownVoters::Unreadable) {
+        if matches!(self.state.borrow().voters, VotersState::Unreadable) {
             return;
         }
-        let known = self.known.borrow().voters.revision();
-        let written = match known {
+        let revision = self.state.borrow().voters.revision();
+        let written = match revision {
             None => self.store.create(KIND, VOTERS, spec).await,
             Some(revision) => self.store.replace(KIND, VOTERS, revision, spec).await,
         };
         info!(self.log, "registry: Recording voters."; "voters" => ?record.voters,
             "settled" => record.settled);
         if let Err(ObjectError::Unanswered(_)) = &written {
-            self.known.borrow_mut().doubtful = Some(known.unwrap_or(0));
+            self.state.borrow_mut().unconfirmed_write = Some(revision.unwrap_or(0));
         }
-        self.note("Voters recorded.", written);
+        self.record_write("Voters recorded.", written);
     }
 
-    /// Disks that could hold a replica.
+    /// Returns the disks that could hold a replica.
     pub fn candidates(&self) -> Vec<Candidate> {
-        let known = self.known.borrow();
-        let nodes = known.nodes.iter();
+        let state = self.state.borrow();
+        let nodes = state.nodes.iter();
         let candidates = nodes.map(|(node, (_, record))| Candidate {
             disk: record.disk,
             node: node.clone(),
@@ -323,68 +328,68 @@
         candidates.collect()
     }
 
-    /// Whether the store has been listed.
+    /// Returns whether the store has been listed.
     pub fn is_listed(&self) -> bool {
-        self.known.borrow().listed
+        self.state.borrow().listed
     }
 
-    /// Returns when the last listing that this node asked for began.
+    /// Returns when the last listing by this node began.
     pub fn last_listing(&self) -> Option<std::time::Instant> {
         self.listed_at.get()
     }
 
-    /// Whether a write waits for the listing that shows what became of it.
-    pub fn is_unsettled(&self) -> bool {
-        self.unsettled.get()
+    /// Returns whether a write awaits the listing that shows its outcome.
+    pub fn has_pending_write(&self) -> bool {
+        self.write_pending.get()
     }
 
-    /// Takes in what was observed.
-    pub fn apply(&self, learned: ObjectUpdate) {
-        self.unsettled.set(false);
-        match learned {
+    /// Applies an observation of the store.
+    pub fn apply(&self, observed: ObjectUpdate) {
+        self.write_pending.set(false);
+        match observed {
             ObjectUpdate::All(objects) => {
-                self.known.borrow_mut().mangled.clear();
+                self.state.borrow_mut().unreadable.clear();
                 for object in &objects {
-                    self.take(object);
+                    self.apply_object(object);
                 }
                 let listed: BTreeSet<&str> = objects.iter().map(|one| one.name.as_str()).collect();
-                let mut known = self.known.borrow_mut();
-                known.listed = true;
-                known
+                let mut state = self.state.borrow_mut();
+                state.listed = true;
+                state
                     .nodes
                     .retain(|node, _| listed.contains(format!("{NODE_PREFIX}{node}").as_str()));
             }
             ObjectUpdate::Changed(changes) => {
                 for change in changes {
                     match change {
-                        Change::Written(object) => self.take(&object),
+                        Change::Written(object) => self.apply_object(&object),
                         Change::Removed(name) => self.forget(&name),
                     }
                 }
             }
         }
-        let known = self.known.borrow();
-        let nodes = known.nodes.iter();
+        let state = self.state.borrow();
+        let nodes = state.nodes.iter();
         *self.addresses.write() = nodes
             .map(|(name, (_, record))| (name.clone(), record.address))
             .collect();
     }
 
-    fn take(&self, object: &Object) {
-        let mut known = self.known.borrow_mut();
+    fn apply_object(&self, object: &Object) {
+        let mut state = self.state.borrow_mut();
         if object.name == FOUNDING {
             match Membership::deserialize(&object.spec) {
-                Ok(founding) => known.founding = Some(founding),
+                Ok(founding) => state.founding = Some(founding),
                 Err(error) => self.refuse(object, "Founders unreadable.", &error),
             }
             return;
         }
         if object.name == VOTERS {
-            known.voters = match VoterRecord::deserialize(&object.spec) {
-                Ok(record) => KnownVoters::Recorded(object.revision, record),
+            state.voters = match VoterRecord::deserialize(&object.spec) {
+                Ok(record) => VotersState::Recorded(object.revision, record),
                 Err(error) => {
                     self.refuse(object, "Voters unreadable.", &error);
-                    KnownVoters::Unreadable
+                    VotersState::Unreadable
                 }
             };
             return;
@@ -394,17 +399,17 @@
         };
         match NodeRecord::deserialize(&object.spec) {
             Ok(record) => {
-                let before = known.nodes.get(&NodeName::from(name));
+                let before = state.nodes.get(&NodeName::from(name));
                 if before.is_none_or(|(_, before)| *before != record) {
-                    info!(self.log, "registry: Node."; "node" => name, "disk" => %record.disk,
+                    info!(self.log, "registry: Node listed."; "node" => name, "disk" => %record.disk,
                         "address" => %record.address, "revision" => object.revision);
                 }
-                known.mangled.remove(&NodeName::from(name));
-                known.nodes.insert(name.into(), (object.revision, record));
+                state.unreadable.remove(&NodeName::from(name));
+                state.nodes.insert(name.into(), (object.revision, record));
             }
             Err(error) => {
                 self.refuse(object, "Node unreadable.", &error);
-                known.mangled.insert(name.into(), object.revision);
+                state.unreadable.insert(name.into(), object.revision);
             }
         }
     }
@@ -412,76 +417,76 @@
     fn refuse(&self, object: &Object, what: &'static str, error: &serde_json::Error) {
         let now = firshore_clock::now();
         let mut refusals = self.refusals.borrow_mut();
-        if let Some(untold) = refusals.admit(now, &object.name, object.revision) {
+        if let Some(suppressed) = refusals.admit(now, &object.name, object.revision) {
             warn!(self.log, "registry: {}", what; "object" => &object.name,
-                "revision" => object.revision, "reason" => brief(error), "untold" => untold);
+                "revision" => object.revision, "reason" => brief(error), "untold" => suppressed);
         }
     }
 
     fn forget(&self, object: &str) {
         if let Some(name) = object.strip_prefix(NODE_PREFIX) {
-            let mut known = self.known.borrow_mut();
-            known.nodes.remove(&NodeName::from(name));
-            known.mangled.remove(&NodeName::from(name));
+            let mut state = self.state.borrow_mut();
+            state.nodes.remove(&NodeName::from(name));
+            state.unreadable.remove(&NodeName::from(name));
         }
     }
 
-    /// Whether the store lists this record.
+    /// Returns whether the store lists exactly this record.
     pub fn is_registered(&self, node: &NodeName, record: &NodeRecord) -> bool {
-        let known = self.known.borrow();
-        let listed = known
+        let state = self.state.borrow();
+        let listed = state
             .nodes
             .get(node)
-            .filter(|_| !known.mangled.contains_key(node));
+            .filter(|_| !state.unreadable.contains_key(node));
         listed.is_some_and(|(_, listed)| listed == record)
     }
 
-    /// Writes a node's own record, if the store does not list it as it is.
+    /// Writes a node's own record, unless the store lists it already.
     pub async fn register(&self, node: &NodeName, record: &NodeRecord) {
-        if self.is_unsettled() {
+        if self.has_pending_write() {
             return;
         }
         if self.is_registered(node, record) {
-            let known = self.known.borrow();
-            let listed = known.nodes.get(node).map_or(0, |(listed, _)| *listed);
-            return self.own_revision.store(listed, Ordering::Relaxed);
+            let state = self.state.borrow();
+            let listed = state.nodes.get(node).map_or(0, |(listed, _)| *listed);
+            return self.local_revision.store(listed, Ordering::Relaxed);
         }
         let listed = self.listed_at(node);
-        self.own_revision.store(0, Ordering::Relaxed);
+        self.local_revision.store(0, Ordering::Relaxed);
         let name = format!("{NODE_PREFIX}{node}");
         let spec = serde_json::to_value(record).expect("records serialise");
         let written = match listed {
             None => self.store.create(KIND, &name, spec).await,
             Some(revision) => self.store.replace(KIND, &name, revision, spec).await,
         };
-        self.note("Node registered.", written);
+        self.record_write("Node registered.", written);
     }
 
-    /// Revision at which a node's record stands in the store, whether it can be read or not: a node whose
-    /// record somebody else has mangled writes it anew.
+    /// Returns the revision of a node's record, whether it can be decoded or not. A node whose
+    /// record cannot be decoded writes it again.
     fn listed_at(&self, node: &NodeName) -> Option<Revision> {
-        let known = self.known.borrow();
-        let readable = known.nodes.get(node).map(|(revision, _)| *revision);
-        known.mangled.get(node).copied().or(readable)
+        let state = self.state.borrow();
+        let readable = state.nodes.get(node).map(|(revision, _)| *revision);
+        state.unreadable.get(node).copied().or(readable)
     }
 
-    /// Names the founders, unless somebody has.
-    pub async fn found(&self, founders: &Membership) {
-        if self.is_unsettled() {
+    /// Names the founders, unless they are named already.
+    pub async fn name_founders(&self, founders: &Membership) {
+        if self.has_pending_write() {
             return;
         }
         let spec = serde_json::to_value(founders).expect("memberships serialise");
         let created = self.store.create(KIND, FOUNDING, spec).await;
-        self.note("Founders named.", created);
+        self.record_write("Founders named.", created);
     }
 
-    /// The store's own listing, not the answer, tells what was done.
-    fn note(&self, what: &'static str, written: Result<(), ObjectError>) {
-        self.unsettled.set(true);
+    /// Records a write; its outcome is taken from the next listing, not from the response.
+    fn record_write(&self, what: &'static str, written: Result<(), ObjectError>) {
+        self.write_pending.set(true);
         self.refreshed_at.set(None);
         match written {
             Ok(()) => info!(self.log, "registry: {}", what),
-            Err(error) => warn!(self.log, "registry: Not written."; "what" => what,
+            Err(error) => warn!(self.log, "registry: Write failed."; "what" => what,
                 "reason" => %error),
         }
     }
--- a/crates/firshore-node/src/journal/retirement.rs
+++ b/crates/firshore-node/src/journal/retirement.rs
@@ -1,4 +1,4 @@
-//! Nodes that operators want emptied, and how far that is.
+//! Nodes that operators are draining, and the progress of that.
 
 use super::group_manager::LeavingNodes;
 use crate::list_watch::ObjectUpdate;
@@ -12,50 +12,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
-struct Wish {
+struct RetirementRequest {
     revision: Revision,
     retirement: Retirement,
-    /// Progress that was written last by this node.
+    /// Progress that this node reported last.
     written: Option<RetirementProgress>,
-    /// Whether this node sent that it is done: without an answer that may take effect seconds later, and the
-    /// machine goes then, so its disk must not be taken in meanwhile.
+    /// Whether this node sent that the node is drained. An unconfirmed report may take effect
+    /// seconds later; the machine is then removed, so its disk must not be added meanwhile.
     sent_done: bool,
-    /// Whether the wish can be read as it stands there now: nothing is reported where it cannot.
+    /// Whether the current object can be decoded; otherwise no progress is reported.
     readable: bool,
 }
 
-/// Wishes to empty nodes, as the store lists them.
+/// Requests to drain nodes, as the store lists them.
 #[derive(Debug, Default)]
 pub struct Retirements {
-    wishes: RefCell<BTreeMap<NodeName, Wish>>,
+    requests: RefCell<BTreeMap<NodeName, RetirementRequest>>,
     refusals: RefCell<RefusalLog>,
-    /// Whether they were listed since this node follows them.
+    /// Whether they were listed since this node watches them.
     listed: Cell<bool>,
 }
 
 impl Retirements {
-    /// Takes in what was observed.
-    pub fn apply(&self, adapter: &Adapter, log: &Logger, learned: ObjectUpdate) {
-        match learned {
+    /// Applies an observation of the store.
+    pub fn apply(&self, adapter: &Adapter, log: &Logger, observed: ObjectUpdate) {
+        match observed {
             ObjectUpdate::All(objects) => {
                 self.listed.set(true);
                 let listed: BTreeSet<&str> = objects.iter().map(|one| one.name.as_str()).collect();
-                let mut wishes = self.wishes.borrow_mut();
-                wishes.retain(|node, _| listed.contains(node.as_str()));
-                for wish in wishes.values_mut() {
-                    wish.written = None;
+                let mut requests = self.requests.borrow_mut();
+                requests.retain(|node, _| listed.contains(node.as_str()));
+                for request in requests.values_mut() {
+                    request.written = None;
                 }
-                drop(wishes);
+                drop(requests);
                 for object in &objects {
-                    self.take(adapter, log, object);
+                    self.apply_object(adapter, log, object);
                 }
             }
             ObjectUpdate::Changed(changes) => {
                 for change in changes {
                     match change {
-                        Change::Written(object) => self.take(adapter, log, &object),
+                        Change::Written(object) => self.apply_object(adapter, log, &object),
                         Change::Removed(name) => {
-                            self.wishes.borrow_mut().remove(&NodeName(name));
+                            self.requests.borrow_mut().remove(&NodeName(name));
                         }
                     }
                 }
@@ -63,58 +63,57 @@
         }
     }
 
-    fn take(&self, adapter: &Adapter, log: &Logger, object: &Object) {
+    fn apply_object(&self, adapter: &Adapter, log: &Logger, object: &Object) {
         match adapter.decoder.retirement(object) {
             Ok(retirement) => {
                 info!(log, "retirement: Listed."; "node" => &retirement.node,
                     "done" => retirement.done, "revision" => object.revision);
                 let node = NodeName(retirement.node.clone());
-                let mut wishes = self.wishes.borrow_mut();
-                let known = wishes.get(&node);
-                let written = known.and_then(|wish| wish.written);
-                let sent_done = known.is_some_and(|wish| wish.sent_done);
-                let wish = Wish {
+                let mut requests = self.requests.borrow_mut();
+                let known = requests.get(&node);
+                let written = known.and_then(|request| request.written);
+                let sent_done = known.is_some_and(|request| request.sent_done);
+                let request = RetirementRequest {
                     revision: object.revision,
                     retirement,
                     written,
                     sent_done,
                     readable: true,
                 };
-                wishes.insert(node, wish);
+                requests.insert(node, request);
             }
-            // A node that was to be emptied stays so: it must not be filled again meanwhile.
+            // The node stays marked for draining, so that no replica is added to it meanwhile.
             Err(error) => {
-                if let Some(wish) = self
-                    .wishes
+                if let Some(request) = self
+                    .requests
                     .borrow_mut()
                     .get_mut(&NodeName(object.name.clone()))
                 {
-                    wish.readable = false;
+                    request.readable = false;
                 }
                 let mut refusals = self.refusals.borrow_mut();
                 let admitted = refusals.admit(firshore_clock::now(), &object.name, object.revision);
-                if let Some(untold) = admitted {
-                    warn!(log, "retirement: Unreadable."; "revision" => object.revision,
-                        "reason" => %error, "untold" => untold);
+                if let Some(suppressed) = admitted {
+                    warn!(log, "retirement: Object unreadable."; "revision" => object.revision,
+                        "reason" => %error, "untold" => suppressed);
                 }
             }
         }
     }
 
-    /// Takes in that they are not followed any more: what is known says nothing of later wishes.
-    pub fn unfollow(&self) {
+    /// Marks the requests as no longer watched: later ones are not known.
+    pub fn stop_watching(&self) {
         self.listed.set(false);
     }
 
-    /// Returns the nodes that are to be emptied, those that are empty included; `None` while they are not
-    /// followed.
+    /// Returns the nodes to drain, including drained ones; `None` while they are not watched.
     pub fn leaving(&self) -> Option<LeavingNodes> {
         if !self.listed.get() {
             return None;
         }
         let mut leaving = LeavingNodes::default();
-        for (node, wish) in self.wishes.borrow().iter() {
-            match wish.retirement.done || wish.sent_done {
+        for (node, request) in self.requests.borrow().iter() {
+            match request.retirement.done || request.sent_done {
                 true => leaving.done.insert(node.clone()),
                 false => leaving.open.insert(node.clone()),
             };
@@ -122,58 +121,58 @@
         Some(leaving)
     }
 
-    /// Returns whether a node is to be emptied of which that is not reported yet.
-    pub fn wants_report(&self) -> bool {
-        let wishes = self.wishes.borrow();
-        wishes.values().any(|wish| !wish.retirement.done)
+    /// Returns whether any node is not yet reported as drained.
+    pub fn has_unreported(&self) -> bool {
+        let requests = self.requests.borrow();
+        requests.values().any(|request| !request.retirement.done)
     }
 
-    /// Tells the operators how far the emptying is. Called by the leader only: it is done once nothing
-    /// needs the node any more.
+    /// Reports the progress of draining in the store. Called by the leader only. A node is drained
+    /// once accepted jobs no longer need its disk.
     pub async fn report(
         &self,
         adapter: &Adapter,
         log: &Logger,
         is_drained: impl Fn(&NodeName) -> bool,
     ) {
-        let wishes = self.wishes.borrow().clone();
-        for (node, wish) in wishes
+        let requests = self.requests.borrow().clone();
+        for (node, request) in requests
             .iter()
-            .filter(|(_, wish)| wish.readable && !wish.retirement.done)
+            .filter(|(_, request)| request.readable && !request.retirement.done)
         {
             let progress = match is_drained(node) {
                 true => RetirementProgress::Done,
                 false => RetirementProgress::Running,
             };
-            if wish.written == Some(progress) {
+            if request.written == Some(progress) {
                 continue;
             }
             if progress == RetirementProgress::Done {
-                self.note_sent(node, true);
+                self.record_done_sent(node, true);
             }
             let status = adapter.decoder.retirement_status(progress);
             let kind = adapter.decoder.retirement_kind();
             let written = adapter
                 .objects
-                .replace_status(kind, node.as_str(), wish.revision, status)
+                .replace_status(kind, node.as_str(), request.revision, status)
                 .await;
             info!(log, "retirement: Reported."; "node" => %node, "progress" => ?progress,
                 "written" => written.is_ok());
             match written {
                 Ok(()) => {
-                    if let Some(wish) = self.wishes.borrow_mut().get_mut(node) {
-                        wish.written = Some(progress);
+                    if let Some(request) = self.requests.borrow_mut().get_mut(node) {
+                        request.written = Some(progress);
                     }
                 }
                 Err(ObjectError::Unanswered(_)) => {}
-                Err(_) => self.note_sent(node, false),
+                Err(_) => self.record_done_sent(node, false),
             }
         }
     }
 
-    fn note_sent(&self, node: &NodeName, done: bool) {
-        if let Some(wish) = self.wishes.borrow_mut().get_mut(node) {
-            wish.sent_done = done;
+    fn record_done_sent(&self, node: &NodeName, done: bool) {
+        if let Some(request) = self.requests.borrow_mut().get_mut(node) {
+            request.sent_done = done;
         }
     }
 }
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -1,6 +1,6 @@
-//! Answers peers about jobs, on the node whose replica leads.
+//! Serves peers; requests about jobs on the node whose replica leads.
 
-use super::client::{JournalClient, TRY_TIMEOUT};
+use super::client::{ATTEMPT_TIMEOUT, JournalClient};
 use super::messages::{PeerRequest, PeerResponse};
 use super::missing_results::MissingResults;
 use super::pending_submissions::PendingSubmissions;
@@ -37,80 +37,79 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes of results in one answer, beyond which it ends. Several answers are made at once, each of
-/// which holds its texts as read, as decoded and as sent.
+/// Size limit of the results in one response, in bytes. Several responses are built at once, each
+/// of which holds its texts as read, decoded and sent.
 const RESULT_BYTES: usize = 256 * 1024;
 
-/// Pause of an answer for which there is no memory yet: those before it are sent within some
-/// milliseconds.
-const RESULTS_PAUSE: Duration = Duration::from_millis(10);
+/// Interval between checks for free memory; earlier responses are sent within some milliseconds.
+const RESULTS_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest wait for a result that is granted.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// Maximum wait for a result.
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Exchanges of loads that the leader answers in a second, however many nodes there are.
+/// Load reports that the leader handles per second, however many nodes there are.
 const EXCHANGES_PER_SECOND: u64 = 600;
 
-/// Shortest time between two exchanges of one node.
-const LEAST_EXCHANGE_PAUSE: Duration = Duration::from_millis(15);
+/// Minimum interval between two load reports of a node.
+const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Time until a node is to tell again, when `nodes` of them do.
-fn exchange_pause(nodes: usize) -> Duration {
+/// Returns the interval between a node's reports when `nodes` of them report.
+fn exchange_interval(nodes: usize) -> Duration {
     let fair = Duration::from_millis(1_000 * nodes as u64 / EXCHANGES_PER_SECOND);
-    fair.max(LEAST_EXCHANGE_PAUSE)
+    fair.max(MIN_EXCHANGE_INTERVAL)
 }
 
-/// What a node with a replica answers.
-pub(super) struct Service {
+/// Handles requests of peers on a node with a replica.
+pub(super) struct PeerService {
     pub(super) replica: Rc<Replica>,
     pub(super) loads: Rc<ClusterLoad>,
     pub(super) progress: Rc<RefCell<ProgressStore>>,
     pub(super) registry: Rc<Registry>,
-    /// Replicas without which nothing is promised.
-    pub(super) least: usize,
+    /// Number of disks required by the durability guarantee.
+    pub(super) min_disks: usize,
     pub(super) relay: Rc<Relay>,
     pub(super) load_relay: Rc<LoadRelay>,
-    /// The journal as this node asks it on behalf of others.
+    /// Client of the journal, for requests on behalf of other nodes.
     pub(super) jobs: Rc<JournalClient>,
     pub(super) ledger: MemoryLedger,
     pub(super) budget: MemoryBudget,
-    /// Back ends that ended, as this node knows.
+    /// Crashes of back ends that this node knows.
     pub(super) crashes: Rc<CrashMonitor>,
-    /// Told of results that cannot be read.
+    /// Logs results that cannot be read.
     pub(super) missing: Rc<MissingResults>,
-    /// Jobs that are being committed.
+    /// Jobs whose commit is pending.
     pub(super) submissions: PendingSubmissions,
     pub(super) log: Logger,
 }
 
-/// What nodes have under way, and a wake-up for whoever acts on it.
+/// Requests in flight at back ends, as reported by nodes, with notifications of reports.
 pub struct ClusterLoad {
-    /// What nodes told.
+    /// Reports of other nodes.
     pub table: RefCell<LoadTable>,
     /// Items of this node at each back end.
     pub local: RefCell<HashMap<BackendName, u32>>,
-    /// What back ends told them of their pace.
+    /// Paces of back ends, as reported by nodes.
     paces: RefCell<PaceTable>,
-    /// How online requests of all nodes pressed, until the runner of items takes it.
+    /// Pressure of online requests of all nodes, until the item runner takes it.
     pub pressure: RefCell<PressureCounter>,
-    /// Woken when a node has told.
+    /// Notified of each report.
     pub reported: Notify,
-    /// Woken when a node's requests have found no free slot.
+    /// Notified when a node's requests found no free slot.
     pub crowded: Notify,
-    /// What tenants may still ask, as of the term in which this node leads.
+    /// Remaining limits of tenants, for the term in which this node leads.
     ledger: RefCell<Option<TermLedger>>,
-    /// Span over which rates of tenants are counted.
+    /// Time span over which rates of tenants are counted.
     rate_span: Duration,
 }
 
-/// The buckets of tenants that a leader keeps: those of an earlier term are out of date.
+/// Limits of tenants as kept by the leader of a term; outdated in later terms.
 struct TermLedger {
     term: u64,
     ledger: UsageLedger,
 }
 
 impl ClusterLoad {
-    /// Nothing was told yet. Rates of tenants are counted over `rate_span`.
+    /// Creates an empty table. Rates of tenants are counted over `rate_span`.
     pub fn new(rate_span: Duration) -> Self {
         Self {
             table: RefCell::default(),
@@ -124,38 +123,38 @@
         }
     }
 
-    /// Takes in what a node told, and answers with what all others have under way. `term` is the one in
-    /// which this node leads.
-    fn exchange(&self, term: u64, node: NodeName, told: NodeLoadReport) -> PeerResponse {
+    /// Records a node's report and returns the load of all others. `term` is the one in which this
+    /// node leads.
+    fn exchange(&self, term: u64, node: NodeName, report: NodeLoadReport) -> PeerResponse {
         let now = firshore_clock::now().into_std();
-        let news = told
+        let news = report
             .uses
-            .map(|uses| self.take_in_uses(now, term, &node, &uses));
-        self.pressure.borrow_mut().add_reported(&told.pressures);
+            .map(|uses| self.record_usage(now, term, &node, &uses));
+        self.pressure.borrow_mut().add_reported(&report.pressures);
         let mut table = self.table.borrow_mut();
-        table.record(now, node.clone(), told.counts);
+        table.record(now, node.clone(), report.counts);
         let mut others = table.others(&node);
         for (backend, count) in self.local.borrow().iter() {
             *others.entry(backend.clone()).or_default() += count;
         }
-        let asker = PaceSource::Node(node);
+        let client = PaceSource::Node(node);
         let mut paces = self.paces.borrow_mut();
-        paces.record(now, &asker, told.paces);
+        paces.record(now, &client, report.paces);
         self.reported.notify_one();
-        if told.urgent {
+        if report.urgent {
             self.crowded.notify_one();
         }
         PeerResponse::Load {
             counts: as_counts(others),
-            pause: exchange_pause(table.nodes()).as_millis() as u64,
+            pause: exchange_interval(table.nodes()).as_millis() as u64,
             age: 0,
             leader: None,
             news,
-            paces: paces.take_updates(now, &asker),
+            paces: paces.take_updates(now, &client),
         }
     }
 
-    fn take_in_uses(
+    fn record_usage(
         &self,
         now: std::time::Instant,
         term: u64,
@@ -173,57 +172,57 @@
     }
 }
 
-impl Service {
-    /// Takes in what items of the leader's have produced.
-    fn progress(&self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> PeerResponse {
-        let mut keeper = self.progress.borrow_mut();
-        let gaps = keeper.apply(leadership, deltas);
+impl PeerService {
+    /// Records output of items that the leader runs.
+    fn record_progress(&self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> PeerResponse {
+        let mut store = self.progress.borrow_mut();
+        let gaps = store.apply(leadership, deltas);
         let state = self.replica.applied_state();
         let state = state.read();
-        keeper.keep(|(job, index)| state.is_open(job, *index));
+        store.keep(|(job, index)| state.is_open(job, *index));
         PeerResponse::Gaps(gaps)
     }
 
-    /// Takes in what a node has under way: the leader what all tell it, other nodes what the nodes tell
-    /// for which they are a relay.
-    fn load(&self, node: NodeName, told: NodeLoadReport, sums: bool) -> PeerResponse {
+    /// Handles a load report: the leader accepts all, other nodes those of nodes that they are a
+    /// relay for.
+    fn exchange_load(&self, node: NodeName, report: NodeLoadReport, sums: bool) -> PeerResponse {
         let status = self.replica.status();
         if status.leads {
-            return self.loads.exchange(status.term, node, told);
+            return self.loads.exchange(status.term, node, report);
         }
         let leader = self.jobs.leader().or_else(|| status.leader.clone());
         let now = firshore_clock::now().into_std();
         let relayed = match sums {
             true => None,
-            false => self.load_relay.exchange(now, node, told),
+            false => self.load_relay.exchange(now, node, report),
         };
         match relayed {
             None => PeerResponse::Refused(JournalRefusal::NotLeader { leader }),
             Some(relayed) => PeerResponse::Load {
                 counts: relayed.others,
-                pause: exchange_pause(relayed.nodes).as_millis() as u64,
+                pause: exchange_interval(relayed.nodes).as_millis() as u64,
                 age: relayed.age.as_millis() as u64,
                 leader,
-                news: relayed.news,
+                news: relayed.usage,
                 paces: relayed.paces,
             },
         }
     }
 
-    /// Takes a job in, unless the memory for jobs is used up. One that is known already is taken in
-    /// again: it costs nothing.
+    /// Accepts a job, unless the memory for jobs is used up. A known job is always accepted again,
+    /// as it needs no memory.
     fn submit(
         &self,
         header: JobHeader,
         items: Vec<JobItem>,
     ) -> LocalBoxFuture<'static, PeerResponse> {
-        // A node asks again before a slow commit has ended. Written once more for each try, a job grows
-        // the log the faster the slower it is committed.
+        // A client retries before a slow commit has ended. Proposing the job again with each
+        // attempt would grow the log, and slow commits down further.
         let status = self.replica.status();
         let (leads, term) = (status.leads, status.term);
         let pending = self.submissions.pending(term, &header.job);
         if let Some(pending) = pending.filter(|_| leads) {
-            return pending.map(settled).boxed_local();
+            return pending.map(commit_response).boxed_local();
         }
         let bytes = items.iter().map(JobItem::held_bytes).sum();
         let state = self.replica.applied_state();
@@ -250,11 +249,11 @@
             outcome
         };
         let pending = self.submissions.begin(term, job, committing.boxed_local());
-        pending.map(settled).boxed_local()
+        pending.map(commit_response).boxed_local()
     }
 }
 
-impl Handler<PeerRequest, PeerResponse> for Service {
+impl Handler<PeerRequest, PeerResponse> for PeerService {
     fn notice(&self, request: PeerRequest) {
         match request {
             PeerRequest::Replication {
@@ -278,7 +277,7 @@
     fn answer(&self, request: PeerRequest) -> LocalBoxFuture<'static, PeerResponse> {
         let replica = self.replica.clone();
         if let PeerRequest::Progress { leadership, deltas } = request {
-            return std::future::ready(self.progress(leadership, deltas)).boxed_local();
+            return std::future::ready(self.record_progress(leadership, deltas)).boxed_local();
         }
         if let PeerRequest::Load {
             node,
@@ -290,15 +289,15 @@
             paces,
         } = request
         {
-            let told = NodeLoadReport {
+            let report = NodeLoadReport {
                 counts,
                 urgent,
                 pressures,
                 uses,
                 paces,
             };
-            let answer = self.load(node, told, sums);
-            return std::future::ready(answer).boxed_local();
+            let response = self.exchange_load(node, report, sums);
+            return std::future::ready(response).boxed_local();
         }
         let relay = self.relay.clone();
         let crashes = self.crashes.clone();
@@ -319,13 +318,13 @@
                     .boxed_local();
             }
             PeerRequest::Crashes(question) => {
-                let answer = PeerResponse::Crashes(self.crashes.handle_request(&question));
-                return std::future::ready(answer).boxed_local();
+                let response = PeerResponse::Crashes(self.crashes.handle_request(&question));
+                return std::future::ready(response).boxed_local();
             }
             _ => {}
         }
-        if request.changes() && !super::is_durable(&replica, self.least) {
-            // Too few disks to keep a promise on; others may have them soon.
+        if request.is_mutation() && !super::is_durable(&replica, self.min_disks) {
+            // Too few disks for the durability guarantee; another leader may have enough.
             let refusal = JournalRefusal::NotLeader { leader: None };
             return std::future::ready(PeerResponse::Refused(refusal)).boxed_local();
         }
@@ -334,20 +333,20 @@
             ledger: self.ledger.clone(),
             budget: self.budget,
             missing: self.missing.clone(),
-            least: self.least,
+            min_disks: self.min_disks,
         };
         match request {
             PeerRequest::Submit { header, items } => self.submit(header, items),
             request => async move {
-                let answered = answer(&replica, &reader, request).await;
-                answered.unwrap_or_else(PeerResponse::Refused)
+                let response = respond(&replica, &reader, request).await;
+                response.unwrap_or_else(PeerResponse::Refused)
             }
             .boxed_local(),
         }
     }
 }
 
-async fn answer(
+async fn respond(
     replica: &Replica,
     reader: &ResultReader,
     request: PeerRequest,
@@ -355,9 +354,9 @@
     match request {
         PeerRequest::End { job } => propose(replica, Action::End { job }).await,
         PeerRequest::Results { job, from, wait } => {
-            let wait = Duration::from_millis(wait).min(LONGEST_WAIT);
-            let deadline = Instant::now() + wait + TRY_TIMEOUT;
-            let listed = listed(replica, reader.least, &job, from, wait).await?;
+            let wait = Duration::from_millis(wait).min(MAX_WAIT);
+            let deadline = Instant::now() + wait + ATTEMPT_TIMEOUT;
+            let listed = list_results(replica, reader.min_disks, &job, from, wait).await?;
             reader.results(&job, listed, deadline).await
         }
         PeerRequest::Body { job, item } => {
@@ -377,10 +376,10 @@
 }
 
 async fn propose(replica: &Replica, action: Action) -> Result<PeerResponse, JournalRefusal> {
-    answered(replica.propose(action.into()).await?)
+    outcome_response(replica.propose(action.into()).await?)
 }
 
-fn answered(outcome: Outcome) -> Result<PeerResponse, JournalRefusal> {
+fn outcome_response(outcome: Outcome) -> Result<PeerResponse, JournalRefusal> {
     match outcome {
         Outcome::Done => Ok(PeerResponse::Done),
         Outcome::UnknownJob => Ok(PeerResponse::UnknownJob),
@@ -388,16 +387,16 @@
     }
 }
 
-fn settled(committed: Result<Outcome, JournalRefusal>) -> PeerResponse {
+fn commit_response(committed: Result<Outcome, JournalRefusal>) -> PeerResponse {
     committed
-        .and_then(answered)
+        .and_then(outcome_response)
         .unwrap_or_else(PeerResponse::Refused)
 }
 
-/// The results at a position, once there is one or the wait is over.
-async fn listed(
+/// Returns the results at a position, once there is one or the wait is over.
+async fn list_results(
     replica: &Replica,
-    least: usize,
+    min_disks: usize,
     job: &str,
     from: u64,
     wait: Duration,
@@ -405,15 +404,16 @@
     let mut changes = replica.changes();
     let mut state = replica.read().await?;
     let deadline = Instant::now() + wait;
-    // What this replica applies meanwhile is committed, so while it leads a group that keeps promises it may
-    // be shown without asking again. One that joins a later history takes back what it committed alone.
-    while waits(&state, job, from) {
+    // While this replica leads a group that is large enough, what it applies is committed and may
+    // be shown without another quorum read. A replica that joins a later history discards what it
+    // committed alone.
+    while awaits_results(&state, job, from) {
         let changed = timeout_at(deadline, changes.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
             break;
         }
         let status = replica.status();
-        if !status.leads || !may_show(&status.membership, &status.committed_membership, least) {
+        if !status.leads || !may_show(&status.membership, &status.committed_membership, min_disks) {
             return Err(JournalRefusal::NotLeader { leader: None });
         }
         state = replica.applied_state();
@@ -422,14 +422,14 @@
     Ok(listed)
 }
 
-/// Reads the texts of results, when there is memory for them before a deadline.
+/// Reads the texts of results, once there is memory for them, until a deadline.
 struct ResultReader {
     replica: Rc<Replica>,
     ledger: MemoryLedger,
     budget: MemoryBudget,
     missing: Rc<MissingResults>,
-    /// Disks on which everything shown has to lie.
-    least: usize,
+    /// Number of disks that must hold a result before it is shown.
+    min_disks: usize,
 }
 
 impl ResultReader {
@@ -445,28 +445,28 @@
         let bytes = listed.bytes();
         let held = &self.ledger.results;
         while !self.budget.admits_results(held.held(), bytes) {
-            // Whoever asked has given up and asked again: read for nobody, pages delay those wanted.
+            // The client has timed out and retried; reading for it would delay other responses.
             if Instant::now() >= deadline {
                 return Err(JournalRefusal::Unsettled);
             }
-            actix_rt::time::sleep(RESULTS_PAUSE).await;
+            actix_rt::time::sleep(RESULTS_RETRY_INTERVAL).await;
         }
         let _counted = held.count(bytes);
-        let mut lacking = listed.entries();
-        let commands = self.replica.load(lacking.clone()).await;
-        lacking.retain(|index| !commands.contains_key(index));
+        let mut missing_entries = listed.entries();
+        let commands = self.replica.load(missing_entries.clone()).await;
+        missing_entries.retain(|index| !commands.contains_key(index));
         match listed.into_result_page(commands) {
             Some(page) => Ok(PeerResponse::Results(Some(page))),
-            // Never shown as absent: the reader asks again.
+            // Never reported as absent, so that the reader retries.
             None => {
                 let now = firshore_clock::now().into_std();
-                self.missing.record(now, job, &lacking);
+                self.missing.record(now, job, &missing_entries);
                 Err(JournalRefusal::Unsettled)
             }
         }
     }
 }
 
-fn waits(state: &SharedState<JobTable>, job: &str, from: u64) -> bool {
+fn awaits_results(state: &SharedState<JobTable>, job: &str, from: u64) -> bool {
     state.read().may_grow_beyond(job, from)
 }
--- a/crates/firshore-node/src/journal/status.rs
+++ b/crates/firshore-node/src/journal/status.rs
@@ -1,56 +1,56 @@
-//! Why a journal promises or runs nothing, and since when. No I/O; the time is passed in.
+//! Why the journal accepts or runs nothing, and since when. No I/O; the time is passed in.
 
 use std::time::{Duration, Instant};
 
-/// Shortest time between two reports, however often the standing changes: bounds the log.
-const REPORT_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum time between two reports, however often the status changes. Bounds the log.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two reports of one standing that holds work back: a lasting hold stays visible at the
-/// end of a long log.
+/// Interval between reports of a status that blocks work, so that it stays visible at the end of a
+/// long log.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a standing is read from.
+/// The facts that determine the status.
 #[derive(Clone, Copy, Debug)]
 pub struct StatusFacts {
     /// Whether this node's disk holds a replica.
     pub is_replica: bool,
     /// Whether this replica leads.
     pub leads: bool,
-    /// Whether it knows of a leader.
+    /// Whether it knows a leader.
     pub knows_leader: bool,
-    /// Whether there are as many disks as promises need.
+    /// Whether there are as many disks as the durability guarantee requires.
     pub enough_disks: bool,
-    /// Whether this node has applied what was committed before it led.
+    /// Whether this node has applied what was committed before it became the leader.
     pub caught_up: bool,
-    /// Whether a disk has no room for new work.
+    /// Whether a disk has no space for new work.
     pub disk_full: bool,
     /// Whether jobs or items wait for memory.
     pub memory_full: bool,
 }
 
-/// What a journal does for its callers, as one node sees it.
+/// Status of the journal for its callers, as observed by one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JournalStatus {
-    /// It leads, takes jobs in and runs their items.
+    /// It leads, accepts jobs and runs their items.
     Serves,
     /// Another node leads.
     Follows,
-    /// This node's disk holds no replica: others know.
+    /// This node's disk holds no replica; other nodes know the status.
     Outside,
     /// No leader is known.
     NoLeader,
-    /// It leads on fewer disks than promises need.
+    /// It leads with fewer disks than the durability guarantee requires.
     TooFewDisks,
-    /// It leads and has not applied everything yet.
+    /// It leads but has not applied all committed entries yet.
     CatchingUp,
-    /// It leads, and a disk has no room.
+    /// It leads, and a disk has no space.
     DiskFull,
-    /// It leads, and the memory for jobs or for what items produce is used up.
+    /// It leads, and the memory for jobs or for the output of items is used up.
     MemoryFull,
 }
 
 impl JournalStatus {
-    /// Every standing.
+    /// All statuses.
     pub const ALL: [Self; 8] = [
         Self::Serves,
         Self::Follows,
@@ -62,7 +62,7 @@
         Self::MemoryFull,
     ];
 
-    /// Reads the standing from facts; of several reasons the one that holds back the most.
+    /// Returns the status for these facts; if several apply, the most severe one.
     pub fn of(facts: &StatusFacts) -> Self {
         if !facts.is_replica {
             return Self::Outside;
@@ -102,25 +102,25 @@
         }
     }
 
-    /// Returns whether work waits because of it.
+    /// Returns whether the status blocks work.
     pub fn blocks_work(self) -> bool {
         !matches!(self, Self::Serves | Self::Follows | Self::Outside)
     }
 }
 
-/// What the log is to say about a standing.
+/// A report of the status for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatusReport {
-    /// The standing.
+    /// The status.
     pub status: JournalStatus,
     /// How long it has lasted.
     pub duration: Duration,
 }
 
-/// Follows the standing, and says when the log is to tell it.
+/// Tracks the status and decides when to log it.
 #[derive(Debug)]
 pub struct StatusTracker {
-    standing: JournalStatus,
+    status: JournalStatus,
     since: Instant,
     reported: JournalStatus,
     reported_at: Option<Instant>,
@@ -130,39 +130,39 @@
     /// Starts outside the group.
     pub fn new(now: Instant) -> Self {
         Self {
-            standing: JournalStatus::Outside,
+            status: JournalStatus::Outside,
             since: now,
             reported: JournalStatus::Outside,
             reported_at: None,
         }
     }
 
-    /// Returns the standing as last seen, and how long it has lasted.
+    /// Returns the last status and how long it has lasted.
     pub fn current(&self, now: Instant) -> StatusReport {
         StatusReport {
-            status: self.standing,
+            status: self.status,
             duration: now.saturating_duration_since(self.since),
         }
     }
 
-    /// Takes in the standing as seen now. Returns what the log is to say: each change, and one that
-    /// holds work back again and again.
-    pub fn step(&mut self, now: Instant, standing: JournalStatus) -> Option<StatusReport> {
-        if standing != self.standing {
-            self.standing = standing;
+    /// Records the current status. Returns a report if one is due: for each change, and repeatedly
+    /// for a status that blocks work.
+    pub fn step(&mut self, now: Instant, status: JournalStatus) -> Option<StatusReport> {
+        if status != self.status {
+            self.status = status;
             self.since = now;
         }
-        let pause = match standing == self.reported {
-            false => REPORT_PAUSE,
-            true if standing.blocks_work() => REPEAT_INTERVAL,
+        let interval = match status == self.reported {
+            false => MIN_REPORT_INTERVAL,
+            true if status.blocks_work() => REPEAT_INTERVAL,
             true => return None,
         };
         let last = self.reported_at.unwrap_or(self.since);
-        let first_change = self.reported_at.is_none() && standing != self.reported;
-        if !first_change && now.saturating_duration_since(last) < pause {
+        let first_change = self.reported_at.is_none() && status != self.reported;
+        if !first_change && now.saturating_duration_since(last) < interval {
             return None;
         }
-        self.reported = standing;
+        self.reported = status;
         self.reported_at = Some(now);
         Some(self.current(now))
     }
--- a/crates/firshore-node/src/relay/client.rs
+++ b/crates/firshore-node/src/relay/client.rs
@@ -1,4 +1,4 @@
-//! Asks relays, one after the other; one that was of no use is passed over for a while.
+//! Queries relays one after the other. A relay whose query failed is excluded for a backoff.
 
 use super::budget::FreshnessBudget;
 use super::cache::RelayContact;
@@ -15,82 +15,82 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Told what a relay's answer says of the relay itself.
+/// Called with the contact state that a relay's response carries.
 pub type ContactListener = Rc<dyn Fn(&NodeName, &RelayContact)>;
 
-/// Who asks relays, and whom it would ask.
+/// Queries relays on behalf of one node.
 pub struct RelayClient {
-    /// The node that asks.
+    /// The querying node; it determines the order of relays.
     pub node: NodeName,
-    /// Its zone.
+    /// Zone of that node; its relays are queried first.
     pub zone: ZoneName,
-    /// Nodes with disks.
+    /// Lists the nodes with disks, from which relays are ranked.
     pub registry: Rc<Registry>,
-    /// How they are asked.
+    /// Sends the queries.
     pub peers: PeerClient,
-    /// Log.
+    /// Receives the log lines.
     pub log: Logger,
-    /// Told what a relay's answer says of the relay itself.
+    /// Called with the contact state that a relay's response carries.
     pub on_contact: ContactListener,
-    /// Relays that were of no use since they answered last, and until when they are passed over.
-    pub excluded: RefCell<HashMap<NodeName, RelayPause>>,
+    /// Exclusions of relays whose last query failed; removed by the next useful response.
+    pub excluded: RefCell<HashMap<NodeName, RelayExclusion>>,
 }
 
-/// Why a relay was of no use.
+/// Why a query to a relay failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Useless {
-    /// It said that it is out of contact with the store.
+enum RelayFailure {
+    /// The relay reported that it is out of contact with the object store.
     OutOfContact,
-    /// It could not be reached; that is known at once.
+    /// The connection failed; this is known at once.
     Unreachable,
-    /// It gave no answer in time.
+    /// No response within the timeout.
     Silent,
 }
 
-/// For how long a relay is passed over, and why.
+/// The time until which a relay is excluded, and the reason.
 #[derive(Clone, Copy, Debug)]
-pub struct RelayPause {
+pub struct RelayExclusion {
     until: Instant,
-    reason: Useless,
-    /// Questions in a row that came to nothing.
-    questions: u32,
+    reason: RelayFailure,
+    /// Consecutive failed queries.
+    attempts: u32,
 }
 
-/// What a relay answered.
-pub struct RelayAnswer {
+/// A relay's response to a query.
+pub struct RelayResponse {
     relay: NodeName,
-    /// When it was asked, by the clock of ages.
-    asked_at: Instant,
-    /// What it said.
-    pub response: PeerResponse,
+    /// When the query was sent, by the clock that ages are counted with.
+    queried_at: Instant,
+    /// The message received.
+    pub message: PeerResponse,
 }
 
-impl RelayAnswer {
-    /// The moment as of which the relay tells the store: not later than its answer was sent, however
-    /// long that was under way.
+impl RelayResponse {
+    /// Returns the time as of which the response reflects the store. Network delay is not counted
+    /// as freshness: the result is never later than the time at which the relay sent the response.
     pub fn as_of(&self, contact: RelayContact) -> Instant {
-        let sent_at = self.asked_at + Duration::from_millis(contact.held);
+        let sent_at = self.queried_at + Duration::from_millis(contact.held);
         let age = Duration::from_millis(contact.age);
-        sent_at.checked_sub(age).unwrap_or(self.asked_at)
+        sent_at.checked_sub(age).unwrap_or(self.queried_at)
     }
 
-    /// Returns whom to name as the source of what it told.
+    /// Returns the relay as the source of the data.
     pub fn source(&self) -> FreshnessSource {
         FreshnessSource::Relay(self.relay.clone())
     }
 }
 
-/// What came of asking relays in turn.
-pub enum Asked {
-    /// One of them was of use.
-    Answered(RelayAnswer),
-    /// Some answered that they are out of contact with the store.
+/// Result of querying relays in turn.
+pub enum QueryOutcome {
+    /// A relay returned a useful response.
+    Answered(RelayResponse),
+    /// At least one relay reported that it is out of contact with the store, and none was useful.
     NoContact,
-    /// Nobody has answered.
-    Nobody,
+    /// No relay responded.
+    NoResponse,
 }
 
-/// A question that is answered at once.
+/// Returns the request with its wait, if it has one, set to zero.
 fn without_wait(request: PeerRequest) -> PeerRequest {
     match request {
         PeerRequest::Watch { kind, known, .. } => PeerRequest::Watch {
@@ -103,111 +103,113 @@
 }
 
 impl RelayClient {
-    /// Asks relays in turn, each for `limit` at most. Once one was silent, the others are to answer at once,
-    /// so that what is known grows no older by two waits.
-    pub async fn ask(
+    /// Queries relays in turn, each for at most `limit`. After the first timeout, the remaining
+    /// relays are asked to respond at once, so that at most one wait is added to the age of the
+    /// data.
+    pub async fn query(
         &self,
         kind: &str,
         request: &PeerRequest,
         limit: Duration,
         budget: FreshnessBudget,
-    ) -> Asked {
+    ) -> QueryOutcome {
         let mut request = request.clone();
-        let mut asked = Asked::Nobody;
-        for relay in self.order() {
-            let pause = self.pause(&relay);
-            if let Some(pause) = pause.filter(|pause| Instant::now() < pause.until) {
-                if pause.reason == Useless::OutOfContact {
-                    asked = Asked::NoContact;
+        let mut outcome = QueryOutcome::NoResponse;
+        for relay in self.query_order() {
+            let exclusion = self.exclusion(&relay);
+            if let Some(exclusion) = exclusion.filter(|exclusion| Instant::now() < exclusion.until)
+            {
+                if exclusion.reason == RelayFailure::OutOfContact {
+                    outcome = QueryOutcome::NoContact;
                 }
                 continue;
             }
             let Some(address) = self.registry.address(&relay) else {
                 continue;
             };
-            let asked_at = firshore_clock::now();
+            let queried_at = firshore_clock::now();
             let call = self.peers.call(address, request.clone());
-            let useless = match timeout(limit, call).await {
-                Ok(Ok(PeerResponse::NoContact)) => Useless::OutOfContact,
-                Ok(Ok(mut response)) => {
+            let failure = match timeout(limit, call).await {
+                Ok(Ok(PeerResponse::NoContact)) => RelayFailure::OutOfContact,
+                Ok(Ok(mut message)) => {
                     self.excluded.borrow_mut().remove(&relay);
-                    if let Some(contact) = response.contact_mut() {
+                    if let Some(contact) = message.contact_mut() {
                         (self.on_contact)(&relay, contact);
                     }
-                    return Asked::Answered(RelayAnswer {
+                    return QueryOutcome::Answered(RelayResponse {
                         relay,
-                        asked_at,
-                        response,
+                        queried_at,
+                        message,
                     });
                 }
-                Ok(Err(_)) => Useless::Unreachable,
-                Err(_) => Useless::Silent,
+                Ok(Err(_)) => RelayFailure::Unreachable,
+                Err(_) => RelayFailure::Silent,
             };
-            match useless {
-                Useless::OutOfContact => asked = Asked::NoContact,
-                Useless::Silent => request = without_wait(request),
-                Useless::Unreachable => {}
+            match failure {
+                RelayFailure::OutOfContact => outcome = QueryOutcome::NoContact,
+                RelayFailure::Silent => request = without_wait(request),
+                RelayFailure::Unreachable => {}
             }
-            self.pass_over(kind, relay, asked_at, useless, budget);
+            self.exclude(kind, relay, queried_at, failure, budget);
         }
-        asked
+        outcome
     }
 
-    fn pause(&self, relay: &NodeName) -> Option<RelayPause> {
+    fn exclusion(&self, relay: &NodeName) -> Option<RelayExclusion> {
         self.excluded.borrow().get(relay).copied()
     }
 
-    /// Relays in the order in which they are asked: of those that were silent last time one at most comes
-    /// before the others, so that no more than one wait is lost on them.
-    fn order(&self) -> Vec<NodeName> {
+    /// Returns the relays in the order in which they are queried. At most one of those that timed
+    /// out last time stays in front of the others, so that at most one timeout is lost on them.
+    fn query_order(&self) -> Vec<NodeName> {
         let candidates = self.registry.candidates();
         let order = ranking::order(&candidates, &self.zone, &self.node);
-        let was_silent = |relay: &NodeName| {
-            let pause = self.pause(relay);
-            pause.is_some_and(|pause| {
-                pause.reason == Useless::Silent && pause.until <= Instant::now()
+        let timed_out = |relay: &NodeName| {
+            let exclusion = self.exclusion(relay);
+            exclusion.is_some_and(|exclusion| {
+                exclusion.reason == RelayFailure::Silent && exclusion.until <= Instant::now()
             })
         };
-        let mut seen_silent = false;
+        let mut seen_timeout = false;
         let (first, last): (Vec<NodeName>, Vec<NodeName>) = order.into_iter().partition(|relay| {
-            let silent = was_silent(relay);
-            let comes_first = !(silent && seen_silent);
-            seen_silent |= silent;
+            let timed_out = timed_out(relay);
+            let comes_first = !(timed_out && seen_timeout);
+            seen_timeout |= timed_out;
             comes_first
         });
         first.into_iter().chain(last).collect()
     }
 
-    fn pass_over(
+    fn exclude(
         &self,
         kind: &str,
         relay: NodeName,
-        asked_at: Instant,
-        reason: Useless,
+        queried_at: Instant,
+        reason: RelayFailure,
         budget: FreshnessBudget,
     ) {
-        let before = self.pause(&relay);
-        let questions = before.map_or(1, |before| before.questions + 1);
-        // A relay that is gone for long costs a wait each time that it is asked.
-        let doubled = 2_u32.pow(questions.min(8) - 1);
-        let pause = match reason {
-            Useless::OutOfContact => budget.contact_pause(),
-            Useless::Unreachable => budget.contact_pause() * doubled,
-            Useless::Silent => budget.silence_pause() * doubled,
+        let before = self.exclusion(&relay);
+        let attempts = before.map_or(1, |before| before.attempts + 1);
+        // An unreachable relay costs a timeout with each query, so its backoff grows.
+        let doubled = 2_u32.pow(attempts.min(8) - 1);
+        let backoff = match reason {
+            RelayFailure::OutOfContact => budget.no_contact_backoff(),
+            RelayFailure::Unreachable => budget.no_contact_backoff() * doubled,
+            RelayFailure::Silent => budget.unresponsive_backoff() * doubled,
         };
-        let pause = pause.min(budget.longest_pause());
-        // A relay that stays as it is is named once.
+        let backoff = backoff.min(budget.max_backoff());
+        // Logged once per reason, not with each query.
         if before.is_none_or(|before| before.reason != reason) {
-            info!(self.log, "relay: Passed over."; "relay" => %relay, "kind" => kind,
-                "asked_ms" => firshore_clock::elapsed(asked_at).as_millis() as u64,
-                "out_of_contact" => reason == Useless::OutOfContact, "reason" => ?reason,
-                "pause_ms" => pause.as_millis() as u64);
+            info!(self.log, "relay: Relay excluded."; "relay" => %relay, "kind" => kind,
+                "asked_ms" => firshore_clock::elapsed(queried_at).as_millis() as u64,
+                "out_of_contact" => reason == RelayFailure::OutOfContact, "reason" => ?reason,
+                "pause_ms" => backoff.as_millis() as u64);
         }
-        let pause = RelayPause {
-            until: Instant::now() + pause,
+        let exclusion = RelayExclusion {
+            until: Instant::now() + backoff,
             reason,
-            questions,
+            attempts,
         };
-        self.excluded.borrow_mut().insert(relay, pause);
+        self.excluded.borrow_mut().insert(relay, exclusion);
     }
 }
--- a/crates/firshore-node/src/relay/ranking.rs
+++ b/crates/firshore-node/src/relay/ranking.rs
@@ -1,8 +1,9 @@
-//! Which nodes relay what the store holds, and in which order a node asks them. No I/O.
+//! Selects the nodes that relay the object store, and the order in which a node queries them. No
+//! I/O.
 //!
-//! Every node ranks the nodes with disks of each zone by the same hash (rendezvous hashing, Thaler and
-//! Ravishankar 1998), so that all of a zone meet at the same few without talk, and only these watch the
-//! store.
+//! All nodes rank the nodes with disks of each zone by the same hash (rendezvous hashing, Thaler
+//! and Ravishankar 1998). They select the same few relays without communication, and only these
+//! watch the store.
 
 use firshore_log::placement::Candidate;
 use firshore_types::ids::{NodeName, ZoneName};
@@ -10,18 +11,18 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Relays in each zone, so that one may go.
+/// Relays in each zone; a second one, so that one may be lost.
 const RELAYS_PER_ZONE: usize = 2;
 
-/// Relays that a node asks at most, one after the other, before it takes all for gone.
-const MOST_ASKED: usize = 4;
+/// Maximum number of relays that a node queries before it treats all as unresponsive.
+const MAX_QUERIED: usize = 4;
 
 fn rank(zone: &ZoneName, node: &NodeName) -> u64 {
     xxh3_64(format!("{zone}/{node}").as_bytes())
 }
 
-fn preference(asker: &NodeName, relay: &NodeName) -> u64 {
-    xxh3_64(format!("{asker}>{relay}").as_bytes())
+fn preference(client: &NodeName, relay: &NodeName) -> u64 {
+    xxh3_64(format!("{client}>{relay}").as_bytes())
 }
 
 /// Returns the relays of each zone.
@@ -38,22 +39,22 @@
     zones
 }
 
-/// Returns the relays of a node's own zone, in the order in which it asks them.
-pub fn local_relays(candidates: &[Candidate], zone: &ZoneName, asker: &NodeName) -> Vec<NodeName> {
+/// Returns the relays of a node's local zone, in the order in which it queries them.
+pub fn local_relays(candidates: &[Candidate], zone: &ZoneName, client: &NodeName) -> Vec<NodeName> {
     let mut relays = relays(candidates).remove(zone).unwrap_or_default();
-    relays.sort_by_key(|relay| preference(asker, relay));
+    relays.sort_by_key(|relay| preference(client, relay));
     relays
 }
 
-/// Returns the relays that a node asks, in this order: those of its own zone first, each preferred by
-/// its share of the zone's nodes, then some of other zones.
-pub fn order(candidates: &[Candidate], zone: &ZoneName, asker: &NodeName) -> Vec<NodeName> {
+/// Returns the relays that a node queries, in order: those of its zone first, each preferred by an
+/// equal fraction of the zone's nodes, then some of other zones.
+pub fn order(candidates: &[Candidate], zone: &ZoneName, client: &NodeName) -> Vec<NodeName> {
     let mut relays = relays(candidates);
     let mut order = relays.remove(zone).unwrap_or_default();
-    order.sort_by_key(|relay| preference(asker, relay));
+    order.sort_by_key(|relay| preference(client, relay));
     let mut others: Vec<NodeName> = relays.into_values().flatten().collect();
-    others.sort_by_key(|relay| preference(asker, relay));
+    others.sort_by_key(|relay| preference(client, relay));
     order.extend(others);
-    order.truncate(MOST_ASKED);
+    order.truncate(MAX_QUERIED);
     order
 }
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -1,8 +1,8 @@
-//! The store as a node sees it that asks relays first.
+//! An object store that queries relays first.
 
 use super::budget::{FreshnessBudget, StoreSchedule};
 use super::cache::{RelayedChanges, RelayedObject, RelayedPage};
-use super::client::{Asked, RelayAnswer, RelayClient};
+use super::client::{QueryOutcome, RelayClient, RelayResponse};
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use firshore_adapter::objects::{
     Answer, Change, Changes, Object, ObjectError, ObjectStore, Page, Revision,
@@ -16,42 +16,42 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Asks for one kind on behalf of one node: relays, and the store itself once what is known grows old.
+/// Follows one kind for one node: queries relays, and the store directly once the data grows old.
 ///
-/// Relays and the store are asked side by side, so that no wait for one of them delays the other.
+/// Relays and the store are queried concurrently, so that waiting for one doesn't delay the other.
 pub struct RelayedStore {
-    asker: RelayClient,
+    relay_client: RelayClient,
     direct: Rc<dyn ObjectStore>,
     budget: FreshnessBudget,
-    /// Revision up to which the store is known: older answers are refused.
+    /// Revision up to which the store is known; responses at an earlier one are refused.
     known: Cell<Revision>,
-    /// When the store itself is asked.
-    turn: RefCell<StoreSchedule>,
-    /// Rounds of questions that no relay has answered.
-    idle_rounds: Cell<u32>,
-    /// The last round of questions ended with relays that are out of contact with the store.
-    doubted: Cell<bool>,
-    asks_store: Cell<bool>,
-    /// As of when the kind is known.
-    belief: Rc<Freshness>,
-    /// As of when the first page of the listing under way was.
+    /// When the store is queried directly.
+    schedule: RefCell<StoreSchedule>,
+    /// Consecutive rounds of queries that no relay responded to.
+    failed_rounds: Cell<u32>,
+    /// Whether the last round ended with relays that are out of contact with the store.
+    relays_disconnected: Cell<bool>,
+    queries_store: Cell<bool>,
+    /// Time as of which the kind is known.
+    freshness: Rc<Freshness>,
+    /// Time as of which the first page of the current listing was read.
     listed_as_of: Cell<Option<Instant>>,
 }
 
-/// What the store answered.
-struct StoreAnswer<T> {
-    asked_at: Instant,
-    told: T,
+/// A response of the store to a direct query.
+struct StoreResponse<T> {
+    queried_at: Instant,
+    value: T,
 }
 
-/// Who has answered first.
-enum Learnt<T> {
-    FromRelay(RelayAnswer),
-    FromStore(StoreAnswer<T>),
+/// The first response, from a relay or the store.
+enum FirstResponse<T> {
+    FromRelay(RelayResponse),
+    FromStore(StoreResponse<T>),
 }
 
-/// Each object by itself: one that cannot be read has no content, and the others hold. Otherwise whatever
-/// the relay tells would fail, until somebody else has mended that object.
+/// Decodes each object on its own. An object that cannot be decoded gets empty content, so that it
+/// doesn't invalidate the other objects in the same response.
 fn decoded(objects: &[RelayedObject]) -> impl Iterator<Item = Object> {
     objects.iter().map(|relayed| {
         let object = relayed.decode();
@@ -80,143 +80,160 @@
     }
 }
 
-fn unexpected() -> ObjectError {
-    ObjectError::Unanswered("a relay answered with another kind of message".to_owned())
+fn unexpected_response() -> ObjectError {
+    ObjectError::Unanswered("a relay sent an unexpected response".to_owned())
 }
 
 impl RelayedStore {
-    /// Asks relays through `asker`, and `direct` in time for `budget`. Tells `belief` as of when the kind
-    /// is known.
+    /// Queries relays through `relay_client`, and `direct` within `budget`. Records in `freshness`
+    /// as of when the kind is known.
     pub fn new(
-        asker: RelayClient,
+        relay_client: RelayClient,
         direct: Rc<dyn ObjectStore>,
         budget: FreshnessBudget,
-        belief: Rc<Freshness>,
+        freshness: Rc<Freshness>,
     ) -> Rc<Self> {
-        let turn = StoreSchedule::new(budget, firshore_clock::now(), rand::random());
+        let schedule = StoreSchedule::new(budget, firshore_clock::now(), rand::random());
         Rc::new(Self {
-            asker,
+            relay_client,
             direct,
             budget,
             known: Cell::new(0),
-            turn: RefCell::new(turn),
-            idle_rounds: Cell::new(0),
-            doubted: Cell::new(false),
-            asks_store: Cell::new(false),
-            belief,
+            schedule: RefCell::new(schedule),
+            failed_rounds: Cell::new(0),
+            relays_disconnected: Cell::new(false),
+            queries_store: Cell::new(false),
+            freshness,
             listed_as_of: Cell::new(None),
         })
     }
 
-    /// Asks relays until one is of use.
-    async fn ask_relays(&self, kind: &str, request: PeerRequest, wait: Duration) -> RelayAnswer {
+    /// Queries relays until one returns a useful response.
+    async fn query_relays(
+        &self,
+        kind: &str,
+        request: PeerRequest,
+        wait: Duration,
+    ) -> RelayResponse {
         let limit = wait + self.budget.answer_margin();
         loop {
-            match self.asker.ask(kind, &request, limit, self.budget).await {
-                Asked::Answered(answer) => return answer,
-                Asked::NoContact => self.doubted.set(true),
-                Asked::Nobody => self.look_for_relays(),
+            match self
+                .relay_client
+                .query(kind, &request, limit, self.budget)
+                .await
+            {
+                QueryOutcome::Answered(response) => return response,
+                QueryOutcome::NoContact => self.relays_disconnected.set(true),
+                QueryOutcome::NoResponse => self.refresh_relays(),
             }
-            actix_rt::time::sleep(self.budget.round_pause()).await;
+            actix_rt::time::sleep(self.budget.round_interval()).await;
         }
     }
 
-    /// Asks relays for a page until one tells what is not too old already: the next question would go to
-    /// the store at once, and this one would be asked again.
-    async fn ask_relays_for_page(&self, kind: &str, request: PeerRequest) -> RelayAnswer {
+    /// Queries relays for a page until one returns a page that is not too old. An older one would
+    /// make the next query go to the store at once, and this page would be listed again.
+    async fn query_relays_for_page(&self, kind: &str, request: PeerRequest) -> RelayResponse {
         loop {
             let wait = self.budget.relay_wait();
-            let answer = self.ask_relays(kind, request.clone(), wait).await;
-            let as_of = match &answer.response {
-                PeerResponse::Page(page) => answer.as_of(page.contact),
-                _ => return answer,
+            let response = self.query_relays(kind, request.clone(), wait).await;
+            let as_of = match &response.message {
+                PeerResponse::Page(page) => response.as_of(page.contact),
+                _ => return response,
             };
-            let knows_nothing = self.belief.as_of().is_none();
-            if knows_nothing || firshore_clock::now() < self.turn.borrow().due(Some(as_of), false) {
-                return answer;
+            let is_first_listing = self.freshness.as_of().is_none();
+            if is_first_listing
+                || firshore_clock::now() < self.schedule.borrow().due(Some(as_of), false)
+            {
+                return response;
             }
-            actix_rt::time::sleep(self.budget.round_pause()).await;
+            actix_rt::time::sleep(self.budget.round_interval()).await;
         }
     }
 
-    /// Relays may have come or moved since the nodes were listed. Asked for after 1, 2, 4 and so on rounds:
-    /// a listing is a call of the store. Nobody waits for it, as the store may be silent.
-    fn look_for_relays(&self) {
-        let rounds = self.idle_rounds.get().saturating_add(1);
-        self.idle_rounds.set(rounds);
+    /// Lists the nodes again, since relays may have been added or moved. Done after 1, 2, 4, …
+    /// failed rounds, as a listing is a call to the store, and in the background, as the store may
+    /// be unresponsive.
+    fn refresh_relays(&self) {
+        let rounds = self.failed_rounds.get().saturating_add(1);
+        self.failed_rounds.set(rounds);
         if rounds.is_power_of_two() {
-            let registry = self.asker.registry.clone();
+            let registry = self.relay_client.registry.clone();
             actix_rt::spawn(async move { registry.refresh().await });
         }
     }
 
-    /// Asks the store once it is due, until it answers.
-    async fn ask_store<'a, T>(
+    /// Queries the store once it is due, until it responds.
+    async fn query_store<'a, T>(
         &'a self,
         kind: &str,
-        question: impl Fn() -> Answer<'a, T>,
-    ) -> StoreAnswer<T> {
+        call: impl Fn() -> Answer<'a, T>,
+    ) -> StoreResponse<T> {
         loop {
             actix_rt::time::sleep_until(firshore_clock::timer_deadline(self.store_due())).await;
-            self.note_direct(kind);
+            self.log_store_query(kind);
             if !self.reaches_store().await {
-                self.turn.borrow_mut().record_failure(firshore_clock::now());
+                self.schedule
+                    .borrow_mut()
+                    .record_failure(firshore_clock::now());
                 continue;
             }
-            let asked_at = firshore_clock::now();
-            let limit = self.turn.borrow().timeout();
-            let answer = timeout(limit, question()).await;
-            if let Ok(Ok(told)) = answer {
-                self.turn.borrow_mut().record_success(rand::random());
-                return StoreAnswer { asked_at, told };
+            let queried_at = firshore_clock::now();
+            let limit = self.schedule.borrow().timeout();
+            let response = timeout(limit, call()).await;
+            if let Ok(Ok(value)) = response {
+                self.schedule.borrow_mut().record_success(rand::random());
+                return StoreResponse { queried_at, value };
             }
-            self.turn.borrow_mut().record_failure(firshore_clock::now());
+            self.schedule
+                .borrow_mut()
+                .record_failure(firshore_clock::now());
         }
     }
 
-    /// Whether the store can be reached, where there is reason to doubt it: that costs a part of a
-    /// question, and a store that is down is down for all nodes.
+    /// Returns whether the store is reachable. Probes it only after a failed query or while relays
+    /// are out of contact with it: a probe costs less than a query, and an unreachable store is
+    /// queried by all nodes.
     async fn reaches_store(&self) -> bool {
-        if !self.is_doubted() {
+        if !self.is_store_doubtful() {
             return true;
         }
         let reached = timeout(self.budget.probe_timeout(), self.direct.reach()).await;
         matches!(reached, Ok(Ok(_)))
     }
 
-    fn is_doubted(&self) -> bool {
-        self.doubted.get() || self.turn.borrow().has_failed()
+    fn is_store_doubtful(&self) -> bool {
+        self.relays_disconnected.get() || self.schedule.borrow().has_failed()
     }
 
-    /// When the store itself is to be asked.
+    /// Returns when the store is to be queried directly.
     fn store_due(&self) -> Instant {
-        let as_of = self.belief.as_of();
-        self.turn.borrow().due(as_of, self.is_doubted())
+        let as_of = self.freshness.as_of();
+        self.schedule.borrow().due(as_of, self.is_store_doubtful())
     }
 
-    /// A relay has told the store as of a moment.
-    fn relayed(&self, as_of: Instant) {
-        self.idle_rounds.set(0);
-        self.doubted.set(false);
-        self.turn.borrow_mut().record_relayed(as_of);
-        if self.asks_store.replace(false) {
-            info!(self.asker.log, "relay: Relays are asked again.");
+    /// Records that a relay has delivered the store's state as of a time.
+    fn record_relayed(&self, as_of: Instant) {
+        self.failed_rounds.set(0);
+        self.relays_disconnected.set(false);
+        self.schedule.borrow_mut().record_relayed(as_of);
+        if self.queries_store.replace(false) {
+            info!(self.relay_client.log, "relay: Relays are used again.");
         }
     }
 
-    fn note_direct(&self, kind: &str) {
-        if !self.asks_store.replace(true) {
-            warn!(self.asker.log, "relay: No relay is of use in time; the store itself is asked.";
-                "kind" => kind, "belief_age_ms" => self.belief.age_ms(),
+    fn log_store_query(&self, kind: &str) {
+        if !self.queries_store.replace(true) {
+            warn!(self.relay_client.log, "relay: No relay responded in time; querying the store directly.";
+                "kind" => kind, "belief_age_ms" => self.freshness.age_ms(),
                 "bound_ms" => self.budget.bound().as_millis() as u64);
         }
     }
 
-    /// Takes in up to which revision the store is known. An answer that knows less is refused: what was
-    /// learned is never taken back.
-    fn know(&self, revision: Revision) -> Result<(), ObjectError> {
+    /// Advances the known revision. A response at an earlier revision is refused, so that the view
+    /// never goes back.
+    fn advance_known(&self, revision: Revision) -> Result<(), ObjectError> {
         if revision < self.known.get() {
-            warn!(self.asker.log, "relay: Answer refused."; "revision" => revision,
+            warn!(self.relay_client.log, "relay: Response refused."; "revision" => revision,
                 "known" => self.known.get(), "reason" => "an older revision");
             return Err(ObjectError::Unanswered("an older revision".to_owned()));
         }
@@ -224,7 +241,7 @@
         Ok(())
     }
 
-    /// Takes in a page: the listing tells the store as of its first one.
+    /// Records a page; the complete listing is as of its first page.
     fn confirm_page(
         &self,
         page: &Page,
@@ -236,7 +253,7 @@
             self.listed_as_of.set(Some(as_of));
         }
         if let Some(as_of) = self.listed_as_of.get().filter(|_| !page.more) {
-            self.belief.confirm(as_of, source);
+            self.freshness.confirm(as_of, source);
         }
     }
 }
@@ -249,33 +266,33 @@
                 after: after.map(str::to_owned),
                 known: self.known.get(),
             };
-            let learnt = tokio::select! {
-                answer = self.ask_relays_for_page(kind, request) => Learnt::FromRelay(answer),
-                answer = self.ask_store(kind, || self.direct.list(kind, after)) => {
-                    Learnt::FromStore(answer)
+            let first = tokio::select! {
+                response = self.query_relays_for_page(kind, request) => FirstResponse::FromRelay(response),
+                response = self.query_store(kind, || self.direct.list(kind, after)) => {
+                    FirstResponse::FromStore(response)
                 }
             };
-            let (page, as_of, source) = match learnt {
-                Learnt::FromRelay(answer) => {
-                    let PeerResponse::Page(relayed) = &answer.response else {
-                        return Err(unexpected());
+            let (page, as_of, source) = match first {
+                FirstResponse::FromRelay(response) => {
+                    let PeerResponse::Page(relayed) = &response.message else {
+                        return Err(unexpected_response());
                     };
-                    let as_of = answer.as_of(relayed.contact);
-                    self.relayed(as_of);
-                    (page(relayed), as_of, answer.source())
+                    let as_of = response.as_of(relayed.contact);
+                    self.record_relayed(as_of);
+                    (page(relayed), as_of, response.source())
                 }
-                Learnt::FromStore(answer) => (answer.told, answer.asked_at, FreshnessSource::Store),
+                FirstResponse::FromStore(response) => (response.value, response.queried_at, FreshnessSource::Store),
             };
-            self.know(page.revision)?;
+            self.advance_known(page.revision)?;
             self.confirm_page(&page, after, as_of, source);
             Ok(page)
         }
         .boxed_local()
     }
 
-    /// Where relays tell nothing in time, the kind is to be listed anew from the store: an answer to a
-    /// watch proves nothing there, since a store that has forgotten its history tells so only with the
-    /// next change.
+    /// Fails with `HistoryGone` if relays don't respond in time, so that the kind is listed from
+    /// the store. A watch would prove nothing there: a store that has lost its history reports that
+    /// only with the next change.
     fn watch<'a>(&'a self, kind: &'a str, after: Revision, wait: Duration) -> Answer<'a, Changes> {
         async move {
             let wait = wait.min(self.budget.relay_wait());
@@ -284,22 +301,22 @@
                 known: after,
                 wait: wait.as_millis() as u64,
             };
-            let asking = self.ask_relays(kind, request, wait);
-            let Ok(answer) =
-                timeout_at(firshore_clock::timer_deadline(self.store_due()), asking).await
+            let query = self.query_relays(kind, request, wait);
+            let Ok(response) =
+                timeout_at(firshore_clock::timer_deadline(self.store_due()), query).await
             else {
                 return Err(ObjectError::HistoryGone);
             };
-            let relayed = match &answer.response {
+            let relayed = match &response.message {
                 PeerResponse::Changes(relayed) => relayed,
                 PeerResponse::HistoryGone => return Err(ObjectError::HistoryGone),
-                _ => return Err(unexpected()),
+                _ => return Err(unexpected_response()),
             };
             let changes = changes(relayed);
-            self.know(changes.revision)?;
-            let as_of = answer.as_of(relayed.contact);
-            self.relayed(as_of);
-            self.belief.confirm(as_of, answer.source());
+            self.advance_known(changes.revision)?;
+            let as_of = response.as_of(relayed.contact);
+            self.record_relayed(as_of);
+            self.freshness.confirm(as_of, response.source());
             Ok(changes)
         }
         .boxed_local()
