--- a/crates/firshore-node/src/crash_exchange.rs
+++ b/crates/firshore-node/src/crash_exchange.rs
@@ -1,8 +1,7 @@
-//! Spreads what nodes saw of back ends that ended: a node tells a relay and asks it, relays tell each other.
+//! Exchanges reports of crashed back ends: a node exchanges with one relay, and relays with each other.
 //!
-//! On a calm day there is nothing to tell: no call is made. While anything is known, a relay's answers to
-//! other questions tell how far its table is, so that a node that lacks something, or knows more than a relay
-//! that has started again, notices with the next answer.
+//! No call is made while there are no crashes. Otherwise a relay's responses to other queries carry the cursor of
+//! its crash table. From it a node detects that it lacks entries, or that a restarted relay does.
 
 use crate::journal::PeerClient;
 use crate::journal::messages::{PeerRequest, PeerResponse};
@@ -21,22 +20,22 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Longest wait for a relay's answer: another one is asked then.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Timeout of a relay's response; the next relay is queried after it.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Shortest time between two rounds: several requests are lost at the same moment at one back end.
-const SPACING: Duration = Duration::from_millis(20);
+/// Minimum interval between rounds, which combines the requests that one back end loses at the same time.
+const MIN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time after which a relay is told again that gave no answer.
+/// Interval after which a report that got no response is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time between looks for what is too old to be kept.
-const TIDY_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval between removals of expired entries.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Questions to one relay in a row: a report holds a part of a large table.
-const MOST_QUESTIONS: usize = 16;
+/// Maximum queries to one relay in a row: one report holds only a section of a large table.
+const MAX_QUERIES: usize = 16;
 
-/// Who tells and asks, and whom.
+/// Exchanges a node's crash table with relays.
 pub struct CrashExchange {
     node: NodeName,
     zone: ZoneName,
@@ -45,20 +44,20 @@
     peers: PeerClient,
     log: Logger,
     sync: RefCell<CrashSync>,
-    /// Relays whose tables differ from what is known of them.
-    differing: RefCell<BTreeSet<NodeName>>,
-    /// Woken when there is one more.
-    differs: Notify,
-    /// Position of the own table up to which some relay was told.
-    told: Cell<u64>,
-    /// Whether the nodes were listed since there was something to tell: relays may have started later.
-    listed: Cell<bool>,
-    /// Whether no relay has answered since the last one did: that is logged once.
-    unheard: Cell<bool>,
+    /// Relays whose tables differ from this node's copy of them.
+    differing_relays: RefCell<BTreeSet<NodeName>>,
+    /// Notified when a differing relay was added.
+    relay_differs: Notify,
+    /// Position of the local table up to which a relay has received it.
+    sent_position: Cell<u64>,
+    /// Whether the nodes were listed since the first crash: relays may have started since the listing before.
+    nodes_listed: Cell<bool>,
+    /// Whether the failure to reach any relay was logged; it is logged once until a relay responds.
+    failure_logged: Cell<bool>,
 }
 
 impl CrashExchange {
-    /// Tells on behalf of `node` in `zone`.
+    /// Creates the exchange for `node` in `zone`.
     pub fn new(
         node: NodeName,
         zone: ZoneName,
@@ -75,145 +74,153 @@
             peers,
             log,
             sync: RefCell::default(),
-            differing: RefCell::default(),
-            differs: Notify::new(),
-            told: Cell::new(0),
-            listed: Cell::new(false),
-            unheard: Cell::new(false),
+            differing_relays: RefCell::default(),
+            relay_differs: Notify::new(),
+            sent_position: Cell::new(0),
+            nodes_listed: Cell::new(false),
+            failure_logged: Cell::new(false),
         })
     }
 
-    /// Takes in how far a relay's table is, as an answer of it told.
+    /// Updates the cursor of a relay's table from one of its responses.
     pub fn heard(&self, relay: &NodeName, cursor: Option<TableCursor>) {
         let table = self.crashes.table();
         if self.sync.borrow().differs(relay, cursor, &table) {
-            self.differing.borrow_mut().insert(relay.clone());
-            self.differs.notify_one();
+            self.differing_relays.borrow_mut().insert(relay.clone());
+            self.relay_differs.notify_one();
         }
     }
 
     /// Runs until the node ends.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let is_calm = self.crashes.table().is_empty() && self.differing.borrow().is_empty();
-            let wait = match (is_calm, self.has_to_tell()) {
+            let is_idle =
+                self.crashes.table().is_empty() && self.differing_relays.borrow().is_empty();
+            let wait = match (is_idle, self.has_unsent()) {
                 (_, true) => RETRY_INTERVAL,
                 (true, false) => Duration::MAX,
-                (false, false) => TIDY_INTERVAL,
+                (false, false) => CLEANUP_INTERVAL,
             };
             tokio::select! {
                 () = self.crashes.news.notified() => {}
-                () = self.differs.notified() => {}
+                () = self.relay_differs.notified() => {}
                 () = actix_rt::time::sleep(wait) => {}
             }
             self.crashes.forget_old();
             self.exchange().await;
-            actix_rt::time::sleep(SPACING).await;
+            actix_rt::time::sleep(MIN_INTERVAL).await;
         }
     }
 
-    /// Relays to which this one passes on what it knows; none where this node is no relay.
-    fn fellows(&self) -> Vec<NodeName> {
+    /// Returns the other relays if this node is a relay, none otherwise.
+    fn other_relays(&self) -> Vec<NodeName> {
         let relays = ranking::relays(&self.registry.candidates());
         let relays: Vec<NodeName> = relays.into_values().flatten().collect();
         match relays.contains(&self.node) {
-            true => relays.into_iter().filter(|one| *one != self.node).collect(),
+            true => relays
+                .into_iter()
+                .filter(|relay| *relay != self.node)
+                .collect(),
             false => Vec::new(),
         }
     }
 
-    /// Relays have to know all others, and other nodes some relay. A listing is a call of the store, which not
-    /// every node is to make whenever a back end ends.
-    fn has_to_list(&self) -> bool {
+    /// Returns whether the nodes have to be listed: a relay needs all other relays, another node at least one.
+    /// Listing queries the object store, which not every node should do whenever a back end crashes.
+    fn needs_listing(&self) -> bool {
         let candidates = self.registry.candidates();
-        let has_disk = candidates.iter().any(|one| one.node == self.node);
-        !self.listed.get() && (has_disk || candidates.is_empty())
+        let has_disk = candidates
+            .iter()
+            .any(|candidate| candidate.node == self.node);
+        !self.nodes_listed.get() && (has_disk || candidates.is_empty())
     }
 
-    fn has_to_tell(&self) -> bool {
+    /// Returns whether another relay, or any relay if this node is none, lacks entries of the local table.
+    fn has_unsent(&self) -> bool {
         let table = self.crashes.table();
-        let fellows = self.fellows();
-        if fellows.is_empty() {
-            return self.told.get() < table.cursor().position;
+        let relays = self.other_relays();
+        if relays.is_empty() {
+            return self.sent_position.get() < table.cursor().position;
         }
         let sync = self.sync.borrow();
-        let mut fellows = fellows.iter();
-        fellows.any(|fellow| sync.has_to_tell(fellow, &table))
+        let mut relays = relays.iter();
+        relays.any(|relay| sync.has_to_tell(relay, &table))
     }
 
-    /// Asks relays whose tables differ, and tells what was not told yet.
+    /// Exchanges with relays whose tables differ and with those that lack entries.
     async fn exchange(&self) {
-        if !self.crashes.table().is_empty() && self.has_to_list() {
-            self.listed.set(self.registry.refresh().await);
+        if !self.crashes.table().is_empty() && self.needs_listing() {
+            self.nodes_listed.set(self.registry.refresh().await);
         }
-        let differing = std::mem::take(&mut *self.differing.borrow_mut());
-        let mut asked: Vec<NodeName> = differing.into_iter().collect();
-        asked.extend(self.untold_fellows());
-        asked.sort();
-        asked.dedup();
-        join_all(asked.iter().map(|relay| self.ask(relay))).await;
-        if self.fellows().is_empty() && self.has_to_tell() {
-            self.tell_any().await;
+        let differing = std::mem::take(&mut *self.differing_relays.borrow_mut());
+        let mut relays: Vec<NodeName> = differing.into_iter().collect();
+        relays.extend(self.lagging_relays());
+        relays.sort();
+        relays.dedup();
+        join_all(relays.iter().map(|relay| self.sync_with(relay))).await;
+        if self.other_relays().is_empty() && self.has_unsent() {
+            self.sync_with_any().await;
         }
     }
 
-    fn untold_fellows(&self) -> Vec<NodeName> {
+    /// Returns the other relays that lack entries of the local table.
+    fn lagging_relays(&self) -> Vec<NodeName> {
         let table = self.crashes.table();
         let sync = self.sync.borrow();
-        let fellows = self.fellows().into_iter();
-        fellows
-            .filter(|one| sync.has_to_tell(one, &table))
+        let relays = self.other_relays().into_iter();
+        relays
+            .filter(|relay| sync.has_to_tell(relay, &table))
             .collect()
     }
 
-    /// Tells the first relay that answers.
-    async fn tell_any(&self) {
+    /// Exchanges with the first relay that responds.
+    async fn sync_with_any(&self) {
         let candidates = self.registry.candidates();
         for relay in ranking::order(&candidates, &self.zone, &self.node) {
-            if self.ask(&relay).await {
-                self.unheard.set(false);
+            if self.sync_with(&relay).await {
+                self.failure_logged.set(false);
                 return;
             }
         }
-        if !self.unheard.replace(true) {
-            info!(self.log, "crash: No relay was told.");
+        if !self.failure_logged.replace(true) {
+            info!(self.log, "crash: No relay responded.");
         }
     }
 
-    /// Tells a relay what it was not told, and asks for what it knows, until neither has more. Returns whether
-    /// it has answered.
-    async fn ask(&self, relay: &NodeName) -> bool {
-        for _ in 0..MOST_QUESTIONS {
-            let Some(is_even) = self.ask_once(relay).await else {
+    /// Exchanges entries with a relay until neither side has more, at most [`MAX_QUERIES`] times. Returns whether the
+    /// relay responded to all queries.
+    async fn sync_with(&self, relay: &NodeName) -> bool {
+        for _ in 0..MAX_QUERIES {
+            let Some(is_synced) = self.query(relay).await else {
                 return false;
             };
-            if is_even {
+            if is_synced {
                 break;
             }
         }
         true
     }
 
-    /// Returns whether neither has more to tell; nothing where there was no answer.
-    async fn ask_once(&self, relay: &NodeName) -> Option<bool> {
+    /// Sends one query. Returns whether neither side has more entries, or `None` if there was no response.
+    async fn query(&self, relay: &NodeName) -> Option<bool> {
         let address = self.registry.address(relay)?;
         let now = firshore_clock::now().into_std();
-        let question = self
+        let query = self
             .sync
             .borrow()
             .question(now, relay, &self.crashes.table());
-        let told = question.report.position;
-        let call = self.peers.call(address, PeerRequest::Crashes(question));
-        let Ok(Ok(PeerResponse::Crashes(answer))) = timeout(ANSWER_TIME, call).await else {
+        let position = query.report.position;
+        let call = self.peers.call(address, PeerRequest::Crashes(query));
+        let Ok(Ok(PeerResponse::Crashes(response))) = timeout(RESPONSE_TIMEOUT, call).await else {
             return None;
         };
         let mut sync = self.sync.borrow_mut();
-        self.crashes.answered(&mut sync, relay, told, &answer);
+        self.crashes.answered(&mut sync, relay, position, &response);
         let table = self.crashes.table();
-        let is_told = !sync.has_to_tell(relay, &table);
-        if is_told {
-            self.told.set(table.cursor().position);
+        let is_sent = !sync.has_to_tell(relay, &table);
+        if is_sent {
+            self.sent_position.set(table.cursor().position);
         }
-        Some(is_told && answer.report.ends.is_empty())
+        Some(is_sent && response.report.ends.is_empty())
     }
 }
--- a/crates/firshore-node/src/environment.rs
+++ b/crates/firshore-node/src/environment.rs
@@ -1,4 +1,4 @@
-//! What a node learns from the environment's objects: back ends and the configuration.
+//! Applies the environment's objects to a node: back ends and the configuration.
 
 use crate::observation::{CALM_WAIT, Learned, Terms};
 use crate::refusals::RefusalLog;
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Terms on which a kind is observed.
+/// Returns the options with which a kind is watched.
 pub fn terms(objects: &Objects, spacing: Duration) -> Terms {
     Terms {
         history: Duration::from_secs_f64(objects.history_seconds),
@@ -29,9 +29,9 @@
     }
 }
 
-/// The same for a relay: what it knows must not grow older while everything is being created, and its watch
-/// has to be answered now and then.
-fn relay_terms(objects: &Objects, budget: FreshnessBudget, spacing: Duration) -> Terms {
+/// Returns the options for a relay. Its copy must stay fresh while all objects are being created, and its watch has
+/// to return within the freshness budget.
+fn relay_options(objects: &Objects, budget: FreshnessBudget, spacing: Duration) -> Terms {
     Terms {
         creation_spacing: spacing,
         longest_wait: budget.watch_wait(),
@@ -39,14 +39,14 @@
     }
 }
 
-/// What nodes follow in the store, and how soon they must know of changes.
+/// Kinds of objects that nodes watch, with their freshness budgets.
 pub struct FollowedKinds {
     backends: RelayedKind,
     configuration: RelayedKind,
 }
 
 impl FollowedKinds {
-    /// The kinds as an environment names them.
+    /// Creates the kinds with the names that the environment's adapter uses.
     pub fn new(gateway: &Gateway, objects: &Objects) -> Self {
         let decoder = &gateway.adapter.decoder;
         let backends = FreshnessBudget::new(objects.leaving_bound());
@@ -54,26 +54,26 @@
         Self {
             backends: RelayedKind {
                 name: decoder.backend_kind().to_owned(),
-                terms: relay_terms(objects, backends, backends.relay_spacing()),
+                terms: relay_options(objects, backends, backends.relay_spacing()),
                 budget: backends,
             },
-            // No pause after a change: each configuration has to be in force everywhere at once.
+            // No delay after a change: a new configuration has to take effect on all nodes at once.
             configuration: RelayedKind {
                 name: decoder.configuration_kind().to_owned(),
-                terms: relay_terms(objects, configuration, Duration::ZERO),
+                terms: relay_options(objects, configuration, Duration::ZERO),
                 budget: configuration,
             },
         }
     }
 
-    /// Returns the kinds that relays pass on.
+    /// Returns the kinds that relays distribute.
     pub fn relayed(self) -> Vec<RelayedKind> {
         vec![self.backends, self.configuration]
     }
 }
 
-/// Follows back ends and the configuration through relays until the tasks are dropped; the store itself
-/// is asked where they do not tell in time.
+/// Watches back ends and the configuration through relays until the tasks are dropped. Queries the object store itself
+/// if the relays don't respond in time.
 pub fn follow(
     gateway: &Rc<Gateway>,
     objects: &Objects,
@@ -87,31 +87,31 @@
             log: gateway.log.clone(),
             store: RelayedStore::new(asker(), direct, kind.budget, belief.clone()),
             kind: kind.name,
-            // Relays pause after changes: what they tell is wanted at once.
+            // Relays already delay and combine changes.
             terms: terms(objects, Duration::ZERO),
             renewal: Rc::default(),
         }
     };
     let beliefs = &gateway.beliefs;
-    let for_backends = Learner::new(gateway);
-    let backends = watcher::follow(watcher(kinds.backends, &beliefs.backends), move |learned| {
-        for_backends.learn_backends(learned);
+    let backend_applier = UpdateApplier::new(gateway);
+    let backends = watcher::follow(watcher(kinds.backends, &beliefs.backends), move |update| {
+        backend_applier.apply_backends(update);
     });
-    let for_configuration = Learner::new(gateway);
+    let configuration_applier = UpdateApplier::new(gateway);
     let configuration = watcher::follow(
         watcher(kinds.configuration, &beliefs.configuration),
-        move |learned| for_configuration.learn_configuration(learned),
+        move |update| configuration_applier.apply_configuration(update),
     );
     [Task::spawn(backends), Task::spawn(configuration)]
 }
 
-/// Takes in what is learned of one kind.
-struct Learner {
+/// Applies updates of one kind to the gateway.
+struct UpdateApplier {
     gateway: Rc<Gateway>,
     refusals: RefCell<RefusalLog>,
 }
 
-impl Learner {
+impl UpdateApplier {
     fn new(gateway: &Rc<Gateway>) -> Self {
         Self {
             gateway: gateway.clone(),
@@ -119,39 +119,40 @@
         }
     }
 
-    fn learn_backends(&self, learned: Learned) {
-        match learned {
+    fn apply_backends(&self, update: Learned) {
+        match update {
             Learned::All(objects) => {
-                let backends: Vec<Backend> =
-                    objects.iter().filter_map(|one| self.backend(one)).collect();
+                let backends: Vec<Backend> = objects
+                    .iter()
+                    .filter_map(|object| self.decode_backend(object))
+                    .collect();
                 info!(self.gateway.log, "fleet: Back ends listed."; "count" => backends.len());
                 self.gateway.list_backends(backends);
             }
             Learned::Changed(changes) => {
                 for change in changes {
-                    self.learn_backend(change);
+                    self.apply_backend(change);
                 }
             }
         }
     }
 
-    fn learn_backend(&self, change: Change) {
+    fn apply_backend(&self, change: Change) {
         let gateway = &self.gateway;
         match change {
             Change::Removed(name) => {
-                info!(gateway.log, "fleet: Back end gone."; "backend" => &name);
+                info!(gateway.log, "fleet: Back end removed."; "backend" => &name);
                 self.refusals.borrow_mut().forget(&name);
                 gateway.fleet.borrow_mut().remove(&BackendName::from(name));
             }
-            Change::Written(object) => match self.backend(&object) {
+            Change::Written(object) => match self.decode_backend(&object) {
                 Some(backend) => {
-                    info!(gateway.log, "fleet: Back end listed."; "backend" => %backend.incarnation,
+                    info!(gateway.log, "fleet: Back end updated."; "backend" => %backend.incarnation,
                         "service" => %backend.service, "leaving" => backend.leaving,
                         "revision" => object.revision);
                     gateway.list_backend(backend);
                 }
-                // What its entry said before holds no longer: requests would go where nobody says that a
-                // back end of that service is.
+                // The former entry is no longer valid: requests could go to a back end of another service.
                 None => {
                     let name = BackendName::from(object.name);
                     gateway.fleet.borrow_mut().remove(&name);
@@ -160,31 +161,32 @@
         }
     }
 
-    fn backend(&self, object: &Object) -> Option<Backend> {
+    /// Decodes a back end, and logs the error if it can't be decoded.
+    fn decode_backend(&self, object: &Object) -> Option<Backend> {
         match self.gateway.adapter.decoder.backend(object) {
             Ok(backend) => {
                 self.refusals.borrow_mut().forget(&object.name);
                 Some(backend)
             }
             Err(error) => {
-                if let Some(untold) = self.admit(object) {
+                if let Some(suppressed) = self.should_log(object) {
                     warn!(self.gateway.log, "fleet: Back end unusable."; "backend" => &object.name,
-                        "revision" => object.revision, "reason" => %error, "untold" => untold);
+                        "revision" => object.revision, "reason" => %error, "untold" => suppressed);
                 }
                 None
             }
         }
     }
 
-    /// Returns how many refusals were not told, if this one is to be told.
-    fn admit(&self, object: &Object) -> Option<u64> {
+    /// Returns the number of suppressed log lines if this refusal has to be logged.
+    fn should_log(&self, object: &Object) -> Option<u64> {
         let now = firshore_clock::now();
         let mut refusals = self.refusals.borrow_mut();
         refusals.admit(now, &object.name, object.revision)
     }
 
-    fn learn_configuration(&self, learned: Learned) {
-        let written: Vec<Object> = match learned {
+    fn apply_configuration(&self, update: Learned) {
+        let written: Vec<Object> = match update {
             Learned::All(objects) => objects,
             Learned::Changed(changes) => changes
                 .into_iter()
@@ -199,11 +201,11 @@
         for object in written.iter().filter(|object| object.name == name) {
             match gateway.adapter.decoder.configuration(object) {
                 Ok(configuration) => gateway.configure(configuration),
-                // The former stays in force.
+                // The former configuration stays in effect.
                 Err(error) => {
-                    if let Some(untold) = self.admit(object) {
+                    if let Some(suppressed) = self.should_log(object) {
                         warn!(gateway.log, "configuration: Refused."; "revision" => object.revision,
-                            "reason" => %error, "untold" => untold);
+                            "reason" => %error, "untold" => suppressed);
                     }
                 }
             }
--- a/crates/firshore-node/src/lib.rs
+++ b/crates/firshore-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! A node as it runs in an environment that an adapter translates: observes versioned objects,
-//! serves callers, keeps batch jobs where it has a disk, and leaves without cutting anything off.
+//! A firshore node: watches the environment's versioned objects through an adapter, serves callers,
+//! stores batch jobs if it has a disk, and shuts down gracefully.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod command_line;
--- a/crates/firshore-node/src/load_exchange.rs
+++ b/crates/firshore-node/src/load_exchange.rs
@@ -1,5 +1,5 @@
-//! Tells a relay what this node has under way at back ends, and learns from its answer what all others
-//! have; the journal's leader itself where no relay of its zone is of use.
+//! Reports this node's requests in flight at back ends to a relay of its zone, and receives the counts of all other
+//! nodes in response. Without a usable relay, the node reports to the journal's leader.
 
 use crate::journal::client::{JournalClient, OthersLoad};
 use crate::load_table::{BackendCount, ToldLoad, as_counts};
@@ -14,39 +14,39 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest time between exchanges while requests are under way, whatever the leader says: what was
-/// told counts for nothing soon after.
-const LONGEST_BUSY_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Maximum interval between exchanges while requests are in flight, whatever interval the leader requests: reports
+/// expire soon after it.
+const MAX_BUSY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Shortest time between exchanges while requests are under way.
-const BUSY_INTERVAL: Duration = Duration::from_millis(15);
+/// Minimum interval between exchanges while requests are in flight.
+const MIN_BUSY_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Part of the time between exchanges after which a node may tell again when its requests find no
-/// free slot: online requests wait until items have made room.
-const URGENT_SHARE: f64 = 0.2;
+/// Fraction of the interval after which a node may report again when its requests find no free slot: they wait until
+/// batch items are preempted.
+const URGENT_FRACTION: f64 = 0.2;
 
-/// Time between exchanges otherwise.
+/// Interval between exchanges while no requests are in flight.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time for which a relay is passed over that gave no picture.
-const RELAY_PAUSE: Duration = Duration::from_millis(1_000);
+/// Time for which a relay is excluded after it returned no counts.
+const RELAY_EXCLUSION: Duration = Duration::from_millis(1_000);
 
-/// Tells loads on behalf of a node that serves callers.
+/// Exchanges loads on behalf of a node that serves callers.
 pub struct LoadExchange {
     gateway: Rc<Gateway>,
     journal: Rc<JournalClient>,
     node: NodeName,
     zone: ZoneName,
-    /// Whether the leader has too many nodes to hear each as often as it could tell.
+    /// Whether the leader asks nodes to report less often than the minimum interval.
     crowded_leader: Cell<bool>,
-    /// Who was told last.
-    told_to: RefCell<Option<NodeName>>,
-    /// Relays that gave no picture, and until when they are passed over.
-    passed_over: RefCell<HashMap<NodeName, Instant>>,
+    /// Recipient of the last report.
+    last_recipient: RefCell<Option<NodeName>>,
+    /// Relays that returned no counts, and the end of their exclusion.
+    excluded_relays: RefCell<HashMap<NodeName, Instant>>,
 }
 
 impl LoadExchange {
-    /// Tells what `gateway` has under way, as `node` in `zone`.
+    /// Creates the exchange for `gateway`, which runs on `node` in `zone`.
     pub fn new(
         gateway: Rc<Gateway>,
         journal: Rc<JournalClient>,
@@ -59,45 +59,46 @@
             node,
             zone,
             crowded_leader: Cell::new(false),
-            told_to: RefCell::default(),
-            passed_over: RefCell::default(),
+            last_recipient: RefCell::default(),
+            excluded_relays: RefCell::default(),
         }
     }
 
     /// Runs until the node ends.
     pub async fn run(self) {
         let mut was_busy = false;
-        let mut busy_interval = BUSY_INTERVAL;
+        let mut busy_interval = MIN_BUSY_INTERVAL;
         let mut urgent = false;
         loop {
-            let own = as_counts(self.gateway.fleet.borrow().in_flight());
-            let busy = !own.is_empty();
-            // An idle node tells so once, then looks from time to time; one that is cut off asks on.
-            let cut_off = self.journal.is_cut_off();
+            let counts = as_counts(self.gateway.fleet.borrow().in_flight());
+            let busy = !counts.is_empty();
+            // An idle node reports so once, then stops. An isolated node keeps trying.
+            let isolated = self.journal.is_cut_off();
             let limits = self.gateway.has_limits();
-            let tells = busy || was_busy || self.gateway.requests_open() > 0 || cut_off || limits;
-            if tells && let Some(others) = self.tell(own, urgent).await {
-                busy_interval = others.pause.clamp(BUSY_INTERVAL, LONGEST_BUSY_INTERVAL);
-                let apart = busy_interval + others.age;
+            let reports =
+                busy || was_busy || self.gateway.requests_open() > 0 || isolated || limits;
+            if reports && let Some(others) = self.report(counts, urgent).await {
+                busy_interval = others.pause.clamp(MIN_BUSY_INTERVAL, MAX_BUSY_INTERVAL);
+                let view_interval = busy_interval + others.age;
                 let paces = as_named(others.paces);
                 let mut fleet = self.gateway.fleet.borrow_mut();
                 fleet.learned_paces(Instant::now(), paces);
                 drop(fleet);
-                self.gateway.learned_others(&others.counts, apart);
+                self.gateway.learned_others(&others.counts, view_interval);
             }
             was_busy = busy;
             let interval = match busy {
                 true => busy_interval,
                 false => IDLE_INTERVAL,
             };
-            let least = busy_interval.mul_f64(URGENT_SHARE);
-            actix_rt::time::sleep(least).await;
-            urgent = self.rest(interval - least).await;
+            let min_wait = busy_interval.mul_f64(URGENT_FRACTION);
+            actix_rt::time::sleep(min_wait).await;
+            urgent = self.wait_for_event(interval - min_wait).await;
         }
     }
 
-    /// Waits until it is time to tell again. Returns whether requests have found no free slot.
-    async fn rest(&self, interval: Duration) -> bool {
+    /// Waits until the next report is due. Returns whether requests found no free slot.
+    async fn wait_for_event(&self, interval: Duration) -> bool {
         tokio::select! {
             () = self.gateway.crowded.notified() => true,
             () = self.gateway.limits_pressing.notified() => false,
@@ -105,66 +106,67 @@
         }
     }
 
-    /// Tells what is under way and what tenants have asked, and takes in what these may still ask.
-    async fn tell(&self, counts: Vec<BackendCount>, urgent: bool) -> Option<OthersLoad> {
-        let asked_at = firshore_clock::now().into_std();
-        let told = ToldLoad {
+    /// Reports requests in flight and use of tenants' limits, and applies the limits in the response.
+    async fn report(&self, counts: Vec<BackendCount>, urgent: bool) -> Option<OthersLoad> {
+        let sent_at = firshore_clock::now().into_std();
+        let report = ToldLoad {
             counts,
             urgent,
             pressures: self.gateway.pressure.borrow_mut().take(),
-            uses: self.gateway.report_uses(asked_at),
+            uses: self.gateway.report_uses(sent_at),
             paces: as_paces(self.gateway.fleet.borrow_mut().take_untold_paces()),
         };
-        let others = self.exchange(told).await;
+        let others = self.exchange(report).await;
         let news = others.as_ref().and_then(|others| {
-            let at = asked_at.checked_sub(others.age).unwrap_or(asked_at);
+            let at = sent_at.checked_sub(others.age).unwrap_or(sent_at);
             others.news.as_ref().map(|news| (at, news))
         });
         self.gateway.learned_uses(news);
         others
     }
 
-    async fn exchange(&self, told: ToldLoad) -> Option<OthersLoad> {
+    async fn exchange(&self, report: ToldLoad) -> Option<OthersLoad> {
         let relay = self.relay().filter(|_| self.crowded_leader.get());
         if let Some(relay) = relay {
-            if let Some(others) = self.journal.tell_relay(&relay, told.clone()).await {
-                self.note_told(Some(relay), &told);
+            if let Some(others) = self.journal.tell_relay(&relay, report.clone()).await {
+                self.set_recipient(Some(relay), &report);
                 return Some(others);
             }
-            info!(self.gateway.log, "load: Relay passed over."; "relay" => %relay,
-                "pause_ms" => RELAY_PAUSE.as_millis() as u64);
-            let until = Instant::now() + RELAY_PAUSE;
-            self.passed_over.borrow_mut().insert(relay, until);
+            info!(self.gateway.log, "load: Relay excluded."; "relay" => %relay,
+                "pause_ms" => RELAY_EXCLUSION.as_millis() as u64);
+            let until = Instant::now() + RELAY_EXCLUSION;
+            self.excluded_relays.borrow_mut().insert(relay, until);
         }
-        let others = self.journal.tell_leader(told.clone(), false).await?;
-        self.note_told(self.journal.leader(), &told);
-        // A few nodes get younger pictures from the leader than through relays.
-        self.crowded_leader.set(others.pause > BUSY_INTERVAL);
+        let others = self.journal.tell_leader(report.clone(), false).await?;
+        self.set_recipient(self.journal.leader(), &report);
+        // With few nodes, the leader's counts are fresher than those through a relay.
+        self.crowded_leader.set(others.pause > MIN_BUSY_INTERVAL);
         Some(others)
     }
 
-    /// Notes who was told. Who was told before and is told no more would count this node twice.
-    fn note_told(&self, now_told: Option<NodeName>, told: &ToldLoad) {
-        let former = self.told_to.replace(now_told.clone());
-        let Some(former) = former.filter(|former| Some(former) != now_told.as_ref()) else {
+    /// Sets the recipient of the last report, and retracts the report from a former recipient: this node would be
+    /// counted twice otherwise.
+    fn set_recipient(&self, recipient: Option<NodeName>, report: &ToldLoad) {
+        let former = self.last_recipient.replace(recipient.clone());
+        let Some(former) = former.filter(|former| Some(former) != recipient.as_ref()) else {
             return;
         };
-        let taken_back = ToldLoad {
-            uses: told.uses.as_ref().map(UseReport::retraction),
+        let retraction = ToldLoad {
+            uses: report.uses.as_ref().map(UseReport::retraction),
             ..ToldLoad::default()
         };
         let journal = self.journal.clone();
-        actix_rt::spawn(async move { journal.retract(&former, taken_back).await });
+        actix_rt::spawn(async move { journal.retract(&former, retraction).await });
     }
 
-    /// The relay to tell: of this zone, and not passed over.
+    /// Returns the first relay of this zone that is not excluded.
     fn relay(&self) -> Option<NodeName> {
         let now = Instant::now();
-        let mut passed_over = self.passed_over.borrow_mut();
-        passed_over.retain(|_, until| now < *until);
+        let mut excluded_relays = self.excluded_relays.borrow_mut();
+        excluded_relays.retain(|_, until| now < *until);
         let candidates = self.journal.candidates();
         let relays = ranking::at_home(&candidates, &self.zone, &self.node);
-        let mut usable = relays.into_iter();
-        usable.find(|relay| !passed_over.contains_key(relay))
+        let mut relays = relays.into_iter();
+        relays.find(|relay| !excluded_relays.contains_key(relay))
     }
 }
--- a/crates/firshore-node/src/load_table.rs
+++ b/crates/firshore-node/src/load_table.rs
@@ -1,10 +1,10 @@
-//! Requests under way at back ends, as all nodes that serve callers told a moment ago. No I/O.
+//! Requests in flight at back ends, as recently reported by all nodes that serve callers. No I/O.
 //!
-//! Kept by the node that runs batch items: it leaves alone what online requests use, and tells each
-//! node what the others have under way, so that all balance with the same picture.
+//! The node that runs batch items keeps this table: it avoids the slots that online requests use, and sends each
+//! node the counts of the others, so that all nodes balance load with the same view.
 //!
-//! Counts go by the name of a back end: a node counts what its present process runs, and one that has not
-//! heard of its next start yet, which the bound on back ends limits, costs less than the start in each count.
+//! Counts are keyed by the back end's name, not its incarnation. A node that has not observed a restart yet
+//! may count requests of the former process; the bound on propagating back ends limits that error.
 
 use crate::pace_table::BackendPace;
 use firshore_adapter::incarnation::BackendName;
@@ -15,32 +15,32 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Age at which what a node told counts for nothing.
-const LIFETIME: Duration = Duration::from_millis(1_500);
+/// Age at which a node's report expires.
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// Requests under way at one back end.
+/// Number of requests in flight at one back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendCount {
-    /// Back end.
+    /// Name of the back end.
     #[serde(rename = "b")]
     pub backend: String,
-    /// Requests.
+    /// Requests in flight.
     #[serde(rename = "n")]
     pub count: u32,
 }
 
-/// What a node tells of itself.
+/// Report of a node that serves callers.
 #[derive(Clone, Debug, Default)]
 pub struct ToldLoad {
-    /// Requests under way at back ends.
+    /// Requests in flight at back ends.
     pub counts: Vec<BackendCount>,
-    /// Whether requests have found no free slot.
+    /// Whether requests found no free slot since the last report.
     pub urgent: bool,
-    /// How online requests pressed on services since it was told last.
+    /// Pressure of online requests on services since the last report.
     pub pressures: Vec<ServicePressure>,
-    /// What tenants have asked; `None` where none has a limit.
+    /// Use of tenants' limits; `None` if no tenant has a limit.
     pub uses: Option<UseReport>,
-    /// What back ends told of their pace since the node told last.
+    /// Paces that back ends reported since the last report.
     pub paces: Vec<BackendPace>,
 }
 
@@ -53,16 +53,16 @@
     }
 }
 
-struct Told {
+struct NodeCounts {
     counts: HashMap<BackendName, u32>,
-    at: Instant,
+    received_at: Instant,
 }
 
-/// What nodes told, and its sum, which is kept up to date rather than made anew: each of many nodes
-/// asks for it some times a second.
+/// Counts reported by each node, and their sums. The sums are updated incrementally, since many nodes query them
+/// several times per second.
 #[derive(Default)]
 pub struct LoadTable {
-    nodes: HashMap<NodeName, Told>,
+    nodes: HashMap<NodeName, NodeCounts>,
     sums: HashMap<BackendName, u32>,
 }
 
@@ -78,12 +78,12 @@
 }
 
 impl LoadTable {
-    /// Takes in what a node has under way.
+    /// Replaces the counts of a node.
     pub fn told(&mut self, now: Instant, node: NodeName, counts: Vec<BackendCount>) {
         self.forget_old(now);
         let counts: HashMap<BackendName, u32> = counts
             .into_iter()
-            .map(|one| (BackendName::from(one.backend), one.count))
+            .map(|entry| (BackendName::from(entry.backend), entry.count))
             .collect();
         for (backend, count) in &counts {
             match self.sums.get_mut(backend) {
@@ -93,44 +93,50 @@
                 }
             }
         }
-        if let Some(before) = self.nodes.insert(node, Told { counts, at: now }) {
-            subtract(&mut self.sums, &before.counts);
+        if let Some(previous) = self.nodes.insert(
+            node,
+            NodeCounts {
+                counts,
+                received_at: now,
+            },
+        ) {
+            subtract(&mut self.sums, &previous.counts);
         }
     }
 
-    /// Forgets what was told too long ago.
+    /// Removes expired reports.
     pub fn forget_old(&mut self, now: Instant) {
         let sums = &mut self.sums;
-        self.nodes.retain(|_, told| {
-            let fresh = now.saturating_duration_since(told.at) < LIFETIME;
-            if !fresh {
-                subtract(sums, &told.counts);
+        self.nodes.retain(|_, reported| {
+            let is_fresh = now.saturating_duration_since(reported.received_at) < REPORT_LIFETIME;
+            if !is_fresh {
+                subtract(sums, &reported.counts);
             }
-            fresh
+            is_fresh
         });
     }
 
-    /// Sums over all nodes, as of the last call that changed anything.
+    /// Returns the sums over all nodes, as of the last change.
     pub fn sums(&self) -> &HashMap<BackendName, u32> {
         &self.sums
     }
 
-    /// Sums over all nodes but one.
+    /// Returns the sums over all nodes except `node`.
     pub fn others(&self, node: &NodeName) -> HashMap<BackendName, u32> {
         let mut others = self.sums.clone();
-        if let Some(told) = self.nodes.get(node) {
-            subtract(&mut others, &told.counts);
+        if let Some(reported) = self.nodes.get(node) {
+            subtract(&mut others, &reported.counts);
         }
         others
     }
 
-    /// Number of nodes that told a moment ago.
+    /// Returns the number of nodes with a report that has not expired.
     pub fn nodes(&self) -> usize {
         self.nodes.len()
     }
 }
 
-/// Counts as they travel, those of idle back ends left out.
+/// Converts sums into their wire form, without idle back ends.
 pub fn as_counts(sums: impl IntoIterator<Item = (BackendName, u32)>) -> Vec<BackendCount> {
     let busy = sums.into_iter().filter(|(_, count)| *count > 0);
     busy.map(|(backend, count)| BackendCount {
--- a/crates/firshore-node/src/memory.rs
+++ b/crates/firshore-node/src/memory.rs
@@ -1,63 +1,60 @@
-//! What the memory of a node with a disk is used for, and how much of it each use may take. No I/O.
+//! Memory budget of a node with a disk. No I/O.
 //!
-//! A node that goes over its machine's memory is ended, and everything that it runs with it. So each
-//! use is counted in bytes as it grows, and bounded by a share of `limits.memory_megabytes`: jobs are
-//! refused and runs wait before that is reached. The shares sum up to 0.7; the rest is for the program,
-//! the allocator and bytes that wait in sockets.
+//! The system kills a node that exceeds its machine's memory, with everything that it runs. So each use is counted
+//! in bytes and bounded by a fraction of `limits.memory_megabytes`: jobs are refused and runs wait before the bound
+//! is exceeded. The fractions sum up to 0.7; the rest is for the program, the allocator and socket buffers.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Share for items of open jobs, and for jobs that are being committed.
-const JOBS_SHARE: f64 = 0.14;
+/// Fraction for items of open jobs, and for jobs that are being committed.
+const JOBS_FRACTION: f64 = 0.14;
 
-/// Share for the events of items that have no result yet, counted once here and once more where they
-/// are kept for the next leader.
-const PROGRESS_SHARE: f64 = 0.12;
+/// Fraction for the events of items without a result, including the copy that is kept for a change of leader.
+const PROGRESS_FRACTION: f64 = 0.12;
 
-/// Share for connections and tasks of the items that run.
-const RUNS_SHARE: f64 = 0.22;
+/// Fraction for connections and tasks of running items.
+const RUNS_FRACTION: f64 = 0.22;
 
-/// Share for results that are being read. One answer is always made.
-const RESULTS_SHARE: f64 = 0.05;
+/// Fraction for results that are being read. One read is always admitted.
+const RESULTS_FRACTION: f64 = 0.05;
 
-/// Share for the log: its entries, the latest snapshot, and the pages of the database.
+/// Fraction for the replicated log: its entries, the latest snapshot, and the pages of the database.
 pub const LOG_SHARE: f64 = 0.17;
 
-/// Memory that a run of an item takes in bytes: its connection, its task and what it has read. Measured as
-/// 33 KB between 233 and 1,033 runs on a machine of 130 MB (resident memory, events not counted off).
+/// Resident memory of one running item in bytes: connection, task and read buffer.
 const BYTES_PER_RUN: usize = 36 * 1024;
 
-/// Times that a job being committed is held: as received, as encoded, and as an entry of the log.
+/// Copies of a job that is being committed: as received, as encoded, and as a log entry.
 const COPIES_OF_SUBMISSION: usize = 3;
 
-/// Times that events are held: by the run, and for the next leader.
+/// Copies of an item's events: in the run, and for a change of leader.
 const COPIES_OF_PROGRESS: usize = 2;
 
-/// Times that a result being read is held: as read from the disk, as decoded and as sent.
+/// Copies of a result that is being read: as read from disk, as decoded, and as sent.
 const COPIES_OF_RESULT: usize = 3;
 
-/// Bytes by use, as counted.
+/// Counted memory in bytes, by purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemoryUse {
-    /// Jobs as applied: bodies of items without a result for the most part.
+    /// Applied jobs: mostly bodies of items without a result.
     pub jobs: usize,
     /// Jobs that are being committed.
     pub submissions: usize,
     /// Events of items that this node runs.
     pub progress: usize,
-    /// Events that are kept for the case that this node leads next.
+    /// Events received from the leader, for the case that this node becomes leader.
     pub handover: usize,
-    /// Runs, as many as there are times what one takes.
+    /// Running items, estimated from their number.
     pub runs: usize,
     /// Results that are being read.
     pub results: usize,
-    /// Entries of the log and the latest snapshot.
+    /// Entries of the replicated log and the latest snapshot.
     pub log: usize,
 }
 
 impl MemoryUse {
-    /// Returns each use under its name.
+    /// Returns each use with its metric label.
     pub fn by_purpose(&self) -> [(&'static str, usize); 7] {
         [
             ("jobs", self.jobs),
@@ -76,57 +73,57 @@
     }
 }
 
-/// How much each use may take.
+/// Bound on each use.
 #[derive(Clone, Copy, Debug)]
 pub struct MemoryBudget {
     bytes: usize,
 }
 
 impl MemoryBudget {
-    /// Divides the memory of a node, in bytes.
+    /// Creates the budget for a node that may use `bytes` of memory.
     pub fn new(bytes: usize) -> Self {
         Self { bytes }
     }
 
-    fn share(&self, share: f64) -> usize {
-        (self.bytes as f64 * share) as usize
+    fn fraction(&self, fraction: f64) -> usize {
+        (self.bytes as f64 * fraction) as usize
     }
 
-    /// Returns whether a job of `bytes` more may be taken in.
+    /// Returns whether a job of `bytes` may be accepted.
     pub fn admits_job(&self, used: &MemoryUse, bytes: usize) -> bool {
         let held = used.jobs + used.submissions;
-        held + bytes * COPIES_OF_SUBMISSION <= self.share(JOBS_SHARE)
+        held + bytes * COPIES_OF_SUBMISSION <= self.fraction(JOBS_FRACTION)
     }
 
-    /// Returns whether an item may start that has produced nothing yet, while `progress` bytes of events
-    /// are held. Items that have begun go on: only their end frees what they hold.
+    /// Returns whether an item without events may start while items hold `progress` bytes of events. Items with
+    /// events may always continue: only their completion frees that memory.
     pub fn admits_new_run(&self, progress: usize) -> bool {
-        progress * COPIES_OF_PROGRESS < self.share(PROGRESS_SHARE)
+        progress * COPIES_OF_PROGRESS < self.fraction(PROGRESS_FRACTION)
     }
 
-    /// Returns whether results of about `bytes` may be read now.
+    /// Returns whether results of about `bytes` may be read while `used` bytes of results are held.
     pub fn admits_results(&self, used: usize, bytes: usize) -> bool {
-        used == 0 || used + bytes * COPIES_OF_RESULT <= self.share(RESULTS_SHARE)
+        used == 0 || used + bytes * COPIES_OF_RESULT <= self.fraction(RESULTS_FRACTION)
     }
 
-    /// Returns how many items run at most at once.
+    /// Returns the maximum number of items that run at the same time.
     pub fn most_runs(&self) -> usize {
-        (self.share(RUNS_SHARE) / BYTES_PER_RUN).max(1)
+        (self.fraction(RUNS_FRACTION) / BYTES_PER_RUN).max(1)
     }
 
-    /// Returns what runs of this number take in bytes, about.
+    /// Returns the estimated memory of `runs` running items in bytes.
     pub fn of_runs(&self, runs: usize) -> usize {
         runs * BYTES_PER_RUN
     }
 }
 
-/// Counts bytes for as long as something holds them.
+/// Counter of bytes in use.
 #[derive(Clone, Debug, Default)]
 pub struct ByteCounter {
     bytes: Rc<Cell<usize>>,
 }
 
-/// Bytes that are counted until this is dropped.
+/// Guard that counts bytes until it is dropped.
 #[derive(Debug)]
 pub struct CountedBytes {
     counter: ByteCounter,
@@ -134,12 +131,12 @@
 }
 
 impl ByteCounter {
-    /// Returns the bytes that are held.
+    /// Returns the number of bytes in use.
     pub fn held(&self) -> usize {
         self.bytes.get()
     }
 
-    /// Counts `bytes` until the answer is dropped.
+    /// Counts `bytes` until the returned guard is dropped.
     pub fn count(&self, bytes: usize) -> CountedBytes {
         self.bytes.set(self.bytes.get() + bytes);
         CountedBytes {
@@ -156,19 +153,18 @@
     }
 }
 
-/// What is held on behalf of peers that wait for an answer.
+/// Memory held for peers that wait for a response.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryLedger {
     /// Jobs that are being committed.
     pub submissions: ByteCounter,
     /// Results that are being read.
     pub results: ByteCounter,
-    /// Whether a job was refused for lack of memory since this was last taken.
+    /// Whether a job was refused for lack of memory since this flag was last reset.
     pub refused: Rc<Cell<bool>>,
 }
 
-/// Returns the memory of this process that is resident, in bytes; `None` where the system does not
-/// tell.
+/// Returns the resident memory of this process in bytes, or `None` if the system doesn't report it.
 pub fn resident_bytes() -> Option<usize> {
     const PAGE_BYTES: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
--- a/crates/firshore-node/src/node.rs
+++ b/crates/firshore-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts a node together and runs it until it is told to stop.
+//! Assembles a node and runs it until it receives a stop signal.
 
 use crate::crash_exchange::CrashExchange;
 use crate::environment::{self, FollowedKinds};
@@ -40,16 +40,21 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Part of the grace in which the node still accepts, until nobody sends new connections.
-const ANNOUNCED_SHARE: f64 = 0.35;
+/// Fraction of the grace period in which the node still accepts connections, so that load balancers notice its
+/// readiness status before it closes the listener.
+const ANNOUNCED_FRACTION: f64 = 0.35;
 
-/// Time kept for the end of the process itself.
-const END_MARGIN: Duration = Duration::from_millis(400);
+/// Time reserved for the exit of the process after the last request.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// How often the node looks whether its last request has ended.
-const FINISH_POLL: Duration = Duration::from_millis(50);
+/// Interval between checks whether all requests have ended.
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a node on this thread until it has left.
+/// Runs a node on this thread until it has shut down. `path` is the settings file, which is read again on SIGHUP.
+///
+/// # Errors
+///
+/// Fails if a listener can't be bound, the data folder can't be opened or signals can't be handled.
 pub fn run(
     settings: Settings,
     path: PathBuf,
@@ -58,13 +63,18 @@
     let log = firshore_logging::root(&settings.log, Destination::Output);
     let log = log.new(slog::o!("node" => settings.name.to_string()));
     let adapter = adapter(settings.objects.address);
-    actix_rt::System::new().block_on(live(settings, path, adapter, log))
+    actix_rt::System::new().block_on(run_until_stopped(settings, path, adapter, log))
 }
 
-async fn live(settings: Settings, path: PathBuf, adapter: Adapter, log: Logger) -> io::Result<()> {
+async fn run_until_stopped(
+    settings: Settings,
+    path: PathBuf,
+    adapter: Adapter,
+    log: Logger,
+) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let mut hang_up = signal(SignalKind::hangup())?;
+    let mut hangup = signal(SignalKind::hangup())?;
     let secret = ClusterSecret(settings.cluster.secret.clone().into_bytes());
     let (peers, calls) = PeerClient::new();
     actix_rt::spawn(client::run(calls, secret));
@@ -116,7 +126,7 @@
     };
     let metrics = NodeMetrics::new(builder, gateway.clone(), journal.clone());
     let callers = start_listeners(&settings, &gateway, metrics).await?;
-    // A node without callers follows the environment only while it runs items.
+    // A node without callers watches the environment only while it runs items.
     let _following = callers
         .is_some()
         .then(|| environment::follow(&gateway, &settings.objects, || asker()));
@@ -131,7 +141,7 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = hang_up.recv() => reload(&path, &log),
+            _ = hangup.recv() => reload(&path, &log),
         }
     }
     if let Some(journal) = &journal {
@@ -142,12 +152,13 @@
     Ok(())
 }
 
-/// Reads the settings again. What a running node can take over is taken over; the rest waits for
-/// its next start.
+/// Checks the settings file on SIGHUP. The running node keeps its settings.
 fn reload(path: &std::path::Path, log: &Logger) {
     match Settings::read(path) {
-        Ok(_) => info!(log, "node: Settings read again."),
-        Err(error) => warn!(log, "node: Settings kept."; "reason" => %error),
+        Ok(_) => info!(log, "node: Settings file is valid."),
+        Err(error) => {
+            warn!(log, "node: Settings file is invalid."; "reason" => %error)
+        }
     }
 }
 
@@ -178,14 +189,14 @@
 }
 
 impl JournalNode {
-    /// Hands leadership over, so that another node goes on with the items.
+    /// Transfers leadership, so that another node continues the items, and stops all runs.
     async fn stop(&self) {
         self.journal.stop().await;
         self.runner.stop_all();
     }
 }
 
-/// How a node meets other nodes.
+/// Means to reach other nodes.
 struct PeerAccess {
     registry: Rc<Registry>,
     jobs: Rc<JournalClient>,
@@ -270,13 +281,13 @@
     Ok(JournalNode { journal, runner })
 }
 
-/// Tells the relays of all zones, as far as they are known, of changes.
-fn announce_to_relays(own: &NodeName, registry: &Rc<Registry>, peers: &PeerClient) -> Announce {
-    let (own, registry, peers) = (own.clone(), registry.clone(), peers.clone());
+/// Returns a function that announces changed revisions to the known relays of all zones.
+fn announce_to_relays(local: &NodeName, registry: &Rc<Registry>, peers: &PeerClient) -> Announce {
+    let (local, registry, peers) = (local.clone(), registry.clone(), peers.clone());
     let listed = Rc::new(Cell::new(false));
     Rc::new(move |kind, revision| {
         if !listed.get() {
-            // Nodes that started later than this one may be relays too.
+            // Relays may have started after this node last listed the nodes.
             let (registry, listed) = (registry.clone(), listed.clone());
             actix_rt::spawn(async move {
                 if registry.refresh().await {
@@ -285,7 +296,7 @@
             });
         }
         let relays = ranking::relays(&registry.candidates());
-        for relay in relays.values().flatten().filter(|relay| **relay != own) {
+        for relay in relays.values().flatten().filter(|relay| **relay != local) {
             let Some(address) = registry.address(relay) else {
                 continue;
             };
@@ -298,19 +309,20 @@
     })
 }
 
-/// Says that the node leaves, goes on accepting for a while, then finishes what runs.
+/// Shuts down gracefully: reports not ready, closes the listener after a while, then waits for open requests until the
+/// grace period ends.
 async fn leave(settings: &Settings, gateway: &Rc<Gateway>, callers: Callers) {
     let grace = settings.leave.grace();
-    let end = tokio::time::Instant::now() + grace.saturating_sub(END_MARGIN);
+    let end = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
     gateway.leaving.begin();
-    info!(gateway.log, "node: Leaving."; "grace_ms" => grace.as_millis() as u64);
+    info!(gateway.log, "node: Shutting down."; "grace_ms" => grace.as_millis() as u64);
     if let Some(callers) = callers {
-        actix_rt::time::sleep(grace.mul_f64(ANNOUNCED_SHARE)).await;
+        actix_rt::time::sleep(grace.mul_f64(ANNOUNCED_FRACTION)).await;
         gateway.leaving.close();
         let _ = callers.await;
     }
     while gateway.requests_open() > 0 && tokio::time::Instant::now() < end {
-        actix_rt::time::sleep(FINISH_POLL).await;
+        actix_rt::time::sleep(FINISH_POLL_INTERVAL).await;
     }
-    info!(gateway.log, "node: Finished."; "cut_off" => gateway.requests_open());
+    info!(gateway.log, "node: Requests finished."; "cut_off" => gateway.requests_open());
 }
--- a/crates/firshore-node/src/pace_table.rs
+++ b/crates/firshore-node/src/pace_table.rs
@@ -1,7 +1,7 @@
-//! What back ends told of their pace, passed on once to each of those who ask. No I/O.
+//! Paces that back ends reported, forwarded once to each client. No I/O.
 //!
-//! One of many nodes hears from one of many back ends every few seconds, all of them together some times a
-//! second. A figure is of the moment, so that each is told on as soon as somebody asks, and never again.
+//! A single node receives a back end's pace every few seconds, all nodes together several times per second. A pace
+//! is stale soon, so that each report is sent with a client's next query and not again.
 
 use firshore_adapter::backend::Pace;
 use firshore_adapter::incarnation::BackendName;
@@ -11,98 +11,103 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Age at which a figure is not passed on any more: it is another one by then.
-const LIFETIME: Duration = Duration::from_millis(500);
+/// Age at which a pace is stale and no longer forwarded.
+const PACE_LIFETIME: Duration = Duration::from_millis(500);
 
-/// Time after which who has not asked is forgotten.
-const ASKER_LIFETIME: Duration = Duration::from_secs(5);
+/// Time after the last query at which a client's state is removed.
+const CLIENT_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Pace of a back end as it travels.
+/// Pace of a back end as sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendPace {
-    /// Back end.
+    /// Name of the back end.
     #[serde(rename = "b")]
     pub backend: String,
-    /// How long work takes there, in hundredths of the usual time.
+    /// Pace in hundredths; 100 is the typical pace.
     #[serde(rename = "p")]
     pub hundredths: u32,
 }
 
-/// Who tells and asks.
+/// Origin of paces, and client of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PaceSource {
-    /// A node.
+    /// A node that reports its own paces.
     Node(NodeName),
-    /// The journal's leader, for a relay.
+    /// The journal's leader, from which a relay receives paces.
     Leader,
 }
 
-struct HeardPace {
+struct ReceivedPace {
     pace: Pace,
-    at: Instant,
-    number: u64,
+    received_at: Instant,
+    sequence: u64,
     source: PaceSource,
 }
 
-/// How far somebody has been told.
-struct AskerState {
-    number: u64,
-    at: Instant,
+/// Last query of a client.
+struct ClientState {
+    /// Sequence number up to which paces were sent.
+    sequence: u64,
+    queried_at: Instant,
 }
 
-/// The last pace of each back end that anybody told.
+/// Latest reported pace of each back end.
 #[derive(Default)]
 pub struct PaceTable {
-    heard: HashMap<BackendName, HeardPace>,
-    askers: HashMap<PaceSource, AskerState>,
-    number: u64,
+    paces: HashMap<BackendName, ReceivedPace>,
+    clients: HashMap<PaceSource, ClientState>,
+    sequence: u64,
 }
 
 impl PaceTable {
-    /// Takes in what somebody heard from back ends.
+    /// Records paces received from `source`. Values that are no valid pace are ignored.
     pub fn told(&mut self, now: Instant, source: &PaceSource, paces: Vec<BackendPace>) {
-        for one in paces {
-            let Some(pace) = Pace::from_hundredths(one.hundredths) else {
+        for reported in paces {
+            let Some(pace) = Pace::from_hundredths(reported.hundredths) else {
                 continue;
             };
-            self.number += 1;
-            let heard = HeardPace {
+            self.sequence += 1;
+            let received = ReceivedPace {
                 pace,
-                at: now,
-                number: self.number,
+                received_at: now,
+                sequence: self.sequence,
                 source: source.clone(),
             };
-            self.heard.insert(BackendName::from(one.backend), heard);
+            self.paces
+                .insert(BackendName::from(reported.backend), received);
         }
     }
 
-    /// Returns what others told since the same asker was answered last.
-    pub fn news(&mut self, now: Instant, asker: &PaceSource) -> Vec<BackendPace> {
-        self.forget_old(now);
-        let state = AskerState {
-            number: self.number,
-            at: now,
+    /// Returns the paces from other sources that were recorded since the client's last query.
+    pub fn news(&mut self, now: Instant, client: &PaceSource) -> Vec<BackendPace> {
+        self.remove_expired(now);
+        let state = ClientState {
+            sequence: self.sequence,
+            queried_at: now,
         };
-        let before = self.askers.insert(asker.clone(), state);
-        let known = before.map_or(0, |before| before.number);
-        let heard = self.heard.iter();
-        let news = heard.filter(|(_, heard)| heard.number > known && heard.source != *asker);
-        news.map(|(backend, heard)| BackendPace {
-            backend: backend.as_str().to_owned(),
-            hundredths: heard.pace.hundredths(),
-        })
-        .collect()
+        let previous = self.clients.insert(client.clone(), state);
+        let sent = previous.map_or(0, |previous| previous.sequence);
+        let paces = self.paces.iter();
+        let updates =
+            paces.filter(|(_, received)| received.sequence > sent && received.source != *client);
+        updates
+            .map(|(backend, received)| BackendPace {
+                backend: backend.as_str().to_owned(),
+                hundredths: received.pace.hundredths(),
+            })
+            .collect()
     }
 
-    fn forget_old(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.heard.retain(|_, heard| age(heard.at) < LIFETIME);
-        self.askers
-            .retain(|_, asker| age(asker.at) < ASKER_LIFETIME);
+        self.paces
+            .retain(|_, received| age(received.received_at) < PACE_LIFETIME);
+        self.clients
+            .retain(|_, client| age(client.queried_at) < CLIENT_LIFETIME);
     }
 }
 
-/// Paces as they travel.
+/// Converts paces into their wire form.
 pub fn as_paces(named: Vec<NamedPace>) -> Vec<BackendPace> {
     let paces = named.into_iter().map(|one| BackendPace {
         backend: one.backend.as_str().to_owned(),
@@ -111,7 +116,7 @@
     paces.collect()
 }
 
-/// Paces as they arrived; those that say nothing are left out.
+/// Converts paces from their wire form, without invalid values.
 pub fn as_named(paces: Vec<BackendPace>) -> Vec<NamedPace> {
     let named = paces.into_iter().filter_map(|one| {
         Some(NamedPace {
--- a/crates/firshore-node/src/refusals.rs
+++ b/crates/firshore-node/src/refusals.rs
@@ -1,52 +1,53 @@
-//! Which refused objects are told in the log: each revision once, and a few a second. No I/O.
+//! Limits log lines on refused objects: each revision once, and a few per second. No I/O.
 
 use firshore_adapter::objects::Revision;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Refusals told in one [`WINDOW`]: another writer may write as fast as the store takes it.
-const MOST_TOLD: u32 = 5;
+/// Maximum log lines per [`WINDOW`]: a writer may produce invalid objects as fast as the store accepts them.
+const MAX_LINES: u32 = 5;
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Objects whose refusal is remembered; beyond that all are forgotten, and told again.
-const MOST_REMEMBERED: usize = 1_024;
+/// Maximum number of objects whose refusal is remembered. If it is reached, all are removed and may be logged again.
+const MAX_REMEMBERED: usize = 1_024;
 
-/// Refusals of objects of one kind.
+/// Refused objects of one kind that were logged.
 #[derive(Debug, Default)]
 pub struct RefusalLog {
-    told: HashMap<String, Revision>,
-    window: Option<Instant>,
-    in_window: u32,
-    untold: u64,
+    logged: HashMap<String, Revision>,
+    window_start: Option<Instant>,
+    lines_in_window: u32,
+    suppressed: u64,
 }
 
 impl RefusalLog {
-    /// Returns how many refusals were not told since the last one that was, if this one is to be told.
+    /// Returns the number of refusals that were suppressed since the last logged one if this one has to be logged,
+    /// `None` otherwise.
     pub fn admit(&mut self, now: Instant, name: &str, revision: Revision) -> Option<u64> {
-        if self.told.get(name) == Some(&revision) {
+        if self.logged.get(name) == Some(&revision) {
             return None;
         }
-        let is_over = |begin: Instant| now.saturating_duration_since(begin) >= WINDOW;
-        if self.window.is_none_or(is_over) {
-            self.window = Some(now);
-            self.in_window = 0;
+        let is_over = |start: Instant| now.saturating_duration_since(start) >= WINDOW;
+        if self.window_start.is_none_or(is_over) {
+            self.window_start = Some(now);
+            self.lines_in_window = 0;
         }
-        if self.in_window >= MOST_TOLD {
-            self.untold += 1;
+        if self.lines_in_window >= MAX_LINES {
+            self.suppressed += 1;
             return None;
         }
-        self.in_window += 1;
-        if self.told.len() >= MOST_REMEMBERED {
-            self.told.clear();
+        self.lines_in_window += 1;
+        if self.logged.len() >= MAX_REMEMBERED {
+            self.logged.clear();
         }
-        self.told.insert(name.to_owned(), revision);
-        Some(std::mem::take(&mut self.untold))
+        self.logged.insert(name.to_owned(), revision);
+        Some(std::mem::take(&mut self.suppressed))
     }
 
-    /// Takes in that an object is gone or can be read.
+    /// Removes an object that was deleted or is valid again.
     pub fn forget(&mut self, name: &str) {
-        self.told.remove(name);
+        self.logged.remove(name);
     }
 }
--- a/crates/firshore-node/src/status_listener.rs
+++ b/crates/firshore-node/src/status_listener.rs
@@ -1,5 +1,5 @@
-//! Answers questions about the node itself, each with a status and a text: whether it is ready, what
-//! it has counted. A listener answers every path alike, until the process ends.
+//! HTTP listeners for the node's readiness and metrics. A listener returns the same response for every path, until
+//! the process exits.
 
 use actix_http::StatusCode;
 use actix_http::body::BodySize;
@@ -11,15 +11,15 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a listener answers.
+/// Response of a listener.
 pub struct StatusAnswer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Text, empty where the status says all.
+    /// Body; may be empty.
     pub text: String,
 }
 
-/// Answers with what `answer` returns at that moment.
+/// Accepts connections and answers each request with the result of `answer`.
 pub async fn accept(listener: TcpListener, answer: impl Fn() -> StatusAnswer + 'static) {
     let answer = Rc::new(answer);
     loop {
@@ -36,7 +36,7 @@
         let StatusAnswer { status, text } = answer();
         let mut headers = HeaderMap::new();
         if !text.is_empty() {
-            headers.insert(CONTENT_TYPE, HeaderValue::from_static(TEXT));
+            headers.insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_CONTENT_TYPE));
         }
         let size = BodySize::Sized(text.len() as u64);
         connection.put_head(status, headers, size, false);
@@ -48,5 +48,5 @@
     }
 }
 
-/// Content type of the text format of Prometheus.
-const TEXT: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Content type of the OpenMetrics text format.
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
--- a/crates/firshore-node/src/task.rs
+++ b/crates/firshore-node/src/task.rs
@@ -1,14 +1,14 @@
-//! A task that ends with the handle to it.
+//! A task that is aborted when its handle is dropped.
 
 use std::future::Future;
 
-/// A task on this thread, aborted when dropped.
+/// A task on the current thread, aborted when this handle is dropped.
 pub struct Task {
     handle: actix_rt::task::JoinHandle<()>,
 }
 
 impl Task {
-    /// Starts a task.
+    /// Spawns `work` on the current thread.
     pub fn spawn(work: impl Future<Output = ()> + 'static) -> Self {
         Self {
             handle: actix_rt::spawn(work),
--- a/crates/firshore-node/src/watcher.rs
+++ b/crates/firshore-node/src/watcher.rs
@@ -1,4 +1,4 @@
-//! Asks the store what an [`Observation`] wants to know, for as long as the node lives.
+//! Executes the queries of an [`Observation`] at an object store until the node stops.
 
 use crate::observation::{Learned, ListingRefusal, Observation, Question, Terms};
 use crate::refusals::RefusalLog;
@@ -9,33 +9,33 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Who asks for a kind, and how.
+/// Parameters of a watch on one kind of objects.
 pub struct Watcher {
     /// Log.
     pub log: Logger,
-    /// Whom it asks.
+    /// Store that is queried.
     pub store: Rc<dyn ObjectStore>,
     /// Kind of the objects.
     pub kind: String,
-    /// On which terms.
+    /// Options of the watch.
     pub terms: Terms,
-    /// Wakes a watch that waits, to ask anew at once.
+    /// Interrupts a waiting watch; the next query is sent at once.
     pub renewal: Rc<Notify>,
 }
 
-/// Follows all objects of a kind and hands on what is learned.
-pub async fn follow(watcher: Watcher, learn: impl Fn(Learned)) {
-    let step = |learned: Option<Learned>, _: &Observation, _: Instant| {
-        if let Some(learned) = learned {
-            learn(learned);
+/// Watches all objects of a kind and calls `apply` with each update.
+pub async fn follow(watcher: Watcher, apply: impl Fn(Learned)) {
+    let step = |update: Option<Learned>, _: &Observation, _: Instant| {
+        if let Some(update) = update {
+            apply(update);
         }
     };
     observe(watcher, step).await;
 }
 
-/// Follows all objects of a kind; tells after each answer what was learned, if anything, how the
-/// observation stands, and as of when: a listing tells the store as its first page was asked for, an
-/// answer to a watch as it arrives.
+/// Watches all objects of a kind. After each response calls `step` with the update, if any, the state of the watch, and
+/// the time as of which the state is known: for a listing the time at which its first page was requested, for a watch
+/// the time at which its response arrived.
 pub async fn observe(watcher: Watcher, step: impl Fn(Option<Learned>, &Observation, Instant)) {
     let Watcher {
         log,
@@ -48,25 +48,25 @@
     let mut refusals = RefusalLog::default();
     let mut as_of = firshore_clock::now();
     loop {
-        let pause = observation.pause();
-        if !pause.is_zero() {
-            // Nodes that lost the store together must not return together.
-            let spread = pause.mul_f64(rand::rng().random_range(0.5..1.0));
-            actix_rt::time::sleep(spread).await;
+        let delay = observation.pause();
+        if !delay.is_zero() {
+            // Jitter: nodes that lost the store at the same time must not query it at the same time.
+            let jittered = delay.mul_f64(rand::rng().random_range(0.5..1.0));
+            actix_rt::time::sleep(jittered).await;
         }
         let connected = observation.is_connected();
-        let learned = match observation.question() {
+        let update = match observation.question() {
             Question::List(after) => {
                 if after.is_none() {
                     as_of = firshore_clock::now();
                 }
                 let page = store.list(&kind, after.as_deref()).await;
-                note(&log, &kind, connected, page.as_ref().err());
+                log_error(&log, &kind, connected, page.as_ref().err());
                 let revision = page.as_ref().map_or(0, |page| page.revision);
-                let learned = observation.listed(page);
-                note_refusal(&log, &kind, observation.refusal());
-                note_unnamed(&log, &kind, &mut refusals, &observation, revision);
-                learned
+                let update = observation.listed(page);
+                log_refusal(&log, &kind, observation.refusal());
+                log_unnamed(&log, &kind, &mut refusals, &observation, revision);
+                update
             }
             Question::Watch(revision) => {
                 let watching = store.watch(&kind, revision, observation.wait());
@@ -77,26 +77,26 @@
                         continue;
                     }
                 };
-                note(&log, &kind, connected, changes.as_ref().err());
+                log_error(&log, &kind, connected, changes.as_ref().err());
                 as_of = firshore_clock::now();
                 let revision = changes.as_ref().map_or(0, |changes| changes.revision);
-                let learned = observation.watched(changes);
-                note_unnamed(&log, &kind, &mut refusals, &observation, revision);
-                learned
+                let update = observation.watched(changes);
+                log_unnamed(&log, &kind, &mut refusals, &observation, revision);
+                update
             }
         };
         if !connected && observation.is_connected() {
-            info!(log, "objects: Store answers again."; "kind" => &kind,
+            info!(log, "objects: Store responds again."; "kind" => &kind,
                 "revision" => observation.revision());
         }
-        step(learned, &observation, as_of);
+        step(update, &observation, as_of);
     }
 }
 
-fn note(log: &Logger, kind: &str, connected: bool, error: Option<&ObjectError>) {
+fn log_error(log: &Logger, kind: &str, connected: bool, error: Option<&ObjectError>) {
     match error {
         Some(ObjectError::HistoryGone) => {
-            info!(log, "objects: History gone; listing anew."; "kind" => kind);
+            info!(log, "objects: Watch history expired; listing again."; "kind" => kind);
         }
         Some(error) if connected => {
             warn!(log, "objects: Store does not answer."; "kind" => kind, "reason" => %error);
@@ -105,16 +105,18 @@
     }
 }
 
-fn note_refusal(log: &Logger, kind: &str, refusal: Option<ListingRefusal>) {
+fn log_refusal(log: &Logger, kind: &str, refusal: Option<ListingRefusal>) {
     let reason = match refusal {
         None => return,
-        Some(ListingRefusal::Older) => "an older revision than was known",
-        Some(ListingRefusal::NoCursor) => "more follow, and no name to ask for them after",
+        Some(ListingRefusal::Older) => "revision is older than one already seen",
+        Some(ListingRefusal::NoCursor) => {
+            "more pages follow, but the page has no name to continue after"
+        }
     };
     warn!(log, "objects: Listing refused."; "kind" => kind, "reason" => reason);
 }
 
-fn note_unnamed(
+fn log_unnamed(
     log: &Logger,
     kind: &str,
     refusals: &mut RefusalLog,
@@ -125,8 +127,8 @@
     if count == 0 {
         return;
     }
-    if let Some(untold) = refusals.admit(firshore_clock::now(), "", revision) {
-        warn!(log, "objects: Entries passed over."; "kind" => kind, "count" => count,
-            "revision" => revision, "reason" => "no name that can be read", "untold" => untold);
+    if let Some(suppressed) = refusals.admit(firshore_clock::now(), "", revision) {
+        warn!(log, "objects: Entries skipped."; "kind" => kind, "count" => count,
+            "revision" => revision, "reason" => "name cannot be read", "untold" => suppressed);
     }
 }
