--- a/crates/firshore-node/src/command_line.rs
+++ b/crates/firshore-node/src/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line: `serve` runs a node, `check` reads its settings and says what is wrong,
-//! `explain` tells from logs what happened to a request, job or item.
+//! Command line: `serve` runs a node, `check` validates its settings, `explain` searches logs for a request, job or
+//! item.
 
 use crate::explain::{self, Explanation};
 use crate::node;
@@ -12,8 +12,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit status for unusable settings or arguments.
-const UNUSABLE: u8 = 2;
+/// Exit status for invalid settings or unreadable files.
+const EXIT_INVALID: u8 = 2;
 
 /// A firshore node.
 #[derive(FromArgs)]
@@ -30,7 +30,7 @@
     Explain(Explain),
 }
 
-/// Run a node until it is told to stop.
+/// Run a node until it receives a stop signal.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
@@ -39,7 +39,7 @@
     settings: PathBuf,
 }
 
-/// Read a settings file and say what is wrong with it.
+/// Check a settings file for errors.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
@@ -48,7 +48,7 @@
     settings: PathBuf,
 }
 
-/// Tell from log files what happened to a request, job or item.
+/// Show the log lines of a request, job or item, in order of time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct Explain {
@@ -71,7 +71,7 @@
             Ok(explanation) => self.print(&explanation),
             Err(error) => {
                 eprintln!("The logs cannot be read: {error}. Check the paths.");
-                ExitCode::from(UNUSABLE)
+                ExitCode::from(EXIT_INVALID)
             }
         }
     }
@@ -82,7 +82,7 @@
         }
         if explanation.skipped > 0 {
             eprintln!(
-                "{} lines are no log lines and were skipped.",
+                "Skipped {} lines that are not log lines.",
                 explanation.skipped
             );
         }
@@ -91,8 +91,8 @@
         }
         let nodes: Vec<&str> = explanation.nodes.iter().map(String::as_str).collect();
         eprintln!(
-            "No line concerns '{}'. A request that ended well at its first send writes none, nor \
-             does one that was under way when its node ended. Logs of these nodes were read: {}.",
+            "No log line refers to '{}'. A request that succeeded at its first attempt writes none, nor \
+             does one that was in flight when its node stopped. Logs of these nodes were read: {}.",
             self.id,
             nodes.join(", ")
         );
@@ -105,8 +105,8 @@
     Ok(Box::new(BufReader::new(file)))
 }
 
-/// Runs the program. `adapter` meets the environment, whose store of objects listens at the
-/// address given.
+/// Runs the program and returns its exit status. `adapter` creates the adapter to the environment from the address of
+/// its object store.
 pub fn run(adapter: impl FnOnce(SocketAddr) -> Adapter) -> ExitCode {
     let arguments: Arguments = argh::from_env();
     let path = match &arguments.command {
@@ -118,12 +118,12 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(UNUSABLE);
+            return ExitCode::from(EXIT_INVALID);
         }
     };
     match arguments.command {
         Command::Check(_) | Command::Explain(_) => {
-            println!("The settings can be used.");
+            println!("The settings are valid.");
             ExitCode::SUCCESS
         }
         Command::Serve(serve) => match node::run(settings, serve.settings, adapter) {
--- a/crates/firshore-node/src/explain.rs
+++ b/crates/firshore-node/src/explain.rs
@@ -1,63 +1,71 @@
-//! Tells from log files what happened to one request, job or item, in order.
+//! Searches log files for the lines of one request, job or item.
 
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead};
 
-/// Fields that every line carries and that are printed apart.
-const COMMON: [&str; 5] = ["msg", "level", "ts", "node", "version"];
+/// Fields of every line, which are not listed among the others.
+const COMMON_FIELDS: [&str; 5] = ["msg", "level", "ts", "node", "version"];
 
-/// What was found.
+/// Result of a search.
 #[derive(Debug, Default)]
 pub struct Explanation {
-    /// Lines that concern the identifier, in order of time.
+    /// Lines that refer to the identifier, in order of time.
     pub lines: Vec<String>,
-    /// Nodes whose lines were read.
+    /// Nodes whose logs were read.
     pub nodes: BTreeSet<String>,
-    /// Lines that are no JSON objects.
+    /// Number of lines that are not JSON objects.
     pub skipped: usize,
 }
 
-/// Field that stands for what a request asks, whatever its identifier.
-const PRINT: &str = "print";
+/// Field with the request's fingerprint, which is the same for repeated requests with other identifiers.
+const FINGERPRINT_FIELD: &str = "print";
 
 #[derive(Debug, Default)]
-struct Reading {
+struct LogSearch {
+    /// Matching lines, with their times.
     found: Vec<(String, String)>,
-    /// Lines that name a print, by print: those of other requests that asked the same.
-    printed: BTreeMap<String, Vec<(String, String)>>,
-    /// Prints in what was found.
-    prints: BTreeSet<String>,
+    /// Lines with a fingerprint, by fingerprint.
+    by_fingerprint: BTreeMap<String, Vec<(String, String)>>,
+    /// Fingerprints of matching lines.
+    fingerprints: BTreeSet<String>,
     nodes: BTreeSet<String>,
     skipped: usize,
 }
 
-/// Reads logs and picks what concerns `id`: lines in which a field has it as its value, and those of
-/// requests that asked the same, where one of them names what was asked.
+/// Returns the log lines that refer to `id`: those with a field of this value, and those with the same request
+/// fingerprint as one of them.
+///
+/// # Errors
+///
+/// Fails if a log can't be read.
 pub fn explain(id: &str, logs: impl IntoIterator<Item = impl BufRead>) -> io::Result<Explanation> {
-    let mut reading = Reading::default();
+    let mut search = LogSearch::default();
     for log in logs {
         for line in log.lines() {
-            reading.take(id, &line?);
+            search.add_line(id, &line?);
         }
     }
-    for print in std::mem::take(&mut reading.prints) {
-        reading
-            .found
-            .extend(reading.printed.remove(&print).unwrap_or_default());
+    for fingerprint in std::mem::take(&mut search.fingerprints) {
+        search.found.extend(
+            search
+                .by_fingerprint
+                .remove(&fingerprint)
+                .unwrap_or_default(),
+        );
     }
-    reading.found.sort();
-    reading.found.dedup();
+    search.found.sort();
+    search.found.dedup();
     Ok(Explanation {
-        lines: reading.found.into_iter().map(|(_, line)| line).collect(),
-        nodes: reading.nodes,
-        skipped: reading.skipped,
+        lines: search.found.into_iter().map(|(_, line)| line).collect(),
+        nodes: search.nodes,
+        skipped: search.skipped,
     })
 }
 
-impl Reading {
-    /// Takes in a line; what stands before the object, as some collectors write it, is passed over.
-    fn take(&mut self, id: &str, line: &str) {
+impl LogSearch {
+    /// Adds a line. Text before the JSON object, as some log collectors write it, is ignored.
+    fn add_line(&mut self, id: &str, line: &str) {
         if line.trim().is_empty() {
             return;
         }
@@ -72,30 +80,34 @@
         if let Some(node) = object.get("node").and_then(Value::as_str) {
             self.nodes.insert(node.to_owned());
         }
-        let concerns = object.values().any(|value| value.as_str() == Some(id));
-        let print = object.get(PRINT).and_then(Value::as_str);
-        if !concerns && print.is_none() {
+        let is_match = object.values().any(|value| value.as_str() == Some(id));
+        let fingerprint = object.get(FINGERPRINT_FIELD).and_then(Value::as_str);
+        if !is_match && fingerprint.is_none() {
             return;
         }
-        let line = (text(&object, "ts"), describe(&object));
-        if concerns {
+        let line = (text(&object, "ts"), format_line(&object));
+        if is_match {
             self.found.push(line.clone());
-            self.prints.extend(print.map(str::to_owned));
+            self.fingerprints.extend(fingerprint.map(str::to_owned));
         }
-        if let Some(print) = print {
-            let lines = self.printed.entry(print.to_owned()).or_default();
+        if let Some(fingerprint) = fingerprint {
+            let lines = self
+                .by_fingerprint
+                .entry(fingerprint.to_owned())
+                .or_default();
             lines.push(line);
         }
     }
 }
 
+/// Returns the value of a text field, or "?" if it is missing.
 fn text(object: &Map<String, Value>, name: &str) -> String {
     let value = object.get(name).and_then(Value::as_str);
     value.unwrap_or("?").to_owned()
 }
 
-/// `TIME NODE MESSAGE field=value …`, fields in order of name.
-fn describe(object: &Map<String, Value>) -> String {
+/// Formats a line as `TIME NODE MESSAGE field=value …`, with fields sorted by name.
+fn format_line(object: &Map<String, Value>) -> String {
     let mut line = format!(
         "{} {} {}",
         text(object, "ts"),
@@ -104,7 +116,7 @@
     );
     let mut fields: Vec<(&String, &Value)> = object
         .iter()
-        .filter(|(name, _)| !COMMON.contains(&name.as_str()))
+        .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()))
         .collect();
     fields.sort_by_key(|(name, _)| *name);
     for (name, value) in fields {
--- a/crates/firshore-node/src/metrics.rs
+++ b/crates/firshore-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a node counts, and how it is told.
+//! Metrics of a node and their text response.
 
 use crate::journal::Journal;
 use crate::journal::standing::JournalStanding;
@@ -18,7 +18,7 @@
 /// Metrics of the items that a node runs.
 pub struct RunnerMetrics {
     runs: Family<EndLabels, Counter>,
-    /// Runs stopped so that online requests have room.
+    /// Runs that were preempted for online requests.
     pub preemptions: Counter,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl RunnerMetrics {
-    /// Makes the metrics.
+    /// Registers the metrics.
     pub fn new(builder: &mut Builder) -> Self {
         Self {
             runs: builder.counters("runs", "end", "Runs of batch items, by how they ended."),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Counts the end of a run.
+    /// Counts a run by how it ended.
     pub fn run_ended(&self, end: RunEnd) {
         self.runs
             .get_or_create(&EndLabels::new(run_label(end)))
@@ -53,7 +53,7 @@
     }
 }
 
-/// Metrics of the replica on a node's disk, as of the moment in which they are told.
+/// Metrics of the replica on a node's disk, updated when they are read.
 pub struct JournalMetrics {
     leads: Gauge,
     term: Gauge,
@@ -63,26 +63,26 @@
     file_bytes: Gauge,
     jobs: Gauge,
     running: Gauge,
-    memory: Family<UseLabels, Gauge>,
+    memory: Family<PurposeLabels, Gauge>,
     resident: Gauge,
     standing: Family<StandingLabels, Gauge>,
     standing_age: Gauge,
 }
 
-/// Labels of a journal's standing.
+/// Label of a journal status.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StandingLabels {
     standing: &'static str,
 }
 
-/// Labels of a use of memory.
+/// Label of a use of memory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct UseLabels {
+struct PurposeLabels {
     purpose: &'static str,
 }
 
 impl JournalMetrics {
-    /// Makes the metrics.
+    /// Registers the metrics.
     pub fn new(builder: &mut Builder) -> Self {
         Self {
             leads: builder.gauge(
@@ -133,32 +133,32 @@
         self.running.set(node.runner.running() as i64);
         let used = node.runner.memory_use();
         for (purpose, bytes) in used.by_purpose() {
-            let gauge = self.memory.get_or_create(&UseLabels { purpose });
+            let gauge = self.memory.get_or_create(&PurposeLabels { purpose });
             gauge.set(bytes as i64);
         }
-        // Left as it was where the system does not tell.
+        // Keeps its last value if the system doesn't report it.
         if let Some(bytes) = memory::resident_bytes() {
             self.resident.set(bytes as i64);
         }
         let report = node.journal.standing.borrow().current(Instant::now());
         self.standing_age.set(report.lasted.as_millis() as i64);
-        for one in JournalStanding::ALL {
-            let standing = one.name();
+        for status in JournalStanding::ALL {
+            let standing = status.name();
             let gauge = self.standing.get_or_create(&StandingLabels { standing });
-            gauge.set((one == report.standing).into());
+            gauge.set((status == report.standing).into());
         }
     }
 }
 
-/// The journal and what runs its items, on a node with a disk.
+/// Journal and runner of a node with a disk.
 pub struct JournalNode {
-    /// The journal.
+    /// Replicated journal of batch jobs.
     pub journal: Rc<Journal>,
-    /// What runs its items.
+    /// Runner of the journal's items.
     pub runner: Rc<Runner>,
 }
 
-/// Everything that a node counts.
+/// All metrics of a node.
 pub struct NodeMetrics {
     gateway: Rc<Gateway>,
     journal: Option<(JournalMetrics, Rc<JournalNode>)>,
@@ -166,7 +166,7 @@
 }
 
 impl NodeMetrics {
-    /// Gathers what was made by `builder`, and the journal's where the node has a disk.
+    /// Collects the metrics registered at `builder`, and those of the journal if the node has a disk.
     pub fn new(
         mut builder: Builder,
         gateway: Rc<Gateway>,
@@ -180,12 +180,12 @@
         }
     }
 
-    /// Returns name and meaning of each metric.
+    /// Returns name and help text of each metric.
     pub fn descriptions(&self) -> &[MetricDescription] {
         self.set.descriptions()
     }
 
-    /// Returns all metrics as they are now.
+    /// Returns the current values of all metrics in the OpenMetrics text format.
     pub fn answer(&self) -> StatusAnswer {
         self.gateway.refresh_metrics();
         if let Some((metrics, node)) = &self.journal {
--- a/crates/firshore-node/src/observation.rs
+++ b/crates/firshore-node/src/observation.rs
@@ -1,82 +1,83 @@
-//! Follows all objects of one kind: lists them in pages, then watches from the revision of the
-//! first page, and lists anew whenever a watch fails. No I/O.
+//! State machine that lists all objects of one kind in pages, watches for changes from the revision of the first page,
+//! and lists again whenever a watch fails. No I/O.
 //!
-//! A watch that was cut is not gone on with: the store may have dropped its history meanwhile, and
-//! tells so only with the next change.
+//! An interrupted watch is not resumed: the store may have dropped its history in between, and reports so only with
+//! the next change.
 //!
-//! A store that falls silent swallows what it is asked meanwhile, and never answers that, while
-//! watches that waited before go on. So a long watch is asked for only right after an answer; after
-//! a pause, a short one comes first.
+//! A store that becomes unresponsive drops the queries that it receives in that time without a response, while watches
+//! that were open before continue. So a long watch is sent only right after a response. After a delay, a short watch
+//! is sent first.
 //!
-//! What was seen is never taken back: a listing as of an earlier revision than was seen before is no answer,
-//! and an object that one shows in an older revision than was seen is passed over.
+//! Revisions never go back: a listing as of an earlier revision than one already seen is refused, and an object with an
+//! older revision than one already seen is skipped.
 //!
-//! Entries without a name that can be read are passed over. A listing goes on after the last name that can be
-//! read, and fails where that leads no further. Whom a change without a name is about nobody can tell: the
-//! objects are listed anew.
+//! Entries without a readable name are skipped. A listing continues after the last readable name of a page, and fails
+//! if that makes no progress. If a change has no readable name, the objects are listed again.
 
 use firshore_adapter::objects::{Change, Changes, Object, ObjectError, Page, Revision};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Pause after the first failure; doubled with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff after the first failure; doubled with each further one.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
+/// Upper bound of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
 
-/// Part of the store's history after which a watch is renewed, so that its revision is not
-/// forgotten while other kinds change.
-const RENEWAL_SHARE: f64 = 0.9;
+/// Fraction of the store's history after which a watch is renewed, so that its revision doesn't
+/// expire while other kinds change.
+const RENEWAL_FRACTION: f64 = 0.9;
 
-/// Wait asked for where nothing at all has changed during the last one.
+/// Maximum timeout of a watch, used if the store's revision didn't change during the last watch.
 pub const CALM_WAIT: Duration = Duration::from_secs(30);
 
-/// Wait asked for where somebody knows more of the store: what is there is wanted at once.
-const RENEWAL_WAIT: Duration = Duration::from_millis(1);
+/// Timeout of a watch after an interrupted one: changes that the store already has are fetched at once.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Wait asked for after a pause.
-const PROVING_WAIT: Duration = Duration::from_millis(600);
+/// Timeout of a watch after a delay, to probe whether the store responds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What an observation is told about its store and kind.
+/// Options of a watch.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// Age at which the store may forget changes.
+    /// Age at which the store may drop changes from its history.
     pub history: Duration,
-    /// Pause after a change, so that changes in quick succession are asked for together.
+    /// Delay after a change, so that changes in quick succession are fetched together.
     pub spacing: Duration,
-    /// The same while everything is only just being created.
+    /// The same while the objects are being created.
     pub creation_spacing: Duration,
-    /// Longest wait asked for: a store that falls silent swallows a watch, which is noticed after it.
+    /// Maximum timeout of a watch. An unresponsive store drops watches, which is detected after this time.
     pub longest_wait: Duration,
 }
 
-/// What to ask the store next.
+/// Query to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// A page after a name.
+    /// The page of objects after a name; the first page for `None`.
     List(Option<String>),
-    /// Changes after a revision.
+    /// The changes after a revision.
     Watch(Revision),
 }
 
-/// What was learned.
+/// Update of the objects of a kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Learned {
-    /// All objects there are.
+    /// All existing objects.
     All(Vec<Object>),
-    /// Changes since.
+    /// Changes since the last update.
     Changed(Vec<Change>),
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
     Listing {
-        gathered: Vec<Object>,
-        /// Revision up to which changes were known before, but for those of whom nobody can tell.
-        known: Option<Revision>,
-        /// Last name that could be read.
+        listed: Vec<Object>,
+        /// Revision up to which changes were seen before the listing, except those without a readable name.
+        seen: Option<Revision>,
+        /// Last readable name.
         after: Option<String>,
-        /// Revision of the first page: what changed while later pages were read is watched again.
+        /// Revision of the first page. The watch starts from it, so that it returns changes made while later pages were
+        /// read.
         revision: Option<Revision>,
     },
     Watching(Revision),
@@ -87,70 +88,70 @@
         Self::listing_after(None)
     }
 
-    fn listing_after(known: Option<Revision>) -> Self {
+    fn listing_after(seen: Option<Revision>) -> Self {
         Self::Listing {
-            known,
-            gathered: Vec::new(),
+            seen,
+            listed: Vec::new(),
             after: None,
             revision: None,
         }
     }
 }
 
-/// State of the observation.
+/// State of the list and watch cycle for one kind.
 #[derive(Debug)]
 pub struct Observation {
     terms: Terms,
     phase: Phase,
     seen: HashMap<String, Revision>,
-    /// Revision up to which the store was known at any time.
-    reached: Revision,
+    /// Highest revision seen.
+    max_revision: Revision,
     failures: u32,
-    /// The last watch brought changes.
+    /// Whether the last watch returned changes.
     changed: bool,
-    /// The store's revision did not move during the last watch.
-    calm: bool,
-    /// The first listing was empty: the objects are being created.
-    creation: bool,
-    /// The watch that waited was given up to ask anew at once.
+    /// Whether the store's revision stayed the same during the last watch.
+    idle: bool,
+    /// Whether the first listing was empty, so that the objects are being created.
+    creating: bool,
+    /// Whether the waiting watch was interrupted, so that the next one returns at once.
     renewed: bool,
-    /// Entries of the last answer whose name could not be read.
+    /// Number of entries without a readable name in the last response.
     unnamed: usize,
-    /// The last watch brought some: another writer may go on with that, so that a pause comes first.
-    doubted: bool,
-    /// Why the last page was refused, if it was.
+    /// Whether the last watch returned such entries. A writer may produce many, so that a delay precedes the listing.
+    unnamed_change: bool,
+    /// Reason for which the last page was refused, if it was.
     refusal: Option<ListingRefusal>,
 }
 
-/// Why a page is no answer.
+/// Reason for which a page is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListingRefusal {
-    /// Objects that are gone would come back.
+    /// Its revision is older than one already seen: deleted objects would reappear.
     Older,
-    /// More follow, and no name is in it that they could be asked for after.
+    /// More pages follow, but this one has no readable name after the last one.
     NoCursor,
 }
 
 impl Observation {
-    /// Nothing is known yet.
+    /// Creates the initial state, which starts with a listing.
     pub fn new(terms: Terms) -> Self {
         Self {
             terms,
             phase: Phase::listing(),
             seen: HashMap::new(),
-            reached: 0,
+            max_revision: 0,
             failures: 0,
             changed: false,
-            calm: false,
-            creation: false,
+            idle: false,
+            creating: false,
             renewed: false,
             unnamed: 0,
-            doubted: false,
+            unnamed_change: false,
             refusal: None,
         }
     }
 
-    /// What to ask next.
+    /// Returns the next query.
     pub fn question(&self) -> Question {
         match &self.phase {
             Phase::Listing { after, .. } => Question::List(after.clone()),
@@ -158,104 +159,104 @@
         }
     }
 
-    /// The watch that waits is given up: the next one returns at once.
+    /// Records that the waiting watch was interrupted: the next one returns at once.
     pub fn renew(&mut self) {
         self.renewed = true;
     }
 
-    /// Longest wait for a change to ask for.
+    /// Returns the timeout of the next watch.
     pub fn wait(&self) -> Duration {
         if self.renewed {
-            return RENEWAL_WAIT;
+            return RENEWAL_TIMEOUT;
         }
         if !self.pause().is_zero() {
-            return PROVING_WAIT;
+            return PROBE_TIMEOUT;
         }
-        let wait = match self.calm {
+        let wait = match self.idle {
             true => CALM_WAIT,
-            false => self.terms.history.mul_f64(RENEWAL_SHARE).min(CALM_WAIT),
+            false => self.terms.history.mul_f64(RENEWAL_FRACTION).min(CALM_WAIT),
         };
         wait.min(self.terms.longest_wait)
     }
 
-    /// Pause before the next question.
+    /// Returns the delay before the next query.
     pub fn pause(&self) -> Duration {
         if self.renewed {
             return Duration::ZERO;
         }
         match self.failures {
-            0 if self.doubted => self.terms.spacing.max(FIRST_PAUSE),
-            0 if self.changed && self.creation => self.terms.creation_spacing,
+            0 if self.unnamed_change => self.terms.spacing.max(MIN_BACKOFF),
+            0 if self.changed && self.creating => self.terms.creation_spacing,
             0 if self.changed => self.terms.spacing,
             0 => Duration::ZERO,
             failures => {
-                let doubled = FIRST_PAUSE * 2_u32.saturating_pow(failures.min(10) - 1);
-                doubled.min(LONGEST_PAUSE)
+                let doubled = MIN_BACKOFF * 2_u32.saturating_pow(failures.min(10) - 1);
+                doubled.min(MAX_BACKOFF)
             }
         }
     }
 
-    /// Questions in a row that the store has not answered.
+    /// Returns the number of consecutive failed queries.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether the store answered last time.
+    /// Returns whether the last query succeeded.
     pub fn is_connected(&self) -> bool {
         self.failures == 0
     }
 
-    /// Revision up to which changes are known.
+    /// Returns the revision up to which changes were seen, or `None` before the first listing is complete.
     pub fn revision(&self) -> Option<Revision> {
         match &self.phase {
-            Phase::Listing { known, .. } => *known,
+            Phase::Listing { seen, .. } => *seen,
             Phase::Watching(revision) => Some(*revision),
         }
     }
 
-    /// Entries of the last answer whose name could not be read.
+    /// Returns the number of entries without a readable name in the last response.
     pub fn unnamed(&self) -> usize {
         self.unnamed
     }
 
-    /// Why the last page was refused, if it was.
+    /// Returns the reason for which the last page was refused, if it was.
     pub fn refusal(&self) -> Option<ListingRefusal> {
         self.refusal
     }
 
     fn refuse(&mut self, refusal: ListingRefusal) {
-        self.failed(&ObjectError::Unanswered(String::new()));
+        self.handle_failure(&ObjectError::Unanswered(String::new()));
         self.refusal = Some(refusal);
     }
 
-    /// Takes in a page.
+    /// Handles the response to a listing query. Returns an update once the last page is complete.
     pub fn listed(&mut self, page: Result<Page, ObjectError>) -> Option<Learned> {
         self.unnamed = 0;
         self.refusal = None;
         let mut page = match page {
             Ok(page) => page,
             Err(error) => {
-                self.failed(&error);
+                self.handle_failure(&error);
                 return None;
             }
         };
-        if page.revision < self.reached {
+        if page.revision < self.max_revision {
             self.refuse(ListingRefusal::Older);
             return None;
         }
-        if page.more && !self.leads_on(&page) {
+        if page.more && !self.has_next_cursor(&page) {
             self.refuse(ListingRefusal::NoCursor);
             return None;
         }
         self.failures = 0;
-        if std::mem::take(&mut self.doubted) {
-            // The pause after the changes came before the listing.
+        if std::mem::take(&mut self.unnamed_change) {
+            // The delay after the changes preceded the listing.
             self.changed = false;
         }
-        self.reached = page.revision;
+        self.max_revision = page.revision;
         self.unnamed = remove_unnamed(&mut page.objects, |object| &object.name);
         let Phase::Listing {
-            gathered,
+            listed,
             after,
             revision,
             ..
@@ -267,48 +268,52 @@
         if page.more {
             *after = page.cursor().map(str::to_owned);
         }
-        gathered.extend(page.objects);
+        listed.extend(page.objects);
         if page.more {
             return None;
         }
-        let listed = std::mem::take(gathered);
-        self.creation = listed.is_empty();
+        let objects = std::mem::take(listed);
+        self.creating = objects.is_empty();
         self.phase = Phase::Watching(first);
-        Some(Learned::All(self.newest(listed)))
+        Some(Learned::All(self.newest(objects)))
     }
 
-    /// Whether the listing can go on after a page. Without this, a page of which no name can be read would end
-    /// the listing, and all that stands behind it would be gone.
-    fn leads_on(&self, page: &Page) -> bool {
+    /// Returns whether the listing can continue after a page. Without this check, a page without readable names would
+    /// end the listing, and the objects of all later pages would be removed.
+    fn has_next_cursor(&self, page: &Page) -> bool {
         let Phase::Listing { after, .. } = &self.phase else {
             return false;
         };
         page.cursor() > after.as_deref()
     }
 
-    /// Objects that are not older than what was seen; remembers just these.
+    /// Returns the objects that are not older than the revision already seen. Replaces the seen revisions by those of
+    /// the listing.
     fn newest(&mut self, listed: Vec<Object>) -> Vec<Object> {
-        let seen = std::mem::take(&mut self.seen);
+        let previous = std::mem::take(&mut self.seen);
         let is_newest = |object: &Object| {
-            let before = seen.get(&object.name).copied().unwrap_or(0);
-            object.revision >= before
+            let seen = previous.get(&object.name).copied().unwrap_or(0);
+            object.revision >= seen
         };
         for object in &listed {
-            let before = seen.get(&object.name).copied().unwrap_or(0);
+            let seen = previous.get(&object.name).copied().unwrap_or(0);
             self.seen
-                .insert(object.name.clone(), object.revision.max(before));
+                .insert(object.name.clone(), object.revision.max(seen));
         }
-        listed.into_iter().filter(|one| is_newest(one)).collect()
+        listed
+            .into_iter()
+            .filter(|object| is_newest(object))
+            .collect()
     }
 
-    /// Takes in changes.
+    /// Handles the response to a watch.
     pub fn watched(&mut self, changes: Result<Changes, ObjectError>) -> Option<Learned> {
         self.renewed = false;
         self.unnamed = 0;
         let mut changes = match changes {
             Ok(changes) => changes,
             Err(error) => {
-                self.failed(&error);
+                self.handle_failure(&error);
                 return None;
             }
         };
@@ -317,15 +322,15 @@
             return None;
         };
         self.changed = !changes.changes.is_empty();
-        self.creation &= self.changed || self.seen.is_empty();
-        self.calm = changes.revision <= *revision;
+        self.creating &= self.changed || self.seen.is_empty();
+        self.idle = changes.revision <= *revision;
         *revision = changes.revision.max(*revision);
-        self.reached = self.reached.max(*revision);
+        self.max_revision = self.max_revision.max(*revision);
         self.unnamed = remove_unnamed(&mut changes.changes, Change::name);
         if self.unnamed > 0 {
-            // What the others are told goes on meanwhile: the listing that follows tells the rest.
-            self.phase = Phase::listing_after(Some(self.reached));
-            self.doubted = true;
+            // Named changes are still returned; the listing that follows covers the others.
+            self.phase = Phase::listing_after(Some(self.max_revision));
+            self.unnamed_change = true;
         }
         let fresh: Vec<Change> = changes
             .changes
@@ -342,8 +347,8 @@
         match change {
             Change::Removed(_) => true,
             Change::Written(object) => {
-                let before = self.seen.get(&object.name).copied().unwrap_or(0);
-                object.revision >= before
+                let seen = self.seen.get(&object.name).copied().unwrap_or(0);
+                object.revision >= seen
             }
         }
     }
@@ -359,20 +364,20 @@
         }
     }
 
-    fn failed(&mut self, error: &ObjectError) {
+    fn handle_failure(&mut self, error: &ObjectError) {
         self.renewed = false;
         self.phase = Phase::listing();
         self.changed = false;
-        self.calm = false;
-        self.doubted = false;
-        // Lost history is no failure of the store: what changed is wanted at once.
+        self.idle = false;
+        self.unnamed_change = false;
+        // Expired history is no failure of the store: the listing follows without backoff.
         if *error != ObjectError::HistoryGone {
             self.failures += 1;
         }
     }
 }
 
-/// Takes entries out whose name cannot be read. Returns how many.
+/// Removes entries without a readable name. Returns their number.
 fn remove_unnamed<T>(entries: &mut Vec<T>, name: impl Fn(&T) -> &str) -> usize {
     let before = entries.len();
     entries.retain(|entry| !name(entry).is_empty());
--- a/crates/firshore-node/src/pace_table.rs
+++ b/crates/firshore-node/src/pace_table.rs
@@ -23,7 +23,7 @@
     /// Name of the back end.
     #[serde(rename = "b")]
     pub backend: String,
-    /// Pace in hundredths; 100 is the typical pace.
+    /// Pace in hundredths: at 250, work takes 2.5 times as long as typical.
     #[serde(rename = "p")]
     pub hundredths: u32,
 }
--- a/crates/firshore-node/src/settings.rs
+++ b/crates/firshore-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: a TOML file that the environment fills in.
+//! Settings of a node, read from a TOML file.
 
 use crate::memory::MemoryBudget;
 use firshore_logging::LogSettings;
@@ -10,40 +10,40 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Everything a node is told at its start.
+/// Settings file of a node.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name, unique in the cluster.
     pub name: NodeName,
-    /// Region it stands in.
+    /// Region of the node.
     pub region: RegionName,
-    /// Zone it stands in.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Sockets.
+    /// Addresses to listen on.
     pub listen: Listen,
     /// Store of versioned objects.
     pub objects: Objects,
-    /// Other nodes.
+    /// Cluster membership.
     pub cluster: Cluster,
-    /// Disk, on the nodes that have one.
+    /// Data folder, on nodes with a disk.
     pub storage: Option<Storage>,
-    /// What the machine has.
+    /// Resource limits.
     #[serde(default)]
     pub limits: Limits,
-    /// How tenants' limits are counted.
+    /// Counting of tenants' limits.
     #[serde(default)]
     pub tenants: Tenants,
-    /// Requests under which back ends end.
+    /// Requests that crash back ends.
     #[serde(default)]
     pub crashes: Crashes,
-    /// What happens where a service has too little room.
+    /// Handling of services without enough free capacity.
     #[serde(default)]
     pub overload: Overload,
-    /// The way out.
+    /// Graceful shutdown.
     #[serde(default)]
     pub leave: Leave,
-    /// Log.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -52,13 +52,13 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Callers' HTTP; absent on nodes that serve no callers.
+    /// HTTP for callers; absent on nodes that serve no callers.
     pub callers: Option<SocketAddr>,
-    /// Where the node tells whether it is ready; absent where nobody asks.
+    /// HTTP for the readiness status; optional.
     pub readiness: Option<SocketAddr>,
-    /// Where the node tells its metrics; absent where nobody asks.
+    /// HTTP for metrics; optional.
     pub metrics: Option<SocketAddr>,
-    /// Other nodes.
+    /// Connections from other nodes.
     pub peers: SocketAddr,
 }
 
@@ -66,26 +66,26 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Objects {
-    /// Where it listens.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Age at which it may forget changes, in seconds.
+    /// Age at which the store may drop changes from its history, in seconds.
     #[serde(default = "default_history_seconds")]
     pub history_seconds: f64,
-    /// Time within which a change of the configuration must be in force on every node, in milliseconds.
+    /// Maximum time until a change of the configuration takes effect on all nodes, in milliseconds.
     #[serde(default = "default_bound_milliseconds")]
     pub configuration_bound_milliseconds: f64,
-    /// Time after which a back end that says that it leaves must get no new request, in milliseconds.
+    /// Maximum time until a back end that is marked as leaving gets no new requests, in milliseconds.
     #[serde(default = "default_bound_milliseconds")]
     pub leaving_bound_milliseconds: f64,
 }
 
 impl Objects {
-    /// Time within which a change of the configuration must be in force on every node.
+    /// Returns the maximum time until a change of the configuration takes effect on all nodes.
     pub fn configuration_bound(&self) -> Duration {
         Duration::from_secs_f64(self.configuration_bound_milliseconds / 1_000.0)
     }
 
-    /// Time after which a back end that says that it leaves must get no new request.
+    /// Returns the maximum time until a back end that is marked as leaving gets no new requests.
     pub fn leaving_bound(&self) -> Duration {
         Duration::from_secs_f64(self.leaving_bound_milliseconds / 1_000.0)
     }
@@ -99,20 +99,19 @@
     20.0
 }
 
-/// How nodes found the cluster and trust each other.
+/// Cluster membership and authentication between nodes.
 #[derive(Clone, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
     /// Shared secret of at least 16 bytes.
     pub secret: String,
-    /// Whether the whole cluster starts for the first time, with empty disks.
+    /// Whether the cluster starts for the first time, with empty disks.
     #[serde(default)]
     pub first_start: bool,
-    /// Disks that may be lost at once with nothing lost.
-    #[serde(default = "one")]
+    /// Number of disks that may be lost at the same time without loss of accepted jobs.
+    #[serde(default = "default_disk_losses")]
     pub tolerated_disk_losses: u32,
-    /// Time after which a node that is new, or back, must hold everything, in seconds: from then on
-    /// another disk may be lost.
+    /// Maximum time until a new or returned node holds all data, in seconds. Another disk may be lost after it.
     #[serde(default = "default_catch_up_seconds")]
     pub catch_up_seconds: f64,
 }
@@ -122,18 +121,18 @@
 }
 
 impl Cluster {
-    /// Time after which a node that is new, or back, must hold everything.
+    /// Returns the maximum time until a new or returned node holds all data.
     pub fn catch_up(&self) -> Duration {
         Duration::from_secs_f64(self.catch_up_seconds)
     }
 }
 
-fn one() -> u32 {
+fn default_disk_losses() -> u32 {
     1
 }
 
 impl std::fmt::Debug for Cluster {
-    /// Leaves the secret out, so that settings can be logged.
+    /// Omits the secret, so that settings can be logged.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter
             .debug_struct("Cluster")
@@ -143,19 +142,19 @@
     }
 }
 
-/// The data folder.
+/// Storage on disk.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Storage {
-    /// Folder for everything the node keeps on disk.
+    /// Folder for all data of the node.
     pub data_folder: PathBuf,
 }
 
-/// What the machine has.
+/// Resource limits.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Memory that the node may use, in megabytes (2^20 bytes).
+    /// Memory that the node may use, in megabytes of 2^20 bytes.
     pub memory_megabytes: f64,
 }
 
@@ -168,24 +167,24 @@
 }
 
 impl Limits {
-    /// Memory that the node may use, in bytes.
+    /// Returns the memory that the node may use, in bytes.
     pub fn memory_bytes(&self) -> usize {
         const BYTES_PER_MEGABYTE: f64 = 1_048_576.0;
         (self.memory_megabytes * BYTES_PER_MEGABYTE) as usize
     }
 
-    /// Returns how the memory is divided among its uses.
+    /// Returns the bounds on each use of the memory.
     pub fn memory_budget(&self) -> MemoryBudget {
         MemoryBudget::new(self.memory_bytes())
     }
 }
 
-/// How tenants' limits are counted.
+/// Counting of tenants' limits.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenants {
-    /// Span over which a tenant's requests are counted, in seconds; the same on every node. In any span of
-    /// this length a tenant may ask its rate times the span, and its burst beyond that.
+    /// Span over which a tenant's requests are counted, in seconds; the same on all nodes. In any span of this length
+    /// a tenant may send its rate times the span, plus its burst.
     pub rate_span_seconds: f64,
 }
 
@@ -198,18 +197,18 @@
 }
 
 impl Tenants {
-    /// Span over which a tenant's requests are counted.
+    /// Returns the span over which a tenant's requests are counted.
     pub fn rate_span(&self) -> Duration {
         Duration::from_secs_f64(self.rate_span_seconds)
     }
 }
 
-/// Requests under which back ends end.
+/// Quarantine of requests that crash back ends.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Crashes {
-    /// Time for which an end of a back end under a request is kept, in seconds; the same on every node. A
-    /// request that is held back is tried again this long after the last end.
+    /// Time for which a crash is remembered, in seconds; the same on all nodes. A quarantined request is admitted
+    /// again this long after its last crash.
     pub remember_seconds: f64,
 }
 
@@ -222,18 +221,18 @@
 }
 
 impl Crashes {
-    /// Time for which an end of a back end under a request is kept.
+    /// Returns the time for which a crash is remembered.
     pub fn remember(&self) -> Duration {
         Duration::from_secs_f64(self.remember_seconds)
     }
 }
 
-/// What happens where a service has too little room.
+/// Handling of services without enough free capacity.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Overload {
-    /// Whether requests that would begin too late for their route's objective are refused at once, in place of
-    /// being sent into the lines of full back ends.
+    /// Whether requests that would start too late for their route's objective are refused at once, instead of being
+    /// queued at full back ends.
     pub refuse_late: bool,
 }
 
@@ -243,11 +242,11 @@
     }
 }
 
-/// The way out.
+/// Graceful shutdown.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leave {
-    /// Time between the request to stop and the kill, in seconds.
+    /// Time between the stop signal and the kill signal, in seconds.
     pub grace_seconds: f64,
 }
 
@@ -258,42 +257,45 @@
 }
 
 impl Leave {
-    /// Time between the request to stop and the kill.
+    /// Returns the time between the stop signal and the kill signal.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_seconds)
     }
 }
 
-/// Shortest secret accepted, in bytes.
-const MINIMUM_SECRET_BYTES: usize = 16;
+/// Minimum length of the cluster secret.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Shortest time between the request to stop and the kill that allows an orderly end.
-const MINIMUM_GRACE_SECONDS: f64 = 1.0;
+/// Minimum grace period for an orderly shutdown.
+const MIN_GRACE_SECONDS: f64 = 1.0;
 
-/// Shortest span over which requests can be counted: what nodes tell each other is a part of a second old.
-const MINIMUM_RATE_SPAN_SECONDS: f64 = 1.0;
+/// Minimum span for counting requests: reports between nodes are a fraction of a second old.
+const MIN_RATE_SPAN_SECONDS: f64 = 1.0;
 
-/// Shortest time for which ends of back ends can be kept: a request that crashes them comes again within it.
-const MINIMUM_REMEMBER_SECONDS: f64 = 60.0;
+/// Minimum time for remembering crashes: clients repeat a failed request within it.
+const MIN_REMEMBER_SECONDS: f64 = 60.0;
 
-/// Least memory that a node can be run with, in megabytes.
-const MINIMUM_MEMORY_MEGABYTES: f64 = 16.0;
+/// Minimum memory of a node.
+const MIN_MEMORY_MEGABYTES: f64 = 16.0;
 
-/// Shortest history of the store that can be watched.
-const MINIMUM_HISTORY_SECONDS: f64 = 1.0;
+/// Minimum history of a store that can be watched.
+const MIN_HISTORY_SECONDS: f64 = 1.0;
 
-/// Shortest time within which changes can be known: the shares of it that relays and the store have must
-/// be longer than an answer takes.
-const MINIMUM_BOUND_MILLISECONDS: f64 = 1_000.0;
+/// Minimum bound on propagating changes: the fractions of it for relays and the store must exceed their response times.
+const MIN_BOUND_MILLISECONDS: f64 = 1_000.0;
 
-/// Shortest time in which a new disk can be made to hold everything.
-const MINIMUM_CATCH_UP_SECONDS: f64 = 1.0;
+/// Minimum time for copying all data to a new disk.
+const MIN_CATCH_UP_SECONDS: f64 = 1.0;
 
-/// Most disks that may be lost at once: more needs groups of more than seven.
-const MAXIMUM_DISK_LOSSES: u32 = 3;
+/// Maximum number of tolerated disk losses: more would need groups of more than seven replicas.
+const MAX_DISK_LOSSES: u32 = 3;
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file can't be read or parsed, or if a value is out of bounds.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| SettingsError::Read(path.to_owned(), error))?;
@@ -303,16 +305,20 @@
         Ok(settings)
     }
 
-    /// Checks what the types cannot.
+    /// Checks bounds that the types don't enforce.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first value that is out of bounds.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        if self.cluster.secret.len() < MINIMUM_SECRET_BYTES {
+        if self.cluster.secret.len() < MIN_SECRET_BYTES {
             return Err(SettingsError::Invalid(
                 "cluster.secret",
                 "(hidden)".to_owned(),
                 "Set at least 16 random bytes, the same on every node.",
             ));
         }
-        if self.cluster.tolerated_disk_losses > MAXIMUM_DISK_LOSSES {
+        if self.cluster.tolerated_disk_losses > MAX_DISK_LOSSES {
             return Err(SettingsError::Invalid(
                 "cluster.tolerated_disk_losses",
                 self.cluster.tolerated_disk_losses.to_string(),
@@ -323,49 +329,49 @@
             (
                 "objects.history_seconds",
                 self.objects.history_seconds,
-                MINIMUM_HISTORY_SECONDS,
+                MIN_HISTORY_SECONDS,
                 "Set at least 1.",
             ),
             (
                 "objects.configuration_bound_milliseconds",
                 self.objects.configuration_bound_milliseconds,
-                MINIMUM_BOUND_MILLISECONDS,
+                MIN_BOUND_MILLISECONDS,
                 "Set at least 1000.",
             ),
             (
                 "objects.leaving_bound_milliseconds",
                 self.objects.leaving_bound_milliseconds,
-                MINIMUM_BOUND_MILLISECONDS,
+                MIN_BOUND_MILLISECONDS,
                 "Set at least 1000.",
             ),
             (
                 "cluster.catch_up_seconds",
                 self.cluster.catch_up_seconds,
-                MINIMUM_CATCH_UP_SECONDS,
+                MIN_CATCH_UP_SECONDS,
                 "Set at least 1.",
             ),
             (
                 "limits.memory_megabytes",
                 self.limits.memory_megabytes,
-                MINIMUM_MEMORY_MEGABYTES,
+                MIN_MEMORY_MEGABYTES,
                 "Set at least 16.",
             ),
             (
                 "tenants.rate_span_seconds",
                 self.tenants.rate_span_seconds,
-                MINIMUM_RATE_SPAN_SECONDS,
+                MIN_RATE_SPAN_SECONDS,
                 "Set at least 1.",
             ),
             (
                 "crashes.remember_seconds",
                 self.crashes.remember_seconds,
-                MINIMUM_REMEMBER_SECONDS,
+                MIN_REMEMBER_SECONDS,
                 "Set at least 60.",
             ),
             (
                 "leave.grace_seconds",
                 self.leave.grace_seconds,
-                MINIMUM_GRACE_SECONDS,
+                MIN_GRACE_SECONDS,
                 "Set at least 1.",
             ),
         ];
