--- a/crates/firshore-node/src/observation.rs
+++ b/crates/firshore-node/src/observation.rs
@@ -111,7 +111,7 @@
     changed: bool,
     /// Whether the store's revision stayed the same during the last watch.
     idle: bool,
-    /// Whether the first listing was empty, so that the objects are being created.
+    /// Whether the last listing was empty, so that the objects are being created.
     creating: bool,
     /// Whether the waiting watch was interrupted, so that the next one returns at once.
     renewed: bool,
@@ -206,7 +206,8 @@
         self.failures == 0
     }
 
-    /// Returns the revision up to which changes were seen, or `None` before the first listing is complete.
+    /// Returns the revision up to which changes were seen, or `None` during a listing
+    /// after the start or a failure.
     pub fn revision(&self) -> Option<Revision> {
         match &self.phase {
             Phase::Listing { seen, .. } => *seen,
--- a/crates/firshore-node/src/runner/handover.rs
+++ b/crates/firshore-node/src/runner/handover.rs
@@ -1,53 +1,52 @@
-//! What items have produced, kept by nodes that may lead next, so that a new leader goes on where
-//! the last one was. No I/O.
+//! Copies of items' events on other nodes, so that a new leader resumes items after their last event. No I/O.
 //!
-//! Nothing here is promised: what is missing is made again. What is held is always the beginning of
-//! an item's output, as the engine numbers its events.
+//! These copies are not durable: missing events are generated again. A copy is always a prefix of an item's events, as
+//! numbered by the engine.
 
 use super::ItemKey;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Bytes that the allocator and the container add to each event, about.
+/// Approximate overhead of the allocator and the container per event.
 const EVENT_OVERHEAD_BYTES: usize = 40;
 
-/// Memory that events take in bytes, about.
+/// Returns the approximate memory of events in bytes.
 pub(super) fn event_bytes(events: &[String]) -> usize {
     let bytes: usize = events.iter().map(String::len).sum();
     bytes + events.len() * EVENT_OVERHEAD_BYTES
 }
 
-/// What an item has produced since it was told last.
+/// Events of an item since the last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressDelta {
-    /// Job.
+    /// Identifier of the job.
     #[serde(rename = "j")]
     pub job: String,
     /// Position of the item in the job.
     #[serde(rename = "i")]
     pub index: u32,
-    /// Events that were told before.
+    /// Number of events reported before.
     #[serde(rename = "o")]
     pub offset: usize,
-    /// Data of the events since.
+    /// Data of the new events.
     #[serde(rename = "e")]
     pub events: Vec<String>,
-    /// Number of the last event.
+    /// Engine's number of the last event.
     #[serde(rename = "l")]
     pub last: Option<u64>,
 }
 
-/// How far a delta goes.
+/// End of a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToldThrough {
-    /// Item.
+    /// Key of the item.
     pub key: ItemKey,
-    /// Events that a node holds once it has taken the delta in.
+    /// Number of events that a node holds after it applied the delta.
     pub events: usize,
 }
 
 impl ProgressDelta {
-    /// How far it goes.
+    /// Returns the end of this delta.
     pub fn through(&self) -> ToldThrough {
         ToldThrough {
             key: (self.job.clone(), self.index),
@@ -55,30 +54,30 @@
         }
     }
 
-    /// Size of its events in bytes.
+    /// Returns the size of the events in bytes.
     pub fn bytes(&self) -> usize {
         self.events.iter().map(String::len).sum()
     }
 }
 
-/// What one item has produced, as told by its leader.
+/// Copy of the events of one item, as reported by the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeldProgress {
-    /// Data of its events.
+    /// Data of the events.
     pub events: Vec<String>,
-    /// Number of the last one.
+    /// Engine's number of the last event.
     pub last: Option<u64>,
 }
 
-/// Progress that other nodes told.
+/// Copies of the events of all items.
 #[derive(Clone, Debug, Default)]
 pub struct HeldItems {
     items: HashMap<ItemKey, HeldProgress>,
 }
 
 impl HeldItems {
-    /// Takes in what a leader told. Returns the items of which something before is missing: they
-    /// have to be told from the start.
+    /// Applies a leader's deltas. Returns the items of which earlier events are missing: the leader has to report them
+    /// from the start.
     pub fn told(&mut self, deltas: Vec<ProgressDelta>) -> Vec<ItemKey> {
         let mut gaps = Vec::new();
         for delta in deltas {
@@ -96,23 +95,23 @@
         gaps
     }
 
-    /// Forgets items that are not to be run any more.
+    /// Removes items that are no longer open.
     pub fn keep(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
         self.items.retain(|key, _| is_open(key));
     }
 
-    /// Memory that the held events take in bytes, about.
+    /// Returns the approximate memory of the held events in bytes.
     pub fn held_bytes(&self) -> usize {
         let held = self.items.values();
         held.map(|held| event_bytes(&held.events)).sum()
     }
 
-    /// Everything that is held.
+    /// Returns a copy of all items.
     pub fn all(&self) -> HashMap<ItemKey, HeldProgress> {
         self.items.clone()
     }
 
-    /// Everything that is held, as it would be told from the start.
+    /// Returns all items as deltas from the start.
     pub fn deltas(&self) -> Vec<ProgressDelta> {
         let items = self.items.iter().map(|(key, held)| ProgressDelta {
             job: key.0.clone(),
@@ -125,14 +124,14 @@
     }
 }
 
-/// How much of each item one other node has been told.
+/// Number of events of each item that were sent to one other node.
 #[derive(Debug, Default)]
 pub struct Told {
     lengths: HashMap<ItemKey, usize>,
 }
 
 impl Told {
-    /// What the node has not been told of an item with these events.
+    /// Returns the events of an item that were not sent yet, or `None` if there are none.
     pub fn delta(
         &self,
         key: &ItemKey,
@@ -150,15 +149,15 @@
         })
     }
 
-    /// What the node has not been told of these items, up to about `limit` bytes of events.
+    /// Returns the events of these items that were not sent yet, up to about `limit` bytes.
     pub fn deltas<'a>(
         &self,
         items: impl Iterator<Item = (&'a ItemKey, &'a [String], Option<u64>)>,
         limit: usize,
     ) -> Vec<ProgressDelta> {
         let mut bytes = 0;
-        let untold = items.filter_map(|(key, events, last)| self.delta(key, events, last));
-        let within_limit = untold.take_while(|delta| {
+        let unsent = items.filter_map(|(key, events, last)| self.delta(key, events, last));
+        let within_limit = unsent.take_while(|delta| {
             let fits = bytes < limit;
             bytes += delta.bytes();
             fits
@@ -166,17 +165,17 @@
         within_limit.collect()
     }
 
-    /// The node has answered: it holds what was sent, but for the gaps that it names.
+    /// Records the node's response: it holds the sent events, except those of items with gaps.
     pub fn answered(&mut self, sent: Vec<ToldThrough>, gaps: Vec<ItemKey>) {
-        for one in sent {
-            self.lengths.insert(one.key, one.events);
+        for end in sent {
+            self.lengths.insert(end.key, end.events);
         }
         for key in gaps {
             self.lengths.remove(&key);
         }
     }
 
-    /// Forgets items that are not to be run any more.
+    /// Removes items that are no longer open.
     pub fn keep(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
         self.lengths.retain(|key, _| is_open(key));
     }
--- a/crates/firshore-node/src/runner/progress.rs
+++ b/crates/firshore-node/src/runner/progress.rs
@@ -1,41 +1,42 @@
-//! How far an item is: what it has produced, how often it failed, when it may run again. No I/O.
+//! Progress of an item: its events, failed runs and the time of the next run. No I/O.
 
 use super::handover::{HeldProgress, event_bytes};
 use firshore_adapter::jobs::ItemOutcome;
 use firshore_gateway::events::{EventFault, EventStream, data_of};
 use std::time::{Duration, Instant};
 
-/// Pause after a run that did not end well; doubled with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff before an item runs again; doubled with each run that was not started or broke off.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Upper bound of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Time between looks at whether an item is still held back: each writes two lines into the log.
-const HELD_BACK_PAUSE: Duration = Duration::from_secs(5);
+/// Interval between checks whether an item is still quarantined: each writes two log lines.
+const QUARANTINE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How a run of an item ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// Its stream came to its end.
+    /// Its stream is complete.
     Whole,
-    /// The back end did not run it.
+    /// The back end did not start it.
     NotRun,
-    /// It broke off, or gave no usable answer.
+    /// Its stream broke off, or the response was invalid.
     Broken,
-    /// The back end ran it and failed.
+    /// The back end started it and reported a failure.
     Failed,
-    /// The back end says that it can never be done.
+    /// The back end reported that it can never succeed.
     Impossible,
-    /// It was not sent, as back ends end under it.
+    /// It was not sent, because it is quarantined for crashing back ends.
     HeldBack,
 }
 
-/// When an item is given up.
+/// Limits after which an item is given up.
 #[derive(Clone, Copy, Debug)]
 pub struct RunLimits {
-    /// Failures of back ends.
+    /// Number of failures reported by back ends.
     pub attempts: u32,
-    /// Time.
+    /// Time since the item was first seen.
     pub give_up_after: Duration,
 }
 
@@ -44,24 +45,26 @@
 pub struct ItemProgress {
     stream: EventStream,
     produced: Vec<String>,
-    troubles: u32,
-    known_since: Instant,
-    not_before: Instant,
+    /// Runs that were not started or broke off.
+    broken_runs: u32,
+    first_seen: Instant,
+    /// Earliest time of the next run.
+    next_run_at: Instant,
 }
 
 impl ItemProgress {
-    /// An item that was first seen now.
+    /// Creates the progress of an item that was first seen `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             stream: EventStream::default(),
             produced: Vec::new(),
-            troubles: 0,
-            known_since: now,
-            not_before: now,
+            broken_runs: 0,
+            first_seen: now,
+            next_run_at: now,
         }
     }
 
-    /// An item that another node has begun.
+    /// Creates the progress of an item from events that were reported by the former leader.
     pub fn begun(now: Instant, held: HeldProgress) -> Self {
         Self {
             stream: EventStream::after(held.last),
@@ -70,45 +73,49 @@
         }
     }
 
-    /// Data of the events that are held.
+    /// Returns the data of the held events.
     pub fn produced(&self) -> &[String] {
         &self.produced
     }
 
-    /// Memory that the held events take in bytes, about.
+    /// Returns the approximate memory of the held events in bytes.
     pub fn held_bytes(&self) -> usize {
         event_bytes(&self.produced)
     }
 
-    /// Whether it may not run yet.
+    /// Returns whether the item may not run yet.
     pub fn is_paused(&self, now: Instant) -> bool {
-        now < self.not_before
+        now < self.next_run_at
     }
 
-    /// Number of the last event that is held.
+    /// Returns the engine's number of the last held event.
     pub fn last_event(&self) -> Option<u64> {
         self.stream.last()
     }
 
-    /// A run starts: what an earlier one left of an event it was stopped in is dropped.
+    /// Prepares a run: discards the partial event that a stopped run may have left.
     pub fn starts(&mut self) {
         self.stream.broken_off();
     }
 
-    /// Takes in a part of the stream.
+    /// Parses a chunk of the stream.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the chunk contains an invalid event.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), EventFault> {
         let events = self.stream.feed(bytes)?;
         self.produced.extend(data_of(&events));
         Ok(())
     }
 
-    /// Whether the stream stopped inside an event.
+    /// Returns whether the stream ended inside an event.
     pub fn holds_part(&self) -> bool {
         self.stream.holds_part()
     }
 
-    /// Takes in the end of a run, after which back ends have failed on the item `failures` times.
-    /// Returns what becomes of the item, if that is settled.
+    /// Records the end of a run. `failures` is the number of failures that back ends reported for the item so far.
+    /// Returns the outcome of the item, or `None` if it has to run again.
     pub fn ended(
         &mut self,
         now: Instant,
@@ -119,24 +126,24 @@
         self.stream.broken_off();
         match end {
             RunEnd::Whole => {
-                // Nothing is held any more, so a further run would begin anew.
+                // No events are held any more, so that a further run would start from the beginning.
                 self.stream = EventStream::default();
                 return Some(ItemOutcome::Done(std::mem::take(&mut self.produced)));
             }
             RunEnd::Impossible => return Some(ItemOutcome::GivenUp),
             RunEnd::Failed | RunEnd::HeldBack => {}
-            RunEnd::NotRun | RunEnd::Broken => self.troubles += 1,
+            RunEnd::NotRun | RunEnd::Broken => self.broken_runs += 1,
         }
-        // This node's knowledge is never older than the submission, so nothing is given up early.
-        let expired = now.saturating_duration_since(self.known_since) >= limits.give_up_after;
+        // This node never saw the item before its submission, so that no item is given up early.
+        let expired = now.saturating_duration_since(self.first_seen) >= limits.give_up_after;
         if failures >= limits.attempts.max(1) || expired {
             return Some(ItemOutcome::GivenUp);
         }
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.troubles.min(10));
-        self.not_before = now
+        let backoff = MIN_BACKOFF * 2_u32.saturating_pow(self.broken_runs.min(10));
+        self.next_run_at = now
             + match end {
-                RunEnd::HeldBack => HELD_BACK_PAUSE,
-                _ => pause.min(LONGEST_PAUSE),
+                RunEnd::HeldBack => QUARANTINE_INTERVAL,
+                _ => backoff.min(MAX_BACKOFF),
             };
         None
     }
--- a/crates/firshore-node/src/runner/progress_file.rs
+++ b/crates/firshore-node/src/runner/progress_file.rs
@@ -1,8 +1,8 @@
-//! What items have produced, on this node's disk, so that it outlives the end of all processes.
+//! File with the items' events on this node's disk, which survives a stop of all processes.
 //!
-//! A sequence of frames: length, checksum, and progress as it was told, in CBOR. It is read up to the
-//! first frame that is not whole. Nothing in it is promised: what is missing is made again. Writing
-//! and syncing happen on a thread of their own, since disks can be slow.
+//! The file is a sequence of frames of length, checksum and deltas in CBOR. It is read up to the first incomplete or
+//! corrupt frame. Its contents are not durable: missing events are generated again. A separate thread writes and syncs,
+//! so that slow disks don't block the node.
 
 use super::handover::ProgressDelta;
 use std::fs::{self, File, OpenOptions};
@@ -13,16 +13,17 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use xxhash_rust::xxh3::xxh3_64;
 
-const FILE: &str = "progress";
-const NEW_FILE: &str = "progress.new";
+const FILE_NAME: &str = "progress";
+const NEW_FILE_NAME: &str = "progress.new";
 
-/// Frames that may wait for the disk; beyond that the file is written anew once it keeps up.
-const QUEUE: usize = 32;
+/// Frames that may wait for the disk. If the queue is full, the file is rewritten later.
+const QUEUE_FRAMES: usize = 32;
 
-/// Bytes that are appended, beyond twice what was live, before the file is written anew.
+/// The file is rewritten when it exceeds twice its size after the last rewrite by this many bytes.
 const SLACK_BYTES: usize = 2 * 1024 * 1024;
 
 const LENGTH_BYTES: usize = 4;
+/// Length and checksum.
 const HEADER_BYTES: usize = LENGTH_BYTES + 8;
 
 enum FileCommand {
@@ -30,16 +31,17 @@
     Rewrite(Vec<u8>),
 }
 
-/// The file, and the thread that writes it.
+/// Handle to the file and the thread that writes it.
 pub struct ProgressFile {
     commands: SyncSender<FileCommand>,
-    /// Set when the file does not hold what was appended: it has to be written anew.
-    broken: Arc<AtomicBool>,
+    /// Set when the file lacks appended frames, so that it has to be rewritten.
+    incomplete: Arc<AtomicBool>,
     appended: usize,
     rewrite_at: usize,
 }
 
-fn frame(deltas: &[ProgressDelta]) -> Vec<u8> {
+/// Encodes deltas as a frame.
+fn encode_frame(deltas: &[ProgressDelta]) -> Vec<u8> {
     let mut bytes = vec![0; HEADER_BYTES];
     ciborium::into_writer(deltas, &mut bytes).expect("progress serialises");
     let length = (bytes.len() - HEADER_BYTES) as u32;
@@ -49,7 +51,7 @@
     bytes
 }
 
-/// Takes the first frame off `bytes`; `None` if it is not whole.
+/// Removes the first frame from `bytes` and decodes it; `None` if it is incomplete or corrupt.
 fn next_frame(bytes: &mut &[u8]) -> Option<Vec<ProgressDelta>> {
     let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>()?;
     let (checksum, rest) = rest.split_first_chunk::<8>()?;
@@ -62,67 +64,67 @@
 }
 
 impl ProgressFile {
-    /// Opens the file in a node's data folder. Returns it with what it holds, in the order in which it
-    /// was told.
+    /// Opens the file in a node's data folder. Returns its handle and its deltas in the order in which they were
+    /// appended.
     ///
     /// # Errors
     ///
     /// Fails if the folder cannot be read or written.
     pub fn open(folder: &Path) -> io::Result<(Self, Vec<Vec<ProgressDelta>>)> {
-        let path = folder.join(FILE);
-        let held = match fs::read(&path) {
-            Ok(held) => held,
+        let path = folder.join(FILE_NAME);
+        let content = match fs::read(&path) {
+            Ok(content) => content,
             Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
             Err(error) => return Err(error),
         };
-        let mut rest = held.as_slice();
-        let mut told = Vec::new();
+        let mut rest = content.as_slice();
+        let mut frames = Vec::new();
         while let Some(deltas) = next_frame(&mut rest) {
-            told.push(deltas);
+            frames.push(deltas);
         }
-        // Whatever follows the last whole frame must not stand before the next one.
+        // Truncates after the last valid frame: frames appended behind an invalid one could not be read.
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
-        file.set_len((held.len() - rest.len()) as u64)?;
-        let (commands, received) = sync_channel(QUEUE);
-        let broken = Arc::new(AtomicBool::new(false));
+        file.set_len((content.len() - rest.len()) as u64)?;
+        let (commands, received) = sync_channel(QUEUE_FRAMES);
+        let incomplete = Arc::new(AtomicBool::new(false));
         let writer = FileWriter {
             folder: folder.to_owned(),
             file,
-            broken: broken.clone(),
+            incomplete: incomplete.clone(),
         };
         std::thread::Builder::new()
             .name("progress".to_owned())
             .spawn(move || writer.run(&received))?;
-        let appended = held.len() - rest.len();
+        let appended = content.len() - rest.len();
         let opened = Self {
             commands,
-            broken,
+            incomplete,
             appended,
             rewrite_at: appended + SLACK_BYTES,
         };
-        Ok((opened, told))
+        Ok((opened, frames))
     }
 
-    /// Writes what was told, without waiting for the disk. If the file has grown large, or lacks
-    /// something, it is written anew from `all` that is held.
+    /// Appends deltas without waiting for the disk. If the file has grown too large or lacks frames, it is rewritten
+    /// from `all` deltas instead.
     pub fn append(&mut self, deltas: &[ProgressDelta], all: impl FnOnce() -> Vec<ProgressDelta>) {
-        if self.appended >= self.rewrite_at || self.broken.load(Ordering::Relaxed) {
+        if self.appended >= self.rewrite_at || self.incomplete.load(Ordering::Relaxed) {
             return self.rewrite(&all());
         }
-        let frame = frame(deltas);
+        let frame = encode_frame(deltas);
         self.appended += frame.len();
         if self.commands.try_send(FileCommand::Append(frame)).is_err() {
-            self.broken.store(true, Ordering::Relaxed);
+            self.incomplete.store(true, Ordering::Relaxed);
         }
     }
 
     fn rewrite(&mut self, all: &[ProgressDelta]) {
-        let frame = frame(all);
+        let frame = encode_frame(all);
         let length = frame.len();
-        // Cleared first: the thread may fail at once.
-        self.broken.store(false, Ordering::Relaxed);
+        // Cleared before sending: the thread may fail and set it at once.
+        self.incomplete.store(false, Ordering::Relaxed);
         if self.commands.try_send(FileCommand::Rewrite(frame)).is_err() {
-            return self.broken.store(true, Ordering::Relaxed);
+            return self.incomplete.store(true, Ordering::Relaxed);
         }
         self.appended = length;
         self.rewrite_at = 2 * length + SLACK_BYTES;
@@ -132,7 +134,7 @@
 struct FileWriter {
     folder: PathBuf,
     file: File,
-    broken: Arc<AtomicBool>,
+    incomplete: Arc<AtomicBool>,
 }
 
 impl FileWriter {
@@ -143,14 +145,14 @@
                 FileCommand::Rewrite(frame) => self.rewrite(&frame),
             };
             if written.is_err() {
-                self.broken.store(true, Ordering::Relaxed);
+                self.incomplete.store(true, Ordering::Relaxed);
             }
         }
     }
 
     fn append(&mut self, frame: &[u8]) -> io::Result<()> {
-        if self.broken.load(Ordering::Relaxed) {
-            // Something before it is missing: what would follow must not be read as its sequel.
+        if self.incomplete.load(Ordering::Relaxed) {
+            // An earlier frame is missing, so that later ones must not follow the last one written.
             return Ok(());
         }
         self.file.write_all(frame)?;
@@ -158,11 +160,11 @@
     }
 
     fn rewrite(&mut self, frame: &[u8]) -> io::Result<()> {
-        let path = self.folder.join(NEW_FILE);
+        let path = self.folder.join(NEW_FILE_NAME);
         let mut file = File::create(&path)?;
         file.write_all(frame)?;
         file.sync_data()?;
-        fs::rename(&path, self.folder.join(FILE))?;
+        fs::rename(&path, self.folder.join(FILE_NAME))?;
         self.file = file;
         File::open(&self.folder)?.sync_all()
     }
--- a/crates/firshore-node/src/runner/progress_keeper.rs
+++ b/crates/firshore-node/src/runner/progress_keeper.rs
@@ -1,5 +1,5 @@
-//! What items have produced, as a node keeps it for the case that it leads next: in memory, and on its
-//! disk for the case that all processes end.
+//! A node's copy of all items' events, for the case that it becomes leader: in memory, and on its disk for the case
+//! that all processes stop.
 
 use super::ItemKey;
 use super::handover::{HeldItems, HeldProgress, ProgressDelta};
@@ -9,50 +9,50 @@
 use std::io;
 use std::path::Path;
 
-/// One time of leading without a break: of the journal's term, and of the leader's own process.
+/// One uninterrupted period of leadership. Later periods compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Leadership {
-    /// Term.
+    /// Term of the journal.
     #[serde(rename = "t")]
     pub term: u64,
-    /// How often the process began to lead in that term.
+    /// Number of times that the process became leader.
     #[serde(rename = "n")]
     pub turn: u64,
 }
 
-/// Progress that leaders told, this node among them.
+/// Events reported by leaders, including this node.
 pub struct ProgressKeeper {
     held: HeldItems,
     file: ProgressFile,
-    newest: Leadership,
+    latest: Leadership,
 }
 
 impl ProgressKeeper {
-    /// Opens what the data folder holds.
+    /// Opens the progress file in the data folder and reads it.
     ///
     /// # Errors
     ///
     /// Fails if the folder cannot be read or written.
     pub fn open(folder: &Path) -> io::Result<Self> {
-        let (file, told) = ProgressFile::open(folder)?;
+        let (file, frames) = ProgressFile::open(folder)?;
         let mut held = HeldItems::default();
-        for deltas in told {
+        for deltas in frames {
             held.told(deltas);
         }
         Ok(Self {
             held,
             file,
-            newest: Leadership::default(),
+            latest: Leadership::default(),
         })
     }
 
-    /// Takes in what a leader told. Returns the items of which something before is missing. What an
-    /// earlier leader told late counts for nothing: two runs of an item must not be joined.
+    /// Applies a leader's deltas. Returns the items of which earlier events are missing. Late deltas of a former
+    /// leadership are ignored, so that events of two runs of an item are not mixed.
     pub fn told(&mut self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> Vec<ItemKey> {
-        if leadership < self.newest {
+        if leadership < self.latest {
             return deltas.iter().map(|delta| delta.through().key).collect();
         }
-        self.newest = leadership;
+        self.latest = leadership;
         let held = &mut self.held;
         if !deltas.is_empty() {
             self.file.append(&deltas, || {
@@ -64,17 +64,17 @@
         self.held.told(deltas)
     }
 
-    /// Forgets items that are not to be run any more.
+    /// Removes items that are no longer open.
     pub fn keep(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
         self.held.keep(is_open);
     }
 
-    /// Memory that the held events take in bytes, about.
+    /// Returns the approximate memory of the held events in bytes.
     pub fn held_bytes(&self) -> usize {
         self.held.held_bytes()
     }
 
-    /// Everything, for a node that leads now.
+    /// Returns a copy of all items' events, for a node that becomes leader.
     pub fn held(&self) -> HashMap<ItemKey, HeldProgress> {
         self.held.all()
     }
