--- a/crates/firshore-node/src/runner/item.rs
+++ b/crates/firshore-node/src/runner/item.rs
@@ -1,4 +1,4 @@
-//! One run of one item at one back end.
+//! A single run of an item at a back end.
 
 use super::Work;
 use super::progress::{ItemProgress, RunEnd, RunLimits};
@@ -21,31 +21,30 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Time that a run gets.
+/// Time limit that is sent to the back end with a run.
 const RUN_TIME: Duration = Duration::from_secs(60);
 
-/// Longest wait for the head of an answer.
+/// Timeout of the response's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Longest pause between parts of a stream.
-const GAP_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of each chunk of the stream.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause before a result is proposed again.
-const PROPOSE_PAUSE: Duration = Duration::from_millis(100);
+/// Interval before a failed proposal is repeated.
+const PROPOSE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a run came to.
+/// Result of a run.
 pub(crate) struct RunSummary {
-    /// How it ended.
+    /// How the run ended.
     pub(crate) end: RunEnd,
-    /// Events of the item that were held when it ended.
+    /// Events of the item that were held at the end.
     pub(crate) events: usize,
-    /// Events that this run made.
-    pub(crate) made: usize,
-    /// How long it took.
-    pub(crate) took: Duration,
+    /// Events that were received in this run.
+    pub(crate) new_events: usize,
+    pub(crate) duration: Duration,
 }
 
-/// One run.
+/// A run of an item, and what it needs.
 pub(crate) struct ItemRun {
     pub(crate) gateway: Rc<Gateway>,
     pub(crate) replica: Rc<Replica>,
@@ -55,7 +54,7 @@
     pub(crate) backend: Backend,
 }
 
-/// The headers that an item is sent with; names and values that HTTP does not allow are left out.
+/// Returns the item's own headers, without names and values that HTTP doesn't allow.
 pub(crate) fn headers(item: &JobItem) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
@@ -69,7 +68,7 @@
 }
 
 impl ItemRun {
-    /// Runs the item once and lists its result, if there is one. Returns what the run came to.
+    /// Runs the item once and commits its outcome, if there is one.
     pub(crate) async fn run(self) -> RunSummary {
         let started = Instant::now();
         let resumed_after = self.progress.borrow().last_event();
@@ -79,8 +78,8 @@
         let summary = RunSummary {
             end,
             events,
-            made: events.saturating_sub(held),
-            took: started.elapsed(),
+            new_events: events.saturating_sub(held),
+            duration: started.elapsed(),
         };
         let header = &self.work.header;
         let limits = RunLimits {
@@ -102,25 +101,26 @@
             "settled" => outcome.is_some());
         drop(self.in_flight);
         if let Some(outcome) = outcome {
-            list(&self.replica, &self.work, outcome).await;
+            commit_outcome(&self.replica, &self.work, outcome).await;
         }
         summary
     }
 
-    /// Records that a back end failed on the item, so that the next leader knows too. Returns how
-    /// often that was.
+    /// Commits that a back end reported a failure of the item, so that later leaders count it too. Returns the number
+    /// of failures.
     async fn record_failure(&self) -> u32 {
         let job = &self.work.header.job;
-        let failed = Action::Failed {
+        let failure = Action::Failed {
             job: job.clone(),
             item: self.work.index,
             run: self.gateway.random.borrow_mut().random(),
         };
-        commit(&self.replica, failed).await;
+        commit(&self.replica, failure).await;
         let state = self.replica.applied_state();
         state.read().failures(job, self.work.index)
     }
 
+    /// Returns the head of the request, or `None` if HTTP doesn't allow the item's path, host or identifier.
     fn request_head(&self) -> Option<RequestHead> {
         let item = &self.work.item;
         let mut head = RequestHead::default();
@@ -143,8 +143,8 @@
         Some(head)
     }
 
-    /// What stands for the item at all nodes, whatever job it came with.
-    fn print(&self) -> RequestPrint {
+    /// Returns the item's fingerprint, which is the same on all nodes and for all jobs with this item.
+    fn fingerprint(&self) -> RequestPrint {
         let Work { header, item, .. } = &self.work;
         self.gateway.print_key.print(&AskedRequest {
             tenant: header.tenant.as_ref(),
@@ -155,21 +155,21 @@
         })
     }
 
-    /// The run broke off: the back end may have ended under it.
-    fn broke_off(&self) {
+    /// Records that the run broke off: the back end may have crashed.
+    fn record_lost_run(&self) {
         self.gateway
             .observed(&self.backend.incarnation, Impression::Broke);
         let run = LostRun {
-            print: self.print(),
+            print: self.fingerprint(),
             reached: self.progress.borrow().held_bytes() as u64,
         };
         self.gateway.crashes.broke_off(&self.backend, run);
     }
 
     async fn send(&self) -> RunEnd {
-        if let Some(wait) = self.gateway.held_back_for(|| self.print()) {
-            info!(self.gateway.log, "runner: Held back."; "job" => caller_id(&self.work.header.job),
-                "item" => &self.work.item.id, "print" => %self.print(), "wait_s" => wait.as_secs());
+        if let Some(wait) = self.gateway.held_back_for(|| self.fingerprint()) {
+            info!(self.gateway.log, "runner: Item quarantined."; "job" => caller_id(&self.work.header.job),
+                "item" => &self.work.item.id, "print" => %self.fingerprint(), "wait_s" => wait.as_secs());
             return RunEnd::HeldBack;
         }
         let Some(head) = self.request_head() else {
@@ -182,38 +182,38 @@
         };
         let dialect = self.gateway.adapter.backend.clone();
         let sent = head.headers.clone();
-        let is_expected = |answer: &ResponseHead| dialect.answers(&sent, answer);
+        let is_expected = |response: &ResponseHead| dialect.answers(&sent, response);
         let body = Bytes::copy_from_slice(&self.work.item.body.0);
         let sending = connection.send_expecting(head, body, is_expected);
         match timeout(HEAD_TIMEOUT, sending).await {
-            Ok(Ok(exchange)) => self.take_answer(exchange).await,
+            Ok(Ok(exchange)) => self.handle_response(exchange).await,
             Ok(Err(_)) | Err(_) => {
-                self.broke_off();
+                self.record_lost_run();
                 RunEnd::Broken
             }
         }
     }
 
-    async fn take_answer(&self, exchange: Exchange) -> RunEnd {
+    async fn handle_response(&self, exchange: Exchange) -> RunEnd {
         let incarnation = &self.backend.incarnation;
         self.gateway.heard(incarnation);
-        let answer = self.gateway.adapter.backend.read_answer(&exchange.head);
-        if let Some(load) = answer.load {
+        let response = self.gateway.adapter.backend.read_answer(&exchange.head);
+        if let Some(load) = response.load {
             let mut fleet = self.gateway.fleet.borrow_mut();
             fleet.reported(Instant::now(), incarnation, load);
-            // Counts of others lack what nodes sent that are cut off; back ends know it.
+            // Reports of back ends include requests of isolated nodes, which the counts of nodes lack.
             let mut pressure = self.gateway.pressure.borrow_mut();
             pressure.reported(&self.backend.service, load.waiting);
         }
-        if answer.ran == Ran::No {
-            let seen = match answer.misdirected {
+        if response.ran == Ran::No {
+            let outcome = match response.misdirected {
                 true => Impression::Unreachable,
                 false => Impression::Full,
             };
-            self.gateway.observed(incarnation, seen);
+            self.gateway.observed(incarnation, outcome);
             return RunEnd::NotRun;
         }
-        if answer.ran != Ran::Yes {
+        if response.ran != Ran::Yes {
             return RunEnd::Broken;
         }
         match exchange.head.status {
@@ -228,7 +228,7 @@
         let held = self.progress.borrow().held_bytes();
         let incarnation = &self.backend.incarnation;
         loop {
-            match timeout(GAP_TIMEOUT, exchange.body.next()).await {
+            match timeout(CHUNK_TIMEOUT, exchange.body.next()).await {
                 Ok(Ok(Some(chunk))) => {
                     self.gateway.heard(incarnation);
                     if self.progress.borrow_mut().feed(&chunk).is_err() {
@@ -237,10 +237,10 @@
                 }
                 Ok(Ok(None)) => break,
                 Ok(Err(_)) | Err(_) => {
-                    // A run that brought the item further says nothing against it: long items were held back by
-                    // chance in 3 of 180 plays where each back end ended every few seconds.
+                    // A run with new events doesn't count as a crash by this item. Otherwise, if back ends exit every
+                    // few seconds for another reason, long items would be quarantined.
                     match self.progress.borrow().held_bytes() == held {
-                        true => self.broke_off(),
+                        true => self.record_lost_run(),
                         false => self.gateway.observed(incarnation, Impression::Broke),
                     }
                     return RunEnd::Broken;
@@ -251,13 +251,13 @@
         if self.progress.borrow().holds_part() {
             return RunEnd::Broken;
         }
-        self.gateway.completed(|| self.print());
+        self.gateway.completed(|| self.fingerprint());
         RunEnd::Whole
     }
 }
 
-/// Lists a result.
-async fn list(replica: &Replica, work: &Work, outcome: ItemOutcome) {
+/// Commits the outcome of an item.
+async fn commit_outcome(replica: &Replica, work: &Work, outcome: ItemOutcome) {
     let completion = Completion {
         job: work.header.job.clone(),
         item: work.index,
@@ -266,13 +266,13 @@
     commit(replica, Action::Complete(vec![completion])).await;
 }
 
-/// Proposes what may be proposed again, until it is committed or this node does not lead any more.
+/// Proposes an idempotent action until it is committed or this node is no longer leader.
 async fn commit(replica: &Replica, action: Action) {
     loop {
         let proposed = replica.propose(action.clone().into());
         if proposed.await.is_ok() || !replica.status().leads {
             return;
         }
-        actix_rt::time::sleep(PROPOSE_PAUSE).await;
+        actix_rt::time::sleep(PROPOSE_INTERVAL).await;
     }
 }
--- a/crates/firshore-node/src/runner/mod.rs
+++ b/crates/firshore-node/src/runner/mod.rs
@@ -1,20 +1,19 @@
-//! Runs the items of batch jobs, on the node whose replica leads the journal.
+//! Runs the items of batch jobs on the node whose replica leads the journal.
 //!
-//! Items go only into room that online requests leave: a back end gets one while its load, as all
-//! nodes told a moment ago, is below a limit; where online requests need the room, the least urgent
-//! runs are stopped. What an item has produced is kept here and on disk and told to the other
-//! replicas' nodes, so that a run that breaks off or is stopped goes on after its last event, also
-//! under a new leader and after the end of all processes.
+//! Items use only the slots that online requests leave free: a back end gets an item while its load, from the recent
+//! reports of all nodes, is below a limit. If online requests need the slots, the least urgent runs are preempted. The
+//! events of items are held in memory and on disk and sent to the nodes of the other replicas, so that an interrupted
+//! item resumes after its last event, also under a new leader or after a stop of all processes.
 
 pub mod give_way;
 pub mod handover;
 mod item;
+mod pressure;
 pub mod progress;
 pub mod progress_file;
 pub mod progress_keeper;
+mod progress_sender;
 mod schedule;
-mod stepping_aside;
-mod telling;
 pub mod urgency;
 pub mod work_ahead;
 
@@ -42,37 +41,36 @@
 use urgency::{DueTable, DueTime, ItemUrgency};
 use work_ahead::WorkAhead;
 
-/// Load in requests per slot up to which items start: it leaves one slot in ten to online requests.
-const ITEM_LOAD: f32 = 0.9;
+/// Load in requests per slot below which items start: it leaves one slot in ten free for online requests.
+const MAX_ITEM_LOAD: f32 = 0.9;
 
-/// The same for items in danger of being late.
-const PRESSED_ITEM_LOAD: f32 = 1.0;
+/// The same for items that are at risk of missing their deadline.
+const MAX_AT_RISK_ITEM_LOAD: f32 = 1.0;
 
-/// Load above which runs are stopped: where a request waits. Stopped as soon as they could not start any
-/// more, twice as many items had their prompt read again and were late (0.876 of their worth in place of
-/// 0.958 on a day with trouble), for 1 in 100 streams more in time.
-const STOP_LOAD: f32 = 1.0;
+/// Load in requests per slot above which runs are preempted: a request is queued. A limit as low as that for starts would
+/// preempt many items just after their prompts were processed.
+const PREEMPTION_LOAD: f32 = 1.0;
 
-/// Time between looks for room while items wait.
-const ROOM_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval between scheduling passes while items wait.
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Shortest time between two rounds in which runs give way, however many nodes find no free slot: a slot
-/// turns over in some tens of milliseconds.
-const GIVE_WAY_INTERVAL: Duration = Duration::from_millis(10);
+/// Minimum interval between preemption rounds, however many nodes find no free slot. A slot becomes free within some tens
+/// of milliseconds.
+const PREEMPTION_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time between looks while nothing changes.
+/// Interval between scheduling passes while nothing changes.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two lines in the log about memory, while items run.
-const MEMORY_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between log lines on memory use while this node runs items.
+const MEMORY_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between looks at the journal's standing: a hold of work that lasts longer is seen.
-const STANDING_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between checks of the journal's status. A shorter block of work may stay undetected.
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// An item's job and its position there.
+/// Identifier of a job, and the position of an item in it.
 pub type ItemKey = (String, ItemIndex);
 
-/// An item that is to be run.
+/// An item to run, with the header of its job.
 #[derive(Clone)]
 pub(crate) struct Work {
     pub(crate) header: JobHeader,
@@ -80,8 +78,8 @@
     pub(crate) item: JobItem,
 }
 
-/// A run that may be stopped: the least urgent and least advanced is the greatest.
-type StoppableRun = (ItemUrgency, Reverse<usize>, ItemKey);
+/// Sort key of a run; the least urgent run with the fewest events is the greatest.
+type PreemptionKey = (ItemUrgency, Reverse<usize>, ItemKey);
 
 struct Run {
     _task: Task,
@@ -90,7 +88,7 @@
     due: DueTime,
 }
 
-/// The items that this node runs.
+/// Scheduler of the items that this node runs.
 pub struct Runner {
     gateway: Rc<Gateway>,
     replica: Rc<Replica>,
@@ -100,21 +98,21 @@
     most_runs: usize,
     running: RefCell<HashMap<ItemKey, Run>>,
     progress: RefCell<HashMap<ItemKey, Rc<RefCell<ItemProgress>>>>,
-    /// How often this process began to lead.
+    /// Number of times that this process became leader.
     turn: Cell<u64>,
-    /// Whether it leads now and has taken over.
+    /// Whether this process leads and has taken over the items of the former leader.
     leading: Cell<bool>,
-    dues: RefCell<DueTable>,
-    /// Which services are pressed.
-    way: RefCell<GiveWay>,
-    /// What items need, and the room for them.
-    work: RefCell<WorkAhead>,
-    /// Wakes the scheduler when a run has ended.
-    ended: Notify,
+    due_times: RefCell<DueTable>,
+    /// Services under pressure of online requests.
+    preemption: RefCell<GiveWay>,
+    /// Remaining work of items, and the free slots for it.
+    backlog: RefCell<WorkAhead>,
+    /// Wakes the scheduler when a run ended.
+    run_ended: Notify,
 }
 
 impl Runner {
-    /// Runs items of this journal while its replica leads, as many as its memory allows.
+    /// Creates the scheduler for the items of `journal`.
     pub fn new(gateway: Rc<Gateway>, journal: Rc<Journal>, metrics: RunnerMetrics) -> Rc<Self> {
         Rc::new(Self {
             metrics,
@@ -127,26 +125,26 @@
             progress: RefCell::default(),
             turn: Cell::default(),
             leading: Cell::default(),
-            dues: RefCell::default(),
-            way: RefCell::default(),
-            work: RefCell::default(),
-            ended: Notify::new(),
+            due_times: RefCell::default(),
+            preemption: RefCell::default(),
+            backlog: RefCell::default(),
+            run_ended: Notify::new(),
         })
     }
 
-    /// Runs until the node ends.
+    /// Runs items while the local replica leads, until the node stops.
     pub async fn run(self: Rc<Self>) {
-        let _telling = Task::spawn(self.clone().tell_others());
-        let _memory = Task::spawn(self.clone().log_memory());
-        let _standing = Task::spawn(self.clone().watch_standing());
+        let _progress_task = Task::spawn(self.clone().send_progress());
+        let _memory_task = Task::spawn(self.clone().log_memory());
+        let _status_task = Task::spawn(self.clone().watch_status());
         let mut changes = self.replica.changes();
-        let mut leads_since_term = None;
+        let mut confirmed_term = None;
         loop {
-            let leads = self.leads(&mut leads_since_term).await;
+            let leads = self.leads(&mut confirmed_term).await;
             self.leading.set(leads);
             let waiting = match leads {
                 true => {
-                    self.give_way();
+                    self.preempt();
                     self.schedule()
                 }
                 false => {
@@ -154,15 +152,16 @@
                     false
                 }
             };
-            // However often something changes: a pass looks at all items that wait.
-            self.make_room(Instant::now() + ROOM_INTERVAL, leads).await;
+            // Limits the rate of passes: each one examines all waiting items.
+            self.preempt_until(Instant::now() + SCHEDULE_INTERVAL, leads)
+                .await;
             if waiting {
                 continue;
             }
             let _ = timeout(IDLE_INTERVAL, async {
                 tokio::select! {
                     _ = changes.changed() => {}
-                    () = self.ended.notified() => {}
+                    () = self.run_ended.notified() => {}
                     () = self.loads.told.notified() => {}
                 }
             })
@@ -170,21 +169,21 @@
         }
     }
 
-    /// Until the next look, gives way at once wherever online requests find no free slot.
-    async fn make_room(&self, next_look: Instant, leads: bool) {
-        while timeout_at(next_look.into(), self.loads.crowded.notified())
+    /// Waits until the next pass. Meanwhile preempts runs as soon as online requests find no free slot.
+    async fn preempt_until(&self, next_pass: Instant, leads: bool) {
+        while timeout_at(next_pass.into(), self.loads.crowded.notified())
             .await
             .is_ok()
         {
             if leads {
-                self.give_way();
+                self.preempt();
             }
-            let pause = (Instant::now() + GIVE_WAY_INTERVAL).min(next_look);
-            sleep_until(pause.into()).await;
+            let next_round = (Instant::now() + PREEMPTION_INTERVAL).min(next_pass);
+            sleep_until(next_round.into()).await;
         }
     }
 
-    /// Whether this replica leads and has applied what was committed before it did.
+    /// Returns whether this replica leads and has applied all entries committed before its term.
     async fn leads(&self, confirmed_term: &mut Option<u64>) -> bool {
         let status = self.replica.status();
         if !status.leads || !self.journal.may_promise() {
@@ -194,38 +193,38 @@
         if *confirmed_term == Some(status.term) {
             return true;
         }
-        // It may have lost leadership in between, unnoticed: what runs is of another term.
+        // Leadership may have changed unnoticed in between, so that the runs belong to another term.
         self.stop_all();
         let confirmed = self.replica.read().await.is_ok();
         if confirmed {
             *confirmed_term = Some(status.term);
             self.take_over();
-            info!(self.gateway.log, "runner: Runs items."; "term" => status.term);
+            info!(self.gateway.log, "runner: Started to run items."; "term" => status.term);
         }
         confirmed
     }
 
-    /// Goes on with what the last leader told.
+    /// Resumes items from the events that the former leader reported.
     fn take_over(&self) {
         let now = Instant::now();
         self.turn.set(self.turn.get() + 1);
-        let held = self.journal.progress.borrow().held();
+        let held_items = self.journal.progress.borrow().held();
         let mut progress = self.progress.borrow_mut();
-        for (key, held) in held {
-            let begun = Rc::new(RefCell::new(ItemProgress::begun(now, held)));
-            progress.insert(key, begun);
+        for (key, held) in held_items {
+            let resumed = Rc::new(RefCell::new(ItemProgress::begun(now, held)));
+            progress.insert(key, resumed);
         }
     }
 
-    /// Returns how many items run.
+    /// Returns the number of running items.
     pub fn running(&self) -> usize {
         self.running.borrow().len()
     }
 
-    /// Writes what the node's memory is used for into the log, while it runs items.
+    /// Logs the node's memory use while it runs items.
     async fn log_memory(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(MEMORY_INTERVAL).await;
+            actix_rt::time::sleep(MEMORY_LOG_INTERVAL).await;
             if !self.leading.get() {
                 continue;
             }
@@ -237,19 +236,19 @@
         }
     }
 
-    /// Says why nothing is promised or run, and since when. A task of its own: the runner itself
-    /// waits while a new leader catches up.
-    async fn watch_standing(self: Rc<Self>) {
+    /// Logs changes of the journal's status. This is a separate task because the runner waits while a new leader
+    /// catches up.
+    async fn watch_status(self: Rc<Self>) {
         loop {
-            actix_rt::time::sleep(STANDING_INTERVAL).await;
-            let standing = JournalStanding::of(&self.standing_facts());
+            actix_rt::time::sleep(STATUS_INTERVAL).await;
+            let status = JournalStanding::of(&self.standing_facts());
             let report = self
                 .journal
                 .standing
                 .borrow_mut()
-                .step(Instant::now(), standing);
+                .step(Instant::now(), status);
             if let Some(report) = report {
-                self.log_standing(report);
+                self.log_status(report);
             }
         }
     }
@@ -267,27 +266,27 @@
         }
     }
 
-    fn log_standing(&self, report: StandingReport) {
+    fn log_status(&self, report: StandingReport) {
         let status = self.replica.status();
         let (standing, lasted_ms) = (report.standing.name(), report.lasted.as_millis() as u64);
         let (term, voters) = (status.term, status.membership.voters().count());
         let log = &self.gateway.log;
         match report.standing.holds_back() {
-            true => warn!(log, "journal: Work held back."; "standing" => standing,
+            true => warn!(log, "journal: Work is blocked."; "standing" => standing,
                 "lasted_ms" => lasted_ms, "term" => term, "voters" => voters),
-            false => info!(log, "journal: Work goes on."; "standing" => standing,
+            false => info!(log, "journal: Work resumed."; "standing" => standing,
                 "lasted_ms" => lasted_ms, "term" => term, "voters" => voters),
         }
     }
 
-    /// Memory that the events of items take in bytes.
+    /// Returns the approximate memory of the items' events in bytes.
     fn progress_bytes(&self) -> usize {
         let progress = self.progress.borrow();
-        let produced = progress.values().map(|one| one.borrow().held_bytes());
-        produced.sum()
+        let bytes = progress.values().map(|item| item.borrow().held_bytes());
+        bytes.sum()
     }
 
-    /// Returns what the node's memory is used for.
+    /// Returns the node's memory use by purpose.
     pub fn memory_use(&self) -> MemoryUse {
         MemoryUse {
             progress: self.progress_bytes(),
@@ -296,20 +295,20 @@
         }
     }
 
-    /// Ends every run; what was produced is kept only while this node leads.
+    /// Stops all runs and drops their events, which the runner holds only while this node leads.
     pub fn stop_all(&self) {
         self.leading.set(false);
         let stopped = self.running.borrow().len();
         if stopped > 0 {
-            info!(self.gateway.log, "runner: Runs stopped."; "count" => stopped);
+            info!(self.gateway.log, "runner: All runs stopped."; "count" => stopped);
         }
         self.running.borrow_mut().clear();
         self.progress.borrow_mut().clear();
-        self.forget_pressure();
+        self.clear_pressure();
     }
 
-    /// Takes in what nodes have under way, and stops runs where it is too much.
-    fn give_way(&self) {
+    /// Applies the counts of requests in flight, and preempts runs where online requests need their slots.
+    fn preempt(&self) {
         let now = Instant::now();
         let mut table = self.loads.table.borrow_mut();
         table.forget_old(firshore_clock::now().into_std());
@@ -323,28 +322,28 @@
             .keys()
             .filter_map(|name| {
                 let backend = fleet.incarnation(name)?;
-                let excess = fleet.excess(now, backend, STOP_LOAD)?;
+                let excess = fleet.excess(now, backend, PREEMPTION_LOAD)?;
                 Some((backend.clone(), excess))
             })
             .collect();
         drop(fleet);
         drop(table);
         self.stop_least_urgent(now, &excess);
-        self.learn_pressure(now);
-        self.step_aside(now);
+        self.update_pressure(now);
+        self.preempt_for_pressure(now);
     }
 
-    /// Stops the least urgent runs at back ends, of those alike the least advanced: one that is nearly
-    /// done would be finished by a back end that notices the close late, and then be run in vain.
+    /// Stops the least urgent runs at back ends with excess load, among equally urgent ones those with the fewest events. A
+    /// back end notices the closed connection late and may complete an almost finished item, whose result would be lost.
     fn stop_least_urgent(&self, now: Instant, excess: &HashMap<Incarnation, usize>) {
         let mut running = self.running.borrow_mut();
-        // All runs are looked at once, however many back ends there are.
-        let mut at_backends: HashMap<&Incarnation, Vec<StoppableRun>> = HashMap::new();
+        // Groups the runs by back end in one iteration.
+        let mut at_backends: HashMap<&Incarnation, Vec<PreemptionKey>> = HashMap::new();
         for (key, run) in running.iter() {
             if excess.contains_key(&run.backend) {
                 let produced = Reverse(self.produced(key));
-                let stoppable = (run.due.urgency(now), produced, key.clone());
-                at_backends.entry(&run.backend).or_default().push(stoppable);
+                let sort_key = (run.due.urgency(now), produced, key.clone());
+                at_backends.entry(&run.backend).or_default().push(sort_key);
             }
         }
         let mut stopped = Vec::new();
@@ -362,23 +361,23 @@
         }
     }
 
-    /// Events of an item that are held.
+    /// Returns the number of held events of an item.
     fn produced(&self, key: &ItemKey) -> usize {
         let progress = self.progress.borrow();
         let progress = progress.get(key);
         progress.map_or(0, |progress| progress.borrow().produced().len())
     }
 
-    /// Stops runs of items that are not wanted any more.
+    /// Stops runs of items that are no longer open, and drops their events.
     fn stop_closed(&self, is_open: impl Fn(&ItemKey) -> bool) {
         let mut running = self.running.borrow_mut();
         running.retain(|key, _| {
-            let open = is_open(key);
-            if !open {
+            let keeps = is_open(key);
+            if !keeps {
                 info!(self.gateway.log, "runner: Run ended."; "job" => caller_id(&key.0), "item" => key.1,
                     "reason" => "not open");
             }
-            open
+            keeps
         });
         self.progress.borrow_mut().retain(|key, _| is_open(key));
     }
--- /dev/null
+++ b/crates/firshore-node/src/runner/progress_sender.rs
@@ -0,0 +1,113 @@
+//! Sends the events of items to the nodes of the other replicas, so that the next leader resumes the items after their
+//! last event.
+
+use super::handover::{ProgressDelta, Told, ToldThrough};
+use super::progress::ItemProgress;
+use super::progress_keeper::Leadership;
+use super::{ItemKey, Runner};
+use crate::journal::messages::{PeerRequest, PeerResponse};
+use firshore_types::ids::NodeName;
+use futures_util::future::join_all;
+use std::cell::Ref;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// Interval between two rounds of sending.
+const SEND_INTERVAL: Duration = Duration::from_millis(400);
+
+/// Approximate size of the events in one message.
+const MESSAGE_BYTES: usize = 128 * 1024;
+
+/// Maximum messages to one node in a round.
+const MAX_MESSAGES: usize = 8;
+
+/// Timeout of a node's response.
+const SEND_TIMEOUT: Duration = Duration::from_millis(800);
+
+impl Runner {
+    /// Sends the events of items to the nodes of the other replicas while this node leads.
+    pub(super) async fn send_progress(self: Rc<Self>) {
+        let mut sent: HashMap<NodeName, Told> = HashMap::new();
+        let mut stored = Told::default();
+        let mut leadership = Leadership::default();
+        loop {
+            actix_rt::time::sleep(SEND_INTERVAL).await;
+            let status = self.replica.status();
+            if !status.leads || !self.leading.get() {
+                continue;
+            }
+            let current = Leadership {
+                term: status.term,
+                turn: self.turn.get(),
+            };
+            if current != leadership {
+                // Events sent before may be of other runs.
+                leadership = current;
+                sent.clear();
+                stored = Told::default();
+            }
+            self.store_progress(leadership, &mut stored);
+            let replicas = status.membership.replicas.iter();
+            let others = replicas.filter(|(disk, _)| **disk != status.disk);
+            let others: Vec<NodeName> = others.map(|(_, replica)| replica.node.clone()).collect();
+            sent.retain(|node, _| others.contains(node));
+            let sending = others.into_iter().map(|node| {
+                let sent = sent.remove(&node).unwrap_or_default();
+                self.send_to(leadership, node, sent)
+            });
+            sent = join_all(sending).await.into_iter().collect();
+        }
+    }
+
+    /// Stores the events of items on this node, for the case that all processes stop.
+    fn store_progress(&self, leadership: Leadership, stored: &mut Told) {
+        let deltas = self.unsent(stored, usize::MAX);
+        let ends: Vec<ToldThrough> = deltas.iter().map(ProgressDelta::through).collect();
+        let mut store = self.journal.progress.borrow_mut();
+        let gaps = store.told(leadership, deltas);
+        stored.answered(ends, gaps);
+        let progress = self.progress.borrow();
+        store.keep(|key| progress.contains_key(key));
+    }
+
+    /// Sends one node the events that it lacks, in messages of limited size: a new node lacks all events.
+    async fn send_to(
+        &self,
+        leadership: Leadership,
+        node: NodeName,
+        mut sent: Told,
+    ) -> (NodeName, Told) {
+        for _ in 0..MAX_MESSAGES {
+            let deltas = self.unsent(&mut sent, MESSAGE_BYTES);
+            if deltas.is_empty() {
+                break;
+            }
+            let ends: Vec<ToldThrough> = deltas.iter().map(ProgressDelta::through).collect();
+            let request = PeerRequest::Progress { leadership, deltas };
+            let call = self.journal.ask(&node, request);
+            match timeout(SEND_TIMEOUT, call).await {
+                Ok(Some(PeerResponse::Gaps(gaps))) => sent.answered(ends, gaps),
+                _ => {
+                    // It is unknown which events the node holds: sends all of them in the next round.
+                    sent = Told::default();
+                    break;
+                }
+            }
+        }
+        (node, sent)
+    }
+
+    /// Returns the events that were not sent yet, up to about `bytes`.
+    fn unsent(&self, sent: &mut Told, bytes: usize) -> Vec<ProgressDelta> {
+        let progress = self.progress.borrow();
+        sent.keep(|key| progress.contains_key(key));
+        let items = progress.iter().map(|(key, item)| (key, item.borrow()));
+        let items: Vec<(&ItemKey, Ref<'_, ItemProgress>)> = items.collect();
+        let items = items
+            .iter()
+            .map(|(key, item)| (*key, item.produced(), item.last_event()));
+        sent.deltas(items, bytes)
+    }
+}
--- a/crates/firshore-node/src/runner/schedule.rs
+++ b/crates/firshore-node/src/runner/schedule.rs
@@ -1,10 +1,10 @@
-//! Which items start, and where.
+//! Scheduling pass: selects the items that start, and their back ends.
 
 use super::item::{self, ItemRun};
 use super::progress::{ItemProgress, RunEnd};
 use super::urgency::{DueTime, ItemUrgency};
 use super::work_ahead::ItemOutlook;
-use super::{ITEM_LOAD, ItemKey, PRESSED_ITEM_LOAD, Run, Runner, Work};
+use super::{ItemKey, MAX_AT_RISK_ITEM_LOAD, MAX_ITEM_LOAD, Run, Runner, Work};
 use crate::task::Task;
 use firshore_adapter::backend::Backend;
 use firshore_adapter::jobs::caller_id;
@@ -22,11 +22,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Items started in one look: each costs processor time, and shows its load only a moment later.
-const MOST_STARTS: usize = 32;
+/// Maximum number of items started in one pass: each costs processor time, and its load is observed only later.
+const MAX_STARTS: usize = 32;
 
-/// Items without room after which a look ends.
-const MOST_REFUSALS: usize = 64;
+/// Number of items without a free slot after which a pass ends.
+const MAX_REFUSALS: usize = 64;
 
 /// A job that is not finished.
 struct OpenJob<'a> {
@@ -35,69 +35,71 @@
     items: &'a [OpenItem<'a>],
 }
 
-/// An item that does not run.
+/// An open item that is not running.
 pub(super) struct WaitingItem<'a> {
     pub(super) due: DueTime,
-    /// Events that are held.
+    /// Number of held events.
     pub(super) produced: usize,
     key: ItemKey,
-    one: &'a OpenItem<'a>,
+    item: &'a OpenItem<'a>,
 }
 
-/// A service in one look.
+/// State of a service in one pass.
 #[derive(Clone, Copy, Default)]
-struct ServiceLook {
-    /// Requests that its back ends work on at once.
+struct ServicePass {
+    /// Slots of its back ends.
     slots: u32,
-    /// Items of it that run.
+    /// Running items.
     running: usize,
-    /// Its items that are wanted no later than those looked at now.
-    ahead: usize,
+    /// Open items that are at least as urgent as those being examined.
+    backlog: usize,
 }
 
-/// One look at the items that wait.
+/// State of one pass over the waiting items.
 #[derive(Default)]
 struct Pass {
     /// Whether items wait.
     waiting: bool,
-    /// Items that were started.
+    /// Number of started items.
     started: usize,
-    /// Items for which there was no room.
+    /// Number of items without a free slot.
     refused: usize,
-    /// Whether there is no memory for what further items produce.
-    no_memory: bool,
-    /// Services without room, for items in danger of being late and for others.
+    /// Whether the memory for events is used up, so that only items that already have events may start.
+    memory_full: bool,
+    /// Services without a free slot, for items at risk (`true`) and for others (`false`).
     full: HashSet<(ServiceName, bool)>,
-    /// Services of items looked at.
-    services: HashMap<ServiceName, ServiceLook>,
+    /// Services of the examined items.
+    services: HashMap<ServiceName, ServicePass>,
 }
 
 impl Pass {
     fn is_over(&self) -> bool {
-        self.started >= MOST_STARTS || self.refused >= MOST_REFUSALS
+        self.started >= MAX_STARTS || self.refused >= MAX_REFUSALS
     }
 }
 
 impl Runner {
-    /// Starts what there is room for; tells whether items wait for room.
+    /// Starts items in free slots. Returns whether items are waiting.
     pub(super) fn schedule(self: &Rc<Self>) -> bool {
         let state = self.replica.applied_state();
         self.stop_closed(|key| state.read().is_open(&key.0, key.1));
         let now = Instant::now();
         let state = state.read();
-        self.dues.borrow_mut().keep(|job| state.is_job_open(job));
+        self.due_times
+            .borrow_mut()
+            .keep(|job| state.is_job_open(job));
         let items = state.open_items();
         let budget = self.journal.budget;
         let mut pass = Pass {
-            no_memory: !budget.admits_new_run(self.progress_bytes()),
+            memory_full: !budget.admits_new_run(self.progress_bytes()),
             ..Pass::default()
         };
         for job in self.open_jobs(now, &items) {
-            self.look_ahead(now, &job, &mut pass);
+            self.add_backlog(now, &job, &mut pass);
             for waiting in self.waiting(&job) {
                 pass.waiting = true;
-                let all_run = self.running() >= self.most_runs;
-                if all_run || pass.is_over() {
+                let at_capacity = self.running() >= self.most_runs;
+                if at_capacity || pass.is_over() {
                     return true;
                 }
                 self.try_start(now, &waiting, &mut pass);
@@ -106,71 +108,75 @@
         pass.waiting
     }
 
-    /// Counts the items of a job, which are wanted no sooner than those before, to what lies ahead of its
-    /// service.
-    fn look_ahead(&self, now: Instant, job: &OpenJob<'_>, pass: &mut Pass) {
-        let Some(route) = job.items.first().and_then(|one| self.route(one)) else {
+    /// Adds the items of a job to the backlog of its service. Jobs are passed in the order of urgency.
+    fn add_backlog(&self, now: Instant, job: &OpenJob<'_>, pass: &mut Pass) {
+        let Some(route) = job.items.first().and_then(|item| self.route(item)) else {
             return;
         };
-        let Some(service) = route.services.first().map(|one| &one.service) else {
+        let Some(service) = route.services.first().map(|split| &split.service) else {
             return;
         };
-        self.look_at(now, service, pass).ahead += job.items.len();
+        self.service_pass(now, service, pass).backlog += job.items.len();
     }
 
-    fn look_at<'a>(
+    /// Returns the state of a service in this pass; creates it if needed.
+    fn service_pass<'a>(
         &self,
         now: Instant,
         service: &ServiceName,
         pass: &'a mut Pass,
-    ) -> &'a mut ServiceLook {
-        let looks = &mut pass.services;
-        if !looks.contains_key(service) {
-            let look = ServiceLook {
+    ) -> &'a mut ServicePass {
+        let services = &mut pass.services;
+        if !services.contains_key(service) {
+            let service_pass = ServicePass {
                 slots: self.gateway.fleet.borrow().occupancy(now, service).slots,
                 running: self.running_of(service),
-                ahead: 0,
+                backlog: 0,
             };
-            looks.insert(service.clone(), look);
+            services.insert(service.clone(), service_pass);
         }
-        looks.get_mut(service).expect("a look that was put there")
+        services
+            .get_mut(service)
+            .expect("the service was inserted above")
     }
 
-    /// Whether an item may start as far as online requests go, and whether it may take the last slots.
-    fn permit(
+    /// Returns `None` if online requests prevent the start of an item, otherwise whether it is at risk and may use the
+    /// last slots.
+    fn start_permit(
         &self,
         now: Instant,
         service: &ServiceName,
         waiting: &WaitingItem<'_>,
         pass: &mut Pass,
     ) -> Option<bool> {
-        let look = *self.look_at(now, service, pass);
+        let service_pass = *self.service_pass(now, service, pass);
         let time = waiting
             .due
             .wanted
-            .map(|wanted| wanted.saturating_duration_since(now));
-        let behind = time.filter(|time| !time.is_zero()).is_some_and(|time| {
-            let work = self.work.borrow();
-            work.is_behind(service, look.ahead, time)
+            .map(|deadline| deadline.saturating_duration_since(now));
+        let overloaded = time.filter(|time| !time.is_zero()).is_some_and(|time| {
+            let backlog = self.backlog.borrow();
+            backlog.is_behind(service, service_pass.backlog, time)
         });
-        let outlook = self.outlook(now, service, waiting, behind);
-        let way = self.way.borrow();
-        let may_start = way.may_start(service, look.slots, look.running, outlook);
-        may_start.then_some(outlook > ItemOutlook::Easy)
+        let risk = self.deadline_risk(now, service, waiting, overloaded);
+        let preemption = self.preemption.borrow();
+        let may_start =
+            preemption.may_start(service, service_pass.slots, service_pass.running, risk);
+        may_start.then_some(risk > ItemOutlook::Easy)
     }
 
-    /// Jobs by urgency.
+    /// Returns the open jobs, the most urgent first.
     fn open_jobs<'a>(&self, now: Instant, items: &'a [OpenItem<'a>]) -> Vec<OpenJob<'a>> {
         let clock = SystemTime::now().duration_since(UNIX_EPOCH);
         let clock = clock.unwrap_or_default();
-        let mut dues = self.dues.borrow_mut();
-        let of_jobs = items.chunk_by(|one, other| one.header.job == other.header.job);
-        let mut jobs: Vec<OpenJob> = of_jobs
+        let mut due_times = self.due_times.borrow_mut();
+        let by_job = items.chunk_by(|first, second| first.header.job == second.header.job);
+        let mut jobs: Vec<OpenJob> = by_job
             .map(|items| {
                 let first = &items[0];
                 let age = clock.saturating_sub(Duration::from_millis(first.submitted_at));
                 let due_after = first.header.due_after.map(Duration::from_millis);
-                let due = dues.due(now, &first.header.job, age, due_after);
+                let due = due_times.due(now, &first.header.job, age, due_after);
                 OpenJob {
                     urgency: due.urgency(now),
                     due,
@@ -182,41 +188,41 @@
         jobs
     }
 
-    /// Items of a job that do not run, the most advanced first.
+    /// Returns the items of a job that are not running, those with the most events first.
     fn waiting<'a>(&self, job: &OpenJob<'a>) -> Vec<WaitingItem<'a>> {
         let running = self.running.borrow();
-        let items = job.items.iter().map(|one| {
-            let key = (one.header.job.clone(), one.index);
+        let items = job.items.iter().map(|item| {
+            let key = (item.header.job.clone(), item.index);
             WaitingItem {
                 due: job.due,
                 produced: self.produced(&key),
                 key,
-                one,
+                item,
             }
         });
-        let waiting = items.filter(|item| !running.contains_key(&item.key));
+        let waiting = items.filter(|waiting| !running.contains_key(&waiting.key));
         let mut waiting: Vec<WaitingItem> = waiting.collect();
-        waiting.sort_by_key(|item| Reverse(item.produced));
+        waiting.sort_by_key(|waiting| Reverse(waiting.produced));
         waiting
     }
 
-    /// The route that an item's path and host name now.
-    fn route(&self, one: &OpenItem<'_>) -> Option<Arc<Route>> {
+    /// Returns the present route for an item's host and path.
+    fn route(&self, item: &OpenItem<'_>) -> Option<Arc<Route>> {
         let configuration = self.gateway.configuration()?;
-        let path = one.item.path.split('?').next().unwrap_or_default();
-        configuration.routes.find(&one.header.host, path).cloned()
+        let path = item.item.path.split('?').next().unwrap_or_default();
+        configuration.routes.find(&item.header.host, path).cloned()
     }
 
-    /// Starts an item if it may run now and there is room.
+    /// Starts an item if it may run now and a back end has a free slot.
     fn try_start(self: &Rc<Self>, now: Instant, waiting: &WaitingItem<'_>, pass: &mut Pass) {
-        let (key, one) = (waiting.key.clone(), waiting.one);
-        if pass.no_memory && waiting.produced == 0 {
+        let (key, item) = (waiting.key.clone(), waiting.item);
+        if pass.memory_full && waiting.produced == 0 {
             return;
         }
-        let known = self.progress.borrow().get(&key).cloned();
-        if known
+        let former = self.progress.borrow().get(&key).cloned();
+        if former
             .as_ref()
-            .is_some_and(|one| one.borrow().is_paused(now))
+            .is_some_and(|progress| progress.borrow().is_paused(now))
         {
             return;
         }
@@ -224,14 +230,14 @@
             return;
         };
         pass.started += 1;
-        let progress = known.unwrap_or_else(|| Rc::new(RefCell::new(ItemProgress::new(now))));
-        let held = progress.clone();
-        self.progress.borrow_mut().insert(key.clone(), held);
+        let progress = former.unwrap_or_else(|| Rc::new(RefCell::new(ItemProgress::new(now))));
+        let shared = progress.clone();
+        self.progress.borrow_mut().insert(key.clone(), shared);
         progress.borrow_mut().starts();
         let work = Work {
-            header: one.header.clone(),
-            index: one.index,
-            item: one.item.clone(),
+            header: item.header.clone(),
+            index: item.index,
+            item: item.item.clone(),
         };
         let chosen = backend.incarnation.clone();
         let service = backend.service.clone();
@@ -243,23 +249,28 @@
             replica: self.replica.clone(),
             work,
             progress,
-            // Counted from now on, so that the next item sees it.
+            // Counted at once, so that the choice for the next item includes it.
             in_flight: self.gateway.in_flight(&backend.incarnation),
             backend,
         };
         let runner = self.clone();
-        let ended = key.clone();
+        let run_key = key.clone();
         let task = Task::spawn(async move {
             let service = run.backend.service.clone();
             let summary = run.run().await;
             runner.metrics.run_ended(summary.end);
             if summary.end == RunEnd::Whole {
-                let mut work = runner.work.borrow_mut();
-                work.finished(&service, summary.events, summary.made, summary.took);
+                let mut backlog = runner.backlog.borrow_mut();
+                backlog.finished(
+                    &service,
+                    summary.events,
+                    summary.new_events,
+                    summary.duration,
+                );
             }
-            // The entry is this task's own handle: it is let go, not aborted.
-            runner.running.borrow_mut().remove(&ended);
-            runner.ended.notify_one();
+            // Removing the entry drops this task's own handle. The task ends here, so that nothing is aborted.
+            runner.running.borrow_mut().remove(&run_key);
+            runner.run_ended.notify_one();
         });
         let run = Run {
             _task: task,
@@ -270,30 +281,31 @@
         self.running.borrow_mut().insert(key, run);
     }
 
-    /// A back end with room, of the service that the item's route names now.
+    /// Chooses a back end with a free slot for an item, from the present services of its route.
     fn choose(&self, now: Instant, waiting: &WaitingItem<'_>, pass: &mut Pass) -> Option<Backend> {
-        let one = waiting.one;
-        let route = self.route(one)?;
+        let item = waiting.item;
+        let route = self.route(item)?;
         let service = self.gateway.split.borrow_mut().next(&route);
-        // Items of a pressed service are passed over: those of others behind them have their turn.
-        let pressed = self.permit(now, &service, waiting, pass)?;
-        if pass.full.contains(&(service.clone(), pressed)) {
+        // Items of a service under pressure are skipped and don't count as refused, so that items of other services
+        // behind them are examined.
+        let at_risk = self.start_permit(now, &service, waiting, pass)?;
+        if pass.full.contains(&(service.clone(), at_risk)) {
             pass.refused += 1;
             return None;
         }
-        let headers = item::headers(one.item);
+        let headers = item::headers(item.item);
         let terms = self.gateway.adapter.caller.read_terms(&headers);
         let attempts = Attempts::new(route.repetition, u32::MAX);
-        let limit = match pressed {
-            true => PRESSED_ITEM_LOAD,
-            false => ITEM_LOAD,
+        let limit = match at_risk {
+            true => MAX_AT_RISK_ITEM_LOAD,
+            false => MAX_ITEM_LOAD,
         };
         let fleet = self.gateway.fleet.borrow();
         let wanted = Wanted {
             service: &service,
             attempts: &attempts,
             affinity: affinity_key(&terms.prompt),
-            // What nodes sent that are cut off is in no count, but in back ends' reports on items.
+            // Requests of isolated nodes are in no node's count, but in the loads that back ends report with items.
             load_limit: limit - fleet.unseen(now, &service),
             begin_within: None,
             answer_within: None,
@@ -301,9 +313,9 @@
         let mut random = self.gateway.random.borrow_mut();
         let chosen = fleet.choose(now, &wanted, &mut *random);
         match chosen {
-            Some(_) => self.look_at(now, &service, pass).running += 1,
+            Some(_) => self.service_pass(now, &service, pass).running += 1,
             None => {
-                pass.full.insert((service, pressed));
+                pass.full.insert((service, at_risk));
             }
         }
         chosen
