--- a/crates/firshore-node/src/node.rs
+++ b/crates/firshore-node/src/node.rs
@@ -155,10 +155,8 @@
 /// Checks the settings file on SIGHUP. The running node keeps its settings.
 fn reload(path: &std::path::Path, log: &Logger) {
     match Settings::read(path) {
-        Ok(_) => info!(log, "node: Settings file is valid."),
-        Err(error) => {
-            warn!(log, "node: Settings file is invalid."; "reason" => %error)
-        }
+        Ok(_) => info!(log, "node: Settings valid."),
+        Err(error) => warn!(log, "node: Settings invalid."; "reason" => %error),
     }
 }
 
--- a/crates/firshore-node/src/runner/give_way.rs
+++ b/crates/firshore-node/src/runner/give_way.rs
@@ -1,10 +1,9 @@
-//! Where items give way to online requests. No I/O; the time is passed in.
+//! Policy for preempting items in favour of online requests. No I/O; the time is passed in.
 //!
-//! What nodes tell of requests that wait, are late or are refused says that a service is full, also
-//! where counts of what is under way do not: nodes that are cut off are missing in those. While a service
-//! is pressed, none of its items starts and running ones step aside, one for each request that pressed;
-//! they go on after their last event in the next trough. Items that would be late otherwise keep a small
-//! part of the slots; those that are late already wait for a trough.
+//! Reports of queued, late or refused online requests show that a service is full, even if the counts of requests in
+//! flight don't, which lack those of isolated nodes. While a service is under pressure, none of its items starts, and
+//! one run is preempted for each such request. Preempted items resume after their last event when the pressure ends.
+//! Items that would miss their deadline otherwise keep a small fraction of the slots; items that are already late wait.
 
 use super::ItemKey;
 use super::urgency::ItemUrgency;
@@ -15,251 +14,253 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time in which what was told fades to a third: longer than nodes take to tell through relays, and short
-/// beside waves of some seconds.
-const PRESSURE_MEMORY: Duration = Duration::from_millis(300);
+/// Time constant with which the pressure decays: longer than reports through relays take, and short compared to load
+/// peaks of some seconds.
+const PRESSURE_DECAY: Duration = Duration::from_millis(300);
 
-/// Requests that pressed within that time, as a part of the service's slots, from which on it counts as
-/// pressed: fewer come late beside plenty of room too, behind one slow back end.
-const PRESSED_SHARE: f32 = 0.01;
+/// Decayed number of pressing requests, as a fraction of the service's slots, at which a service is under pressure. Fewer
+/// may be late behind a single slow back end while other slots are free.
+const PRESSURE_FRACTION: f32 = 0.01;
 
-/// The same in requests, for services of few slots.
-const LEAST_PRESSED: f32 = 2.0;
+/// Lower bound of that number, for services with few slots.
+const MIN_PRESSING_REQUESTS: f32 = 2.0;
 
-/// Part of that at which a service is eased again. Between the two nothing changes: an item that goes on
-/// and has to stop at once has its prompt read in vain.
-const EASED_SHARE: f32 = 0.25;
+/// Fraction of the pressure threshold below which the pressure may end. The hysteresis avoids items that resume, process
+/// their prompt again and are preempted at once.
+const RELEASE_FRACTION: f32 = 0.25;
 
-/// Most that is remembered, as a multiple of what presses: however hard a wave was, items go on within
-/// about 600 ms of its end.
-const MOST_PRESSURE: f32 = 2.0;
+/// Upper bound of the pressure, as a multiple of the threshold: items resume within about 600 ms after a load peak of any
+/// size.
+const MAX_PRESSURE: f32 = 2.0;
 
-/// Part of the online requests under way when they pressed, to which they have to fall before items go on. As
-/// soon as items have stepped aside nothing presses any more: by that alone they would start again into the
-/// same wave, and stop again, some times in each.
-const FALLEN_SHARE: f32 = 0.85;
+/// Fraction of their number during the pressure to which online requests in flight have to fall before items resume.
+/// Without this condition, items would resume and be preempted several times during the same load peak, since the
+/// pressure ends as soon as they are preempted.
+const FALLEN_FRACTION: f32 = 0.85;
 
-/// The same at which items go on at once: requests that come late then have waited since the wave, and a trough
-/// of 3.6 s was a second shorter for items until nothing was late any more.
-const GONE_SHARE: f32 = 0.5;
+/// Fraction of their number during the pressure at which items resume at once. Requests that are reported late then were
+/// queued during the peak, and waiting for them would waste free slots.
+const PEAK_OVER_FRACTION: f32 = 0.5;
 
-/// Time for which what comes late after a wave is put down to it.
-const TAIL: Duration = Duration::from_millis(1_500);
+/// Time after a load peak in which late requests are attributed to it.
+const PEAK_TAIL: Duration = Duration::from_millis(1_500);
 
-/// Time without pressure after which items go on all the same: other back ends may have come.
-const LONGEST_HOLD: Duration = Duration::from_secs(2);
+/// Time without pressing requests after which items resume even if online requests have not fallen: back ends may have
+/// been added.
+const MAX_HOLD: Duration = Duration::from_secs(2);
 
-/// Part of the load that online requests make on average, as believed, under which runs at a back end are in
-/// nobody's way. Not a load by itself: what nodes sent that are cut off is not seen anywhere.
-const ROOMY_SHARE: f32 = 0.5;
+/// Fraction of the service's mean online load below which runs at a back end are not preempted. It is relative to the
+/// mean because observed loads lack requests of isolated nodes.
+const IDLE_LOAD_FRACTION: f32 = 0.5;
 
-/// Part of a service's slots that items keep while online requests press, where they would be late
-/// otherwise.
-const KEPT_SHARE: f32 = 0.02;
+/// Fraction of a service's slots reserved under pressure for items that would miss their deadline otherwise.
+const RESERVED_FRACTION: f32 = 0.02;
 
-/// Time over which the part of calm time is averaged: some waves and troughs.
-const CALM_MEMORY: Duration = Duration::from_secs(12);
+/// Time constant for averaging the fraction of time without pressure: several load peaks.
+const CALM_DECAY: Duration = Duration::from_secs(12);
 
-/// Least part of calm time that is reckoned with: less would have every item in danger for a while after one
-/// long jump.
-const LEAST_CALM: f32 = 0.2;
+/// Lower bound of the fraction of time without pressure. Without it, one long load peak would put all items at risk.
+const MIN_CALM_FRACTION: f32 = 0.2;
 
-/// A run that may step aside.
+/// A run that may be preempted.
 #[derive(Clone, Debug)]
 pub struct HeldRun {
-    /// Item.
+    /// Key of the item.
     pub key: ItemKey,
-    /// Load of its back end in requests per slot, as believed.
+    /// Load of its back end, in requests per slot.
     pub load: f32,
-    /// How its work compares with its time.
+    /// Risk that the item misses its deadline.
     pub outlook: ItemOutlook,
-    /// How urgent it is.
+    /// Urgency of the item.
     pub urgency: ItemUrgency,
-    /// Events that are held.
+    /// Number of held events.
     pub produced: usize,
 }
 
-/// A service's room and who uses it, as believed.
+/// Slots of a service and online requests that use them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceRoom {
-    /// Requests that its back ends work on at once.
+    /// Slots of its back ends.
     pub slots: u32,
-    /// Online requests that they hold. Those of nodes that are cut off are missing.
+    /// Online requests at its back ends, without those of isolated nodes.
     pub online: u32,
 }
 
-/// How one service stands.
+/// Pressure of online requests on one service.
 #[derive(Debug)]
-struct ServiceStanding {
-    /// Requests that pressed a moment ago, faded.
+struct PressureState {
+    /// Decayed number of pressing requests.
     level: f32,
-    /// As of when.
-    at: Instant,
-    /// Whether items give way.
+    updated_at: Instant,
+    /// Whether the service is under pressure.
     pressed: bool,
-    /// When online requests pressed last.
+    /// Last time at which the level reached the threshold.
     pressed_at: Instant,
-    /// Most online requests under way while they pressed.
-    online: u32,
-    /// Requests that pressed and for which no run has stepped aside.
-    owed: u32,
-    /// Part of the time in which items did not give way.
-    calm: f32,
+    /// Maximum number of online requests in flight during the pressure.
+    max_online: u32,
+    /// Pressing requests for which no run has been preempted yet.
+    pending_preemptions: u32,
+    /// Mean fraction of time without pressure.
+    calm_fraction: f32,
 }
 
-impl ServiceStanding {
+impl PressureState {
     fn new(now: Instant) -> Self {
         Self {
             level: 0.0,
-            at: now,
+            updated_at: now,
             pressed: false,
             pressed_at: now,
-            online: 0,
-            owed: 0,
-            calm: 1.0,
+            max_online: 0,
+            pending_preemptions: 0,
+            calm_fraction: 1.0,
         }
     }
 
-    /// Moves on to now.
-    fn pass(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f32();
-        self.at = self.at.max(now);
-        self.level *= (-passed / PRESSURE_MEMORY.as_secs_f32()).exp();
-        let kept = (-passed / CALM_MEMORY.as_secs_f32()).exp();
+    /// Applies the decay up to `now`.
+    fn decay(&mut self, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.updated_at).as_secs_f32();
+        self.updated_at = self.updated_at.max(now);
+        self.level *= (-elapsed / PRESSURE_DECAY.as_secs_f32()).exp();
+        let weight = (-elapsed / CALM_DECAY.as_secs_f32()).exp();
         let calm = if self.pressed { 0.0 } else { 1.0 };
-        self.calm = self.calm * kept + calm * (1.0 - kept);
+        self.calm_fraction = self.calm_fraction * weight + calm * (1.0 - weight);
     }
 
-    fn weigh(&mut self, now: Instant, room: ServiceRoom) {
-        if self.is_tail(now, room) {
+    /// Updates whether the service is under pressure.
+    fn update(&mut self, now: Instant, usage: ServiceRoom) {
+        if self.is_peak_over(now, usage) {
             self.level = 0.0;
             self.pressed = false;
-            self.owed = 0;
+            self.pending_preemptions = 0;
             return;
         }
-        let pressing = (room.slots as f32 * PRESSED_SHARE).max(LEAST_PRESSED);
-        self.level = self.level.min(pressing * MOST_PRESSURE);
-        if self.level >= pressing {
-            self.online = match self.pressed {
-                true => self.online.max(room.online),
-                false => room.online,
+        let threshold = (usage.slots as f32 * PRESSURE_FRACTION).max(MIN_PRESSING_REQUESTS);
+        self.level = self.level.min(threshold * MAX_PRESSURE);
+        if self.level >= threshold {
+            self.max_online = match self.pressed {
+                true => self.max_online.max(usage.online),
+                false => usage.online,
             };
             self.pressed = true;
             self.pressed_at = now;
         }
-        if self.level < pressing * EASED_SHARE && self.has_fallen(now, room) {
+        if self.level < threshold * RELEASE_FRACTION && self.has_fallen(now, usage) {
             self.pressed = false;
         }
         if !self.pressed {
-            self.owed = 0;
+            self.pending_preemptions = 0;
         }
     }
 
-    /// Whether the wave in which requests pressed is over, and what still comes late has waited since.
-    fn is_tail(&self, now: Instant, room: ServiceRoom) -> bool {
-        let since = now.saturating_duration_since(self.pressed_at);
-        since < TAIL && self.online > 0 && room.online as f32 <= self.online as f32 * GONE_SHARE
+    /// Returns whether the last load peak is over, so that requests reported late now were queued during it.
+    fn is_peak_over(&self, now: Instant, usage: ServiceRoom) -> bool {
+        let elapsed = now.saturating_duration_since(self.pressed_at);
+        elapsed < PEAK_TAIL
+            && self.max_online > 0
+            && usage.online as f32 <= self.max_online as f32 * PEAK_OVER_FRACTION
     }
 
-    /// Whether online requests leave more room than when they pressed, or do not press for long.
-    fn has_fallen(&self, now: Instant, room: ServiceRoom) -> bool {
-        // Where nothing was seen under way, as at a node that is cut off, nothing can be seen to have fallen.
-        let fallen = self.online > 0 && room.online as f32 <= self.online as f32 * FALLEN_SHARE;
-        fallen || now.saturating_duration_since(self.pressed_at) > LONGEST_HOLD
+    /// Returns whether online requests have fallen since the pressure, or have not been pressing for [`MAX_HOLD`].
+    fn has_fallen(&self, now: Instant, usage: ServiceRoom) -> bool {
+        // An isolated node sees no online requests in flight, so that it can't see them fall.
+        let fallen =
+            self.max_online > 0 && usage.online as f32 <= self.max_online as f32 * FALLEN_FRACTION;
+        fallen || now.saturating_duration_since(self.pressed_at) > MAX_HOLD
     }
 }
 
-/// Which services are pressed, and which runs step aside for that.
+/// Pressure of online requests on services, and the choice of runs to preempt.
 #[derive(Debug, Default)]
 pub struct GiveWay {
-    services: HashMap<ServiceName, ServiceStanding>,
+    services: HashMap<ServiceName, PressureState>,
 }
 
 impl GiveWay {
-    /// Takes in what nodes told of a service that has so much room.
-    pub fn told(&mut self, now: Instant, room: ServiceRoom, pressure: &ServicePressure) {
-        let standing = self
+    /// Records a report of pressure on a service with the given usage.
+    pub fn told(&mut self, now: Instant, usage: ServiceRoom, pressure: &ServicePressure) {
+        let state = self
             .services
             .entry(pressure.service.clone())
-            .or_insert_with(|| ServiceStanding::new(now));
+            .or_insert_with(|| PressureState::new(now));
         let sum = pressure.figure.sum();
-        standing.pass(now);
-        standing.level += sum as f32;
-        standing.owed = standing.owed.saturating_add(sum);
-        standing.weigh(now, room);
+        state.decay(now);
+        state.level += sum as f32;
+        state.pending_preemptions = state.pending_preemptions.saturating_add(sum);
+        state.update(now, usage);
     }
 
-    /// Takes in that time has passed. `room` tells what a service has.
-    pub fn pass(&mut self, now: Instant, room: impl Fn(&ServiceName) -> ServiceRoom) {
-        for (service, standing) in &mut self.services {
-            standing.pass(now);
-            standing.weigh(now, room(service));
+    /// Updates all services to `now`. `usage` returns the usage of a service.
+    pub fn pass(&mut self, now: Instant, usage: impl Fn(&ServiceName) -> ServiceRoom) {
+        for (service, state) in &mut self.services {
+            state.decay(now);
+            state.update(now, usage(service));
         }
     }
 
-    /// Returns the services whose items give way.
+    /// Returns the services under pressure.
     pub fn pressed(&self) -> impl Iterator<Item = &ServiceName> {
         let services = self.services.iter();
         services
-            .filter(|(_, standing)| standing.pressed)
+            .filter(|(_, state)| state.pressed)
             .map(|(service, _)| service)
     }
 
-    /// Returns whether items of a service give way.
+    /// Returns whether a service is under pressure.
     pub fn is_pressed(&self, service: &ServiceName) -> bool {
-        let standing = self.services.get(service);
-        standing.is_some_and(|standing| standing.pressed)
+        let state = self.services.get(service);
+        state.is_some_and(|state| state.pressed)
     }
 
-    /// Part of the time in which items of a service could run, lately.
+    /// Returns the recent mean fraction of time in which items of a service could run.
     pub fn calm_share(&self, service: &ServiceName) -> f32 {
-        let standing = self.services.get(service);
-        standing.map_or(1.0, |standing| standing.calm.max(LEAST_CALM))
+        let state = self.services.get(service);
+        state.map_or(1.0, |state| state.calm_fraction.max(MIN_CALM_FRACTION))
     }
 
-    /// Returns whether an item may start: while its service is pressed, only one that would be late
-    /// otherwise, and only while few run.
+    /// Returns whether an item may start. Under pressure, only items at critical risk may, and only in reserved slots.
     pub fn may_start(
         &self,
         service: &ServiceName,
         slots: u32,
         running: usize,
-        outlook: ItemOutlook,
+        risk: ItemOutlook,
     ) -> bool {
         if !self.is_pressed(service) {
             return true;
         }
-        outlook == ItemOutlook::LastChance && running < kept_slots(slots)
+        risk == ItemOutlook::LastChance && running < reserved_slots(slots)
     }
 
-    /// Returns which of a service's runs step aside now: those least in danger of being late and least
-    /// urgent, where back ends are loaded most. As many as requests pressed since the last call.
+    /// Returns the runs of a service to preempt now: at most one for each pressing request since the last call. Selects
+    /// those with the lowest deadline risk first, then the least urgent, then those with the fewest events. Excludes runs
+    /// in reserved slots and runs at back ends with a low load.
     pub fn step_aside(
         &mut self,
         service: &ServiceName,
-        room: ServiceRoom,
+        usage: ServiceRoom,
         mut runs: Vec<HeldRun>,
     ) -> Vec<HeldRun> {
-        let Some(standing) = self.services.get_mut(service).filter(|one| one.pressed) else {
+        let Some(state) = self.services.get_mut(service).filter(|state| state.pressed) else {
             return Vec::new();
         };
-        let owed = std::mem::take(&mut standing.owed) as usize;
-        // The first kept slots go to those that would be late otherwise.
+        let pending = std::mem::take(&mut state.pending_preemptions) as usize;
+        // The reserved slots go to the most urgent items at critical risk.
         runs.sort_by_key(|run| (Reverse(run.outlook), run.urgency, Reverse(run.produced)));
-        let in_danger = runs
+        let critical = runs
             .iter()
             .take_while(|run| run.outlook == ItemOutlook::LastChance);
-        let kept = in_danger.count().min(kept_slots(room.slots));
-        let mut others = runs.split_off(kept);
-        let roomy = ROOMY_SHARE * room.online as f32 / room.slots.max(1) as f32;
-        others.retain(|run| run.load >= roomy);
+        let reserved = critical.count().min(reserved_slots(usage.slots));
+        let mut others = runs.split_off(reserved);
+        let idle_load = IDLE_LOAD_FRACTION * usage.online as f32 / usage.slots.max(1) as f32;
+        others.retain(|run| run.load >= idle_load);
         others.reverse();
-        others.truncate(owed);
+        others.truncate(pending);
         others
     }
 }
 
-/// Slots that items keep while online requests press.
-fn kept_slots(slots: u32) -> usize {
-    (slots as f32 * KEPT_SHARE).ceil() as usize
+/// Returns the number of slots reserved under pressure for items at critical risk.
+fn reserved_slots(slots: u32) -> usize {
+    (slots as f32 * RESERVED_FRACTION).ceil() as usize
 }
--- a/crates/firshore-node/src/runner/urgency.rs
+++ b/crates/firshore-node/src/runner/urgency.rs
@@ -1,47 +1,46 @@
-//! Which item goes first and which gives way. No I/O; the time is passed in.
+//! Order in which items start and are preempted. No I/O; the time is passed in.
 //!
-//! The item that is wanted first goes first: as all back ends are shared, that serves most in time
-//! (earliest deadline first, Liu and Layland 1973). Behind all others come those that are wanted no
-//! more in time: working on them first would make the next ones late too. What an item still needs is
-//! left out on purpose: it is known by guess only, and a wrong guess costs more than it gains.
+//! The item with the earliest deadline is the most urgent (earliest deadline first, Liu and Layland 1973). Items past
+//! their deadline come last: running them first would make the next ones late too. The remaining work of an item is
+//! left out because it is only an estimate.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Part of the time until its results are wanted that a job can wait for room which online requests
-/// are not likely to need.
-const PATIENT_SHARE: f64 = 0.5;
+/// Fraction of the time until its deadline after which a job is at risk. Before, its items leave the last slots to online
+/// requests.
+const AT_RISK_FRACTION: f64 = 0.5;
 
-/// How urgent an item is; the most urgent is the least.
+/// Urgency of an item; the most urgent is the least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ItemUrgency {
-    /// It is wanted at this time, which is to come.
+    /// The item is due at this time, which has not passed.
     InTime(Instant),
-    /// No time is known by which it is wanted; it was first seen then.
+    /// The item has no deadline and was first seen at this time.
     Undated(Instant),
-    /// It was wanted then.
+    /// The item was due at this time, which has passed.
     Late(Instant),
 }
 
-/// When a job's results are wanted, on this process' steady clock.
+/// Deadline of a job, on this process's monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueTime {
-    /// When this process first saw the job.
+    /// Time at which this process first saw the job.
     pub seen: Instant,
-    /// When the results are wanted.
+    /// Deadline of the results; `None` if the job has none.
     pub wanted: Option<Instant>,
-    /// From when on its items may take the last slots.
+    /// Time from which on its items may use the last slots.
     pub pressed_from: Option<Instant>,
 }
 
 impl DueTime {
-    /// Returns whether the job's items are in danger of being late, but not late yet.
+    /// Returns whether the job's items are at risk of missing their deadline, but not late yet.
     pub fn is_pressed(&self, now: Instant) -> bool {
-        let pressed = self.pressed_from.is_some_and(|from| now >= from);
-        pressed && self.wanted.is_some_and(|wanted| now <= wanted)
+        let at_risk = self.pressed_from.is_some_and(|from| now >= from);
+        at_risk && self.wanted.is_some_and(|wanted| now <= wanted)
     }
 
-    /// Returns how urgent the job's items are.
+    /// Returns the urgency of the job's items.
     pub fn urgency(&self, now: Instant) -> ItemUrgency {
         match self.wanted {
             None => ItemUrgency::Undated(self.seen),
@@ -51,18 +50,18 @@
     }
 }
 
-/// When the results of jobs are wanted.
+/// Deadlines of jobs.
 ///
-/// The age of a job is read from the clock once, when it is first seen; from then on the steady clock
-/// counts, so that a clock that jumps moves nothing.
+/// The age of a job is read from the system clock once, when the job is first seen. After that the monotonic clock is
+/// used, so that a jump of the system clock doesn't move deadlines.
 #[derive(Debug, Default)]
 pub struct DueTable {
     jobs: HashMap<String, DueTime>,
 }
 
 impl DueTable {
-    /// Returns when a job is wanted that is `age` old by the clock, and due `due_after` its
-    /// submission.
+    /// Returns the due time of a job that was submitted `age` ago by the system clock and is due `due_after` its
+    /// submission. Later calls return the result of the first one.
     pub fn due(
         &mut self,
         now: Instant,
@@ -70,20 +69,21 @@
         age: Duration,
         due_after: Option<Duration>,
     ) -> DueTime {
-        if let Some(known) = self.jobs.get(job) {
-            return *known;
+        if let Some(due) = self.jobs.get(job) {
+            return *due;
         }
         let submitted = now.checked_sub(age).unwrap_or(now);
         let due = DueTime {
             seen: now,
             wanted: due_after.map(|due_after| submitted + due_after),
-            pressed_from: due_after.map(|due_after| submitted + due_after.mul_f64(PATIENT_SHARE)),
+            pressed_from: due_after
+                .map(|due_after| submitted + due_after.mul_f64(AT_RISK_FRACTION)),
         };
         self.jobs.insert(job.to_owned(), due);
         due
     }
 
-    /// Forgets jobs that are not to be run any more.
+    /// Removes jobs that are no longer open.
     pub fn keep(&mut self, is_open: impl Fn(&str) -> bool) {
         self.jobs.retain(|job, _| is_open(job));
     }
--- a/crates/firshore-node/src/runner/work_ahead.rs
+++ b/crates/firshore-node/src/runner/work_ahead.rs
@@ -1,138 +1,146 @@
-//! What work items still need, against the room until they are due. No I/O; the time is passed in.
+//! Estimates of the items' remaining work, compared to the capacity until their deadlines. No I/O; the time is passed in.
 //!
-//! Room comes in troughs: what is left is reckoned by the usual item of the service and by the part of the
-//! time in which items could run lately, so that an item presses on early in a trough rather than at the
-//! end of its time.
+//! Capacity for items is free between load peaks of online requests. The remaining work is estimated from the mean item
+//! of the service, the available time from the recent fraction of time in which items could run. So items at risk start
+//! early between two peaks instead of shortly before their deadline.
 
 use super::urgency::DueTime;
 use firshore_types::ids::ServiceName;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Weight of a new observation in what is usual: the last ten or so count.
-const NEWEST_WEIGHT: f64 = 0.1;
+/// Weight of a new item in the means, which thus cover about the last ten items.
+const SMOOTHING: f64 = 0.1;
 
-/// Part of a usual item that is left at least, however much it has produced: how long it is, is not known.
-const LEAST_LEFT: f64 = 0.1;
+/// Minimum remaining work, as a fraction of the mean item. The length of an item is unknown, so that it may continue even
+/// after more events than the mean.
+const MIN_REMAINING_FRACTION: f64 = 0.1;
 
-/// Reserve for longer items and slower back ends: items differ by a quarter in length.
-const RESERVE: f64 = 1.4;
+/// Safety factor on the remaining work, for longer items and slower back ends.
+const SAFETY_FACTOR: f64 = 1.4;
 
-/// Time over which free slots are averaged: some waves and troughs.
-const ROOM_MEMORY: Duration = Duration::from_secs(12);
+/// Time constant for averaging free slots: several load peaks.
+const FREE_SLOTS_DECAY: Duration = Duration::from_secs(12);
 
-/// An item whose usual rest exceeds its time by this factor is late whatever is done.
-const HOPELESS: f64 = 2.0;
+/// An item whose estimated remaining work exceeds its time by this factor can't meet its deadline.
+const INFEASIBLE_FACTOR: f64 = 2.0;
 
-/// How an item's work compares with its time; the greater, the more in danger.
+/// Risk that an item misses its deadline, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ItemOutlook {
-    /// It has time, or none that counts any more.
+    /// The item has enough time, no deadline, or can't meet its deadline any more.
     Easy,
-    /// It needs most of the troughs until it is due.
+    /// The item needs most of the capacity until its deadline.
     Pressed,
-    /// It is late unless it runs from now on.
+    /// The item misses its deadline unless it runs from now on.
     LastChance,
 }
 
-/// The usual item of a service.
+/// Mean item of a service.
 #[derive(Clone, Copy, Debug)]
-struct UsualItem {
+struct MeanItem {
     events: f64,
     seconds_per_event: f64,
 }
 
-/// Slots that online requests leave free, on average.
+/// Mean number of slots that online requests leave free.
 #[derive(Clone, Copy, Debug)]
-struct AverageRoom {
+struct MeanFreeSlots {
     slots: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
-/// What items of each service usually need, and the room for them.
+/// Mean item and mean free slots of each service.
 #[derive(Debug, Default)]
 pub struct WorkAhead {
-    usual: HashMap<ServiceName, UsualItem>,
-    rooms: HashMap<ServiceName, AverageRoom>,
+    mean_items: HashMap<ServiceName, MeanItem>,
+    free_slots: HashMap<ServiceName, MeanFreeSlots>,
 }
 
 impl WorkAhead {
-    /// An item was finished: it has `events` in all, of which its last run made some in a time.
-    pub fn finished(&mut self, service: &ServiceName, events: usize, made: usize, took: Duration) {
-        if made == 0 {
+    /// Records a finished item with `events` in total, of which its last run generated `new_events` within `duration`.
+    pub fn finished(
+        &mut self,
+        service: &ServiceName,
+        events: usize,
+        new_events: usize,
+        duration: Duration,
+    ) {
+        if new_events == 0 {
             return;
         }
         let events = events as f64;
-        let seconds_per_event = took.as_secs_f64() / made as f64;
-        let first = UsualItem {
+        let seconds_per_event = duration.as_secs_f64() / new_events as f64;
+        let first = MeanItem {
             events,
             seconds_per_event,
         };
-        let usual = self.usual.entry(service.clone()).or_insert(first);
-        usual.events += (events - usual.events) * NEWEST_WEIGHT;
-        usual.seconds_per_event += (seconds_per_event - usual.seconds_per_event) * NEWEST_WEIGHT;
+        let mean = self.mean_items.entry(service.clone()).or_insert(first);
+        mean.events += (events - mean.events) * SMOOTHING;
+        mean.seconds_per_event += (seconds_per_event - mean.seconds_per_event) * SMOOTHING;
     }
 
-    /// Returns what an item that has produced events usually still needs; `None` until one of the service
-    /// was finished.
+    /// Returns the estimated remaining run time of an item with `produced` events, or `None` until an item of the service
+    /// has finished.
     pub fn left(&self, service: &ServiceName, produced: usize) -> Option<Duration> {
-        let usual = self.usual.get(service)?;
-        let least = usual.events * LEAST_LEFT;
-        let events = (usual.events - produced as f64).max(least);
-        Some(Duration::from_secs_f64(events * usual.seconds_per_event))
+        let mean = self.mean_items.get(service)?;
+        let min_events = mean.events * MIN_REMAINING_FRACTION;
+        let events = (mean.events - produced as f64).max(min_events);
+        Some(Duration::from_secs_f64(events * mean.seconds_per_event))
     }
 
-    /// Online requests of a service leave so many slots free now.
+    /// Records the number of slots of a service that online requests leave free now.
     pub fn saw_room(&mut self, now: Instant, service: &ServiceName, free: u32) {
         let free = f64::from(free);
-        let first = AverageRoom {
+        let first = MeanFreeSlots {
             slots: free,
-            at: now,
+            updated_at: now,
         };
-        let room = self.rooms.entry(service.clone()).or_insert(first);
-        let passed = now.saturating_duration_since(room.at).as_secs_f64();
-        let kept = (-passed / ROOM_MEMORY.as_secs_f64()).exp();
-        room.slots = room.slots * kept + free * (1.0 - kept);
-        room.at = now;
+        let mean = self.free_slots.entry(service.clone()).or_insert(first);
+        let elapsed = now.saturating_duration_since(mean.updated_at).as_secs_f64();
+        let weight = (-elapsed / FREE_SLOTS_DECAY.as_secs_f64()).exp();
+        mean.slots = mean.slots * weight + free * (1.0 - weight);
+        mean.updated_at = now;
     }
 
-    /// Returns whether so many items are more than the room until they are wanted takes: they press on in
-    /// all room there is.
+    /// Returns whether the estimated work of `items` exceeds the mean free capacity over `time`.
     pub fn is_behind(&self, service: &ServiceName, items: usize, time: Duration) -> bool {
-        let (Some(room), Some(usual)) = (self.rooms.get(service), self.left(service, 0)) else {
+        let (Some(free), Some(per_item)) = (self.free_slots.get(service), self.left(service, 0))
+        else {
             return false;
         };
-        let work = usual.as_secs_f64() * items as f64 * RESERVE;
-        work > room.slots * time.as_secs_f64()
+        let work = per_item.as_secs_f64() * items as f64 * SAFETY_FACTOR;
+        work > free.slots * time.as_secs_f64()
     }
 
-    /// Returns how an item's work compares with its time, where items can run in a part of the time.
+    /// Returns the deadline risk of an item with `produced` events, if items can run in a fraction `calm_fraction` of the
+    /// time.
     pub fn outlook(
         &self,
         now: Instant,
         service: &ServiceName,
         due: &DueTime,
         produced: usize,
-        calm_share: f32,
+        calm_fraction: f32,
     ) -> ItemOutlook {
-        let Some(wanted) = due.wanted.filter(|wanted| now <= *wanted) else {
+        let Some(deadline) = due.wanted.filter(|deadline| now <= *deadline) else {
             return ItemOutlook::Easy;
         };
-        let Some(left) = self.left(service, produced) else {
+        let Some(remaining) = self.left(service, produced) else {
             return match due.is_pressed(now) {
                 true => ItemOutlook::Pressed,
                 false => ItemOutlook::Easy,
             };
         };
-        let time = wanted.duration_since(now).as_secs_f64();
-        let left = left.as_secs_f64();
-        if left > time * HOPELESS {
+        let time = deadline.duration_since(now).as_secs_f64();
+        let remaining = remaining.as_secs_f64();
+        if remaining > time * INFEASIBLE_FACTOR {
             return ItemOutlook::Easy;
         }
-        if left * RESERVE > time {
+        if remaining * SAFETY_FACTOR > time {
             return ItemOutlook::LastChance;
         }
-        if due.is_pressed(now) || left * RESERVE > time * f64::from(calm_share) {
+        if due.is_pressed(now) || remaining * SAFETY_FACTOR > time * f64::from(calm_fraction) {
             return ItemOutlook::Pressed;
         }
         ItemOutlook::Easy
--- a/crates/firshore-node/src/watcher.rs
+++ b/crates/firshore-node/src/watcher.rs
@@ -109,9 +109,7 @@
     let reason = match refusal {
         None => return,
         Some(ListingRefusal::Older) => "revision is older than one already seen",
-        Some(ListingRefusal::NoCursor) => {
-            "more pages follow, but the page has no name to continue after"
-        }
+        Some(ListingRefusal::NoCursor) => "more pages follow, but no name to continue after",
     };
     warn!(log, "objects: Listing refused."; "kind" => kind, "reason" => reason);
 }
