--- a/crates/firshore-node/src/crash_exchange.rs
+++ b/crates/firshore-node/src/crash_exchange.rs
@@ -1,7 +1,7 @@
 //! Exchanges reports of crashed back ends: a node exchanges with one relay, and relays with each other.
 //!
-//! No call is made while there are no crashes. Otherwise a relay's responses to other queries carry the cursor of
-//! its crash table. From it a node detects that it lacks entries, or that a restarted relay does.
+//! No call is made while there are no crashes. Otherwise a relay's responses to other queries carry the cursor of its
+//! crash table, from which a node detects that it lacks entries, or that a restarted relay lacks some.
 
 use crate::journal::PeerClient;
 use crate::journal::messages::{PeerRequest, PeerResponse};
@@ -50,7 +50,7 @@
     relay_differs: Notify,
     /// Position of the local table up to which a relay has received it.
     sent_position: Cell<u64>,
-    /// Whether the nodes were listed since the first crash: relays may have started since the listing before.
+    /// Whether the nodes were listed since the first crash: relays may have started since an earlier listing.
     nodes_listed: Cell<bool>,
     /// Whether the failure to reach any relay was logged; it is logged once until a relay responds.
     failure_logged: Cell<bool>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Runs until the node ends.
+    /// Runs until the node stops.
     pub async fn run(self: Rc<Self>) {
         loop {
             let is_idle =
--- a/crates/firshore-node/src/load_exchange.rs
+++ b/crates/firshore-node/src/load_exchange.rs
@@ -37,7 +37,7 @@
     journal: Rc<JournalClient>,
     node: NodeName,
     zone: ZoneName,
-    /// Whether the leader asks nodes to report less often than the minimum interval.
+    /// Whether the leader requested an interval above the minimum, because many nodes report to it.
     crowded_leader: Cell<bool>,
     /// Recipient of the last report.
     last_recipient: RefCell<Option<NodeName>>,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Runs until the node ends.
+    /// Runs until the node stops.
     pub async fn run(self) {
         let mut was_busy = false;
         let mut busy_interval = MIN_BUSY_INTERVAL;
@@ -72,7 +72,7 @@
         loop {
             let counts = as_counts(self.gateway.fleet.borrow().in_flight());
             let busy = !counts.is_empty();
-            // An idle node reports so once, then stops. An isolated node keeps trying.
+            // An idle node reports that once, then stops. Isolated nodes and nodes with tenant limits continue.
             let isolated = self.journal.is_cut_off();
             let limits = self.gateway.has_limits();
             let reports =
--- a/crates/firshore-node/src/runner/pressure.rs
+++ b/crates/firshore-node/src/runner/pressure.rs
@@ -23,7 +23,7 @@
             let was_pressed = preemption.is_pressed(&pressure.service);
             preemption.told(now, usage(&pressure.service), pressure);
             if !was_pressed && preemption.is_pressed(&pressure.service) {
-                info!(self.gateway.log, "runner: Service is under pressure; preempting items."; "service" => %pressure.service,
+                info!(self.gateway.log, "runner: Preempting items."; "service" => %pressure.service,
                     "waiting" => pressure.figure.waiting, "late" => pressure.figure.late,
                     "refused" => pressure.figure.refused, "running" => self.running());
             }
