--- a/crates/firshore-node/src/command_line.rs
+++ b/crates/firshore-node/src/command_line.rs
@@ -1,5 +1,5 @@
-//! Command line: `serve` runs a node, `check` validates its settings, `explain` searches logs for a request, job or
-//! item.
+//! Command line: `serve` runs a node, `check` validates its settings, `explain` searches logs for a request,
+//! job or item.
 
 use crate::explain::{self, Explanation};
 use crate::node;
@@ -105,8 +105,8 @@
     Ok(Box::new(BufReader::new(file)))
 }
 
-/// Runs the program and returns its exit status. `adapter` creates the adapter to the environment from the address of
-/// its object store.
+/// Runs the program and returns its exit status. `adapter` creates the adapter to the environment from the
+/// address of its object store.
 pub fn run(adapter: impl FnOnce(SocketAddr) -> Adapter) -> ExitCode {
     let arguments: Arguments = argh::from_env();
     let path = match &arguments.command {
--- a/crates/firshore-node/src/crash_exchange.rs
+++ b/crates/firshore-node/src/crash_exchange.rs
@@ -1,7 +1,7 @@
 //! Exchanges reports of crashed back ends: a node exchanges with one relay, and relays with each other.
 //!
-//! No call is made while there are no crashes. Otherwise a relay's responses to other queries carry the cursor of its
-//! crash table, from which a node detects that it lacks entries, or that a restarted relay lacks some.
+//! No call is made while there are no crashes. Otherwise a relay's responses to other queries carry the cursor
+//! of its crash table, from which a node detects that it lacks entries, or that a restarted relay lacks some.
 
 use crate::journal::PeerClient;
 use crate::journal::messages::{PeerRequest, PeerResponse};
@@ -187,8 +187,8 @@
         }
     }
 
-    /// Exchanges entries with a relay until neither side has more, at most [`MAX_QUERIES`] times. Returns whether the
-    /// relay responded to all queries.
+    /// Exchanges entries with a relay until neither side has more, at most [`MAX_QUERIES`] times. Returns
+    /// whether the relay responded to all queries.
     async fn sync_with(&self, relay: &NodeName) -> bool {
         for _ in 0..MAX_QUERIES {
             let Some(is_synced) = self.query(relay).await else {
--- a/crates/firshore-node/src/environment.rs
+++ b/crates/firshore-node/src/environment.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Returns the options for a relay. Its copy must stay fresh while all objects are being created, and its watch has
-/// to return within the freshness budget.
+/// Returns the options for a relay. Its copy must stay fresh while all objects are being created, and its watch
+/// has to return within the freshness budget.
 fn relay_options(objects: &Objects, budget: FreshnessBudget, spacing: Duration) -> Terms {
     Terms {
         creation_spacing: spacing,
@@ -72,8 +72,8 @@
     }
 }
 
-/// Watches back ends and the configuration through relays until the tasks are dropped. Queries the object store itself
-/// if the relays don't respond in time.
+/// Watches back ends and the configuration through relays until the tasks are dropped. Queries the object store
+/// itself if the relays don't respond in time.
 pub fn follow(
     gateway: &Rc<Gateway>,
     objects: &Objects,
--- a/crates/firshore-node/src/load_exchange.rs
+++ b/crates/firshore-node/src/load_exchange.rs
@@ -1,5 +1,5 @@
-//! Reports this node's requests in flight at back ends to a relay of its zone, and receives the counts of all other
-//! nodes in response. Without a usable relay, the node reports to the journal's leader.
+//! Reports this node's requests in flight at back ends to a relay of its zone, and receives the counts of all
+//! other nodes in response. Without a usable relay, the node reports to the journal's leader.
 
 use crate::journal::client::{JournalClient, OthersLoad};
 use crate::load_table::{BackendCount, ToldLoad, as_counts};
@@ -21,8 +21,8 @@
 /// Minimum interval between exchanges while requests are in flight.
 const MIN_BUSY_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Fraction of the interval after which a node may report again when its requests find no free slot: they wait until
-/// batch items are preempted.
+/// Fraction of the interval after which a node may report again when its requests find no free slot: they wait
+/// until batch items are preempted.
 const URGENT_FRACTION: f64 = 0.2;
 
 /// Interval between exchanges while no requests are in flight.
--- a/crates/firshore-node/src/memory.rs
+++ b/crates/firshore-node/src/memory.rs
@@ -1,8 +1,9 @@
 //! Memory budget of a node with a disk. No I/O.
 //!
-//! The system kills a node that exceeds its machine's memory, with everything that it runs. So each use is counted
-//! in bytes and bounded by a fraction of `limits.memory_megabytes`: jobs are refused and runs wait before the bound
-//! is exceeded. The fractions sum up to 0.7; the rest is for the program, the allocator and socket buffers.
+//! The system kills a node that exceeds its machine's memory, with everything that it runs. So each use is
+//! counted in bytes and bounded by a fraction of `limits.memory_megabytes`: jobs are refused and runs wait
+//! before the bound is exceeded. The fractions sum up to 0.7; the rest is for the program, the allocator and
+//! socket buffers.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/firshore-node/src/node.rs
+++ b/crates/firshore-node/src/node.rs
@@ -307,8 +307,8 @@
     })
 }
 
-/// Shuts down gracefully: reports not ready, closes the listener after a while, then waits for open requests until the
-/// grace period ends.
+/// Shuts down gracefully: reports not ready, closes the listener after a while, then waits for open requests
+/// until the grace period ends.
 async fn leave(settings: &Settings, gateway: &Rc<Gateway>, callers: Callers) {
     let grace = settings.leave.grace();
     let end = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
--- a/crates/firshore-node/src/observation.rs
+++ b/crates/firshore-node/src/observation.rs
@@ -1,18 +1,18 @@
-//! State machine that lists all objects of one kind in pages, watches for changes from the revision of the first page,
-//! and lists again whenever a watch fails. No I/O.
+//! State machine that lists all objects of one kind in pages, watches for changes from the revision of the
+//! first page, and lists again whenever a watch fails. No I/O.
 //!
-//! An interrupted watch is not resumed: the store may have dropped its history in between, and reports so only with
-//! the next change.
+//! An interrupted watch is not resumed: the store may have dropped its history in between, and reports so only
+//! with the next change.
 //!
-//! A store that becomes unresponsive drops the queries that it receives in that time without a response, while watches
-//! that were open before continue. So a long watch is sent only right after a response. After a delay, a short watch
-//! is sent first.
+//! A store that becomes unresponsive drops the queries that it receives in that time without a response, while
+//! watches that were open before continue. So a long watch is sent only right after a response. After a delay,
+//! a short watch is sent first.
 //!
-//! Revisions never go back: a listing as of an earlier revision than one already seen is refused, and an object with an
-//! older revision than one already seen is skipped.
+//! Revisions never go back: a listing as of an earlier revision than one already seen is refused, and an object
+//! with an older revision than one already seen is skipped.
 //!
-//! Entries without a readable name are skipped. A listing continues after the last readable name of a page, and fails
-//! if that makes no progress. If a change has no readable name, the objects are listed again.
+//! Entries without a readable name are skipped. A listing continues after the last readable name of a page, and
+//! fails if that makes no progress. If a change has no readable name, the objects are listed again.
 
 use firshore_adapter::objects::{Change, Changes, Object, ObjectError, Page, Revision};
 use std::collections::HashMap;
@@ -76,8 +76,8 @@
         seen: Option<Revision>,
         /// Last readable name.
         after: Option<String>,
-        /// Revision of the first page. The watch starts from it, so that it returns changes made while later pages were
-        /// read.
+        /// Revision of the first page. The watch starts from it, so that it returns changes made while later
+        /// pages were read.
         revision: Option<Revision>,
     },
     Watching(Revision),
@@ -117,7 +117,8 @@
     renewed: bool,
     /// Number of entries without a readable name in the last response.
     unnamed: usize,
-    /// Whether the last watch returned such entries. A writer may produce many, so that a delay precedes the listing.
+    /// Whether the last watch returned such entries. A writer may produce many, so that a delay precedes the
+    /// listing.
     unnamed_change: bool,
     /// Reason for which the last page was refused, if it was.
     refusal: Option<ListingRefusal>,
@@ -279,8 +280,8 @@
         Some(Learned::All(self.newest(objects)))
     }
 
-    /// Returns whether the listing can continue after a page. Without this check, a page without readable names would
-    /// end the listing, and the objects of all later pages would be removed.
+    /// Returns whether the listing can continue after a page. Without this check, a page without readable names
+    /// would end the listing, and the objects of all later pages would be removed.
     fn has_next_cursor(&self, page: &Page) -> bool {
         let Phase::Listing { after, .. } = &self.phase else {
             return false;
@@ -288,8 +289,8 @@
         page.cursor() > after.as_deref()
     }
 
-    /// Returns the objects that are not older than the revision already seen. Replaces the seen revisions by those of
-    /// the listing.
+    /// Returns the objects that are not older than the revision already seen. Replaces the seen revisions by
+    /// those of the listing.
     fn newest(&mut self, listed: Vec<Object>) -> Vec<Object> {
         let previous = std::mem::take(&mut self.seen);
         let is_newest = |object: &Object| {
--- a/crates/firshore-node/src/refusals.rs
+++ b/crates/firshore-node/src/refusals.rs
@@ -10,7 +10,8 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Maximum number of objects whose refusal is remembered. If it is reached, all are removed and may be logged again.
+/// Maximum number of objects whose refusal is remembered. If it is reached, all are removed and may be logged
+/// again.
 const MAX_REMEMBERED: usize = 1_024;
 
 /// Refused objects of one kind that were logged.
--- a/crates/firshore-node/src/runner/give_way.rs
+++ b/crates/firshore-node/src/runner/give_way.rs
@@ -1,9 +1,10 @@
 //! Policy for preempting items in favour of online requests. No I/O; the time is passed in.
 //!
-//! Reports of queued, late or refused online requests show that a service is full, even if the counts of requests in
-//! flight don't, which lack those of isolated nodes. While a service is under pressure, none of its items starts, and
-//! one run is preempted for each such request. Preempted items resume after their last event when the pressure ends.
-//! Items that would miss their deadline otherwise keep a small fraction of the slots; items that are already late wait.
+//! Reports of queued, late or refused online requests show that a service is full, even if the counts of
+//! requests in flight don't, which lack those of isolated nodes. While a service is under pressure, none of its
+//! items starts, and one run is preempted for each such request. Preempted items resume after their last event
+//! when the pressure ends. Items that would miss their deadline otherwise keep a small fraction of the slots;
+//! items that are already late wait.
 
 use super::ItemKey;
 use super::urgency::ItemUrgency;
@@ -14,43 +15,43 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time constant with which the pressure decays: longer than reports through relays take, and short compared to load
-/// peaks of some seconds.
+/// Time constant with which the pressure decays: longer than reports through relays take, and short compared to
+/// load peaks of some seconds.
 const PRESSURE_DECAY: Duration = Duration::from_millis(300);
 
-/// Decayed number of pressing requests, as a fraction of the service's slots, at which a service is under pressure. Fewer
-/// may be late behind a single slow back end while other slots are free.
+/// Decayed number of pressing requests, as a fraction of the service's slots, at which a service is under
+/// pressure. Fewer may be late behind a single slow back end while other slots are free.
 const PRESSURE_FRACTION: f32 = 0.01;
 
 /// Lower bound of that number, for services with few slots.
 const MIN_PRESSING_REQUESTS: f32 = 2.0;
 
-/// Fraction of the pressure threshold below which the pressure may end. The hysteresis avoids items that resume, process
-/// their prompt again and are preempted at once.
+/// Fraction of the pressure threshold below which the pressure may end. The hysteresis avoids items that
+/// resume, process their prompt again and are preempted at once.
 const RELEASE_FRACTION: f32 = 0.25;
 
-/// Upper bound of the pressure, as a multiple of the threshold: items resume within about 600 ms after a load peak of any
-/// size.
+/// Upper bound of the pressure, as a multiple of the threshold: items resume within about 600 ms after a load
+/// peak of any size.
 const MAX_PRESSURE: f32 = 2.0;
 
-/// Fraction of their number during the pressure to which online requests in flight have to fall before items resume.
-/// Without this condition, items would resume and be preempted several times during the same load peak, since the
-/// pressure ends as soon as they are preempted.
+/// Fraction of their number during the pressure to which online requests in flight have to fall before items
+/// resume. Without this condition, items would resume and be preempted several times during the same load peak,
+/// since the pressure ends as soon as they are preempted.
 const FALLEN_FRACTION: f32 = 0.85;
 
-/// Fraction of their number during the pressure at which items resume at once. Requests that are reported late then were
-/// queued during the peak, and waiting for them would waste free slots.
+/// Fraction of their number during the pressure at which items resume at once. Requests that are reported late
+/// then were queued during the peak, and waiting for them would waste free slots.
 const PEAK_OVER_FRACTION: f32 = 0.5;
 
 /// Time after a load peak in which late requests are attributed to it.
 const PEAK_TAIL: Duration = Duration::from_millis(1_500);
 
-/// Time without pressing requests after which items resume even if online requests have not fallen: back ends may have
-/// been added.
+/// Time without pressing requests after which items resume even if online requests have not fallen: back ends
+/// may have been added.
 const MAX_HOLD: Duration = Duration::from_secs(2);
 
-/// Fraction of the service's mean online load below which runs at a back end are not preempted. It is relative to the
-/// mean because observed loads lack requests of isolated nodes.
+/// Fraction of the service's mean online load below which runs at a back end are not preempted. It is relative
+/// to the mean because observed loads lack requests of isolated nodes.
 const IDLE_LOAD_FRACTION: f32 = 0.5;
 
 /// Fraction of a service's slots reserved under pressure for items that would miss their deadline otherwise.
@@ -59,7 +60,8 @@
 /// Time constant for averaging the fraction of time without pressure: several load peaks.
 const CALM_DECAY: Duration = Duration::from_secs(12);
 
-/// Lower bound of the fraction of time without pressure. Without it, one long load peak would put all items at risk.
+/// Lower bound of the fraction of time without pressure. Without it, one long load peak would put all items at
+/// risk.
 const MIN_CALM_FRACTION: f32 = 0.2;
 
 /// A run that may be preempted.
@@ -218,7 +220,8 @@
         state.map_or(1.0, |state| state.calm_fraction.max(MIN_CALM_FRACTION))
     }
 
-    /// Returns whether an item may start. Under pressure, only items at critical risk may, and only in reserved slots.
+    /// Returns whether an item may start. Under pressure, only items at critical risk may, and only in reserved
+    /// slots.
     pub fn may_start(
         &self,
         service: &ServiceName,
@@ -232,9 +235,9 @@
         risk == ItemOutlook::LastChance && running < reserved_slots(slots)
     }
 
-    /// Returns the runs of a service to preempt now: at most one for each pressing request since the last call. Selects
-    /// those with the lowest deadline risk first, then the least urgent, then those with the fewest events. Excludes runs
-    /// in reserved slots and runs at back ends with a low load.
+    /// Returns the runs of a service to preempt now: at most one for each pressing request since the last call.
+    /// Selects those with the lowest deadline risk first, then the least urgent, then those with the fewest
+    /// events. Excludes runs in reserved slots and runs at back ends with a low load.
     pub fn step_aside(
         &mut self,
         service: &ServiceName,
--- a/crates/firshore-node/src/runner/handover.rs
+++ b/crates/firshore-node/src/runner/handover.rs
@@ -1,7 +1,7 @@
 //! Copies of items' events on other nodes, so that a new leader resumes items after their last event. No I/O.
 //!
-//! These copies are not durable: missing events are generated again. A copy is always a prefix of an item's events, as
-//! numbered by the engine.
+//! These copies are not durable: missing events are generated again. A copy is always a prefix of an item's
+//! events, as numbered by the engine.
 
 use super::ItemKey;
 use serde::{Deserialize, Serialize};
@@ -76,8 +76,8 @@
 }
 
 impl HeldItems {
-    /// Applies a leader's deltas. Returns the items of which earlier events are missing: the leader has to report them
-    /// from the start.
+    /// Applies a leader's deltas. Returns the items of which earlier events are missing: the leader has to
+    /// report them from the start.
     pub fn told(&mut self, deltas: Vec<ProgressDelta>) -> Vec<ItemKey> {
         let mut gaps = Vec::new();
         for delta in deltas {
--- a/crates/firshore-node/src/runner/item.rs
+++ b/crates/firshore-node/src/runner/item.rs
@@ -106,8 +106,8 @@
         summary
     }
 
-    /// Commits that a back end reported a failure of the item, so that later leaders count it too. Returns the number
-    /// of failures.
+    /// Commits that a back end reported a failure of the item, so that later leaders count it too. Returns the
+    /// number of failures.
     async fn record_failure(&self) -> u32 {
         let job = &self.work.header.job;
         let failure = Action::Failed {
@@ -237,8 +237,8 @@
                 }
                 Ok(Ok(None)) => break,
                 Ok(Err(_)) | Err(_) => {
-                    // A run with new events doesn't count as a crash by this item. Otherwise, if back ends exit every
-                    // few seconds for another reason, long items would be quarantined.
+                    // A run with new events doesn't count as a crash by this item. Otherwise, if back ends exit
+                    // every few seconds for another reason, long items would be quarantined.
                     match self.progress.borrow().held_bytes() == held {
                         true => self.record_lost_run(),
                         false => self.gateway.observed(incarnation, Impression::Broke),
--- a/crates/firshore-node/src/runner/mod.rs
+++ b/crates/firshore-node/src/runner/mod.rs
@@ -1,9 +1,10 @@
 //! Runs the items of batch jobs on the node whose replica leads the journal.
 //!
-//! Items use only the slots that online requests leave free: a back end gets an item while its load, from the recent
-//! reports of all nodes, is below a limit. If online requests need the slots, the least urgent runs are preempted. The
-//! events of items are held in memory and on disk and sent to the nodes of the other replicas, so that an interrupted
-//! item resumes after its last event, also under a new leader or after a stop of all processes.
+//! Items use only the slots that online requests leave free: a back end gets an item while its load, from the
+//! recent reports of all nodes, is below a limit. If online requests need the slots, the least urgent runs are
+//! preempted. The events of items are held in memory and on disk and sent to the nodes of the other replicas,
+//! so that an interrupted item resumes after its last event, also under a new leader or after a stop of all
+//! processes.
 
 pub mod give_way;
 pub mod handover;
@@ -47,15 +48,15 @@
 /// The same for items that are at risk of missing their deadline.
 const MAX_AT_RISK_ITEM_LOAD: f32 = 1.0;
 
-/// Load in requests per slot above which runs are preempted: a request is queued. A limit as low as that for starts would
-/// preempt many items just after their prompts were processed.
+/// Load in requests per slot above which runs are preempted: a request is queued. A limit as low as that for
+/// starts would preempt many items just after their prompts were processed.
 const PREEMPTION_LOAD: f32 = 1.0;
 
 /// Interval between scheduling passes while items wait.
 const SCHEDULE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Minimum interval between preemption rounds, however many nodes find no free slot. A slot becomes free within some tens
-/// of milliseconds.
+/// Minimum interval between preemption rounds, however many nodes find no free slot. A slot becomes free within
+/// some tens of milliseconds.
 const PREEMPTION_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Interval between scheduling passes while nothing changes.
@@ -333,8 +334,9 @@
         self.preempt_for_pressure(now);
     }
 
-    /// Stops the least urgent runs at back ends with excess load, among equally urgent ones those with the fewest events. A
-    /// back end notices the closed connection late and may complete an almost finished item, whose result would be lost.
+    /// Stops the least urgent runs at back ends with excess load, among equally urgent ones those with the
+    /// fewest events. A back end notices the closed connection late and may complete an almost finished item,
+    /// whose result would be lost.
     fn stop_least_urgent(&self, now: Instant, excess: &HashMap<Incarnation, usize>) {
         let mut running = self.running.borrow_mut();
         // Groups the runs by back end in one iteration.
--- a/crates/firshore-node/src/runner/pressure.rs
+++ b/crates/firshore-node/src/runner/pressure.rs
@@ -130,8 +130,8 @@
         of_service.count()
     }
 
-    /// Returns the deadline risk of a waiting item. `overloaded` says that the backlog up to this item exceeds the free
-    /// capacity until its deadline.
+    /// Returns the deadline risk of a waiting item. `overloaded` says that the backlog up to this item exceeds
+    /// the free capacity until its deadline.
     pub(super) fn deadline_risk(
         &self,
         now: Instant,
--- a/crates/firshore-node/src/runner/progress_file.rs
+++ b/crates/firshore-node/src/runner/progress_file.rs
@@ -1,8 +1,8 @@
 //! File with the items' events on this node's disk, which survives a stop of all processes.
 //!
-//! The file is a sequence of frames of length, checksum and deltas in CBOR. It is read up to the first incomplete or
-//! corrupt frame. Its contents are not durable: missing events are generated again. A separate thread writes and syncs,
-//! so that slow disks don't block the node.
+//! The file is a sequence of frames of length, checksum and deltas in CBOR. It is read up to the first
+//! incomplete or corrupt frame. Its contents are not durable: missing events are generated again. A separate
+//! thread writes and syncs, so that slow disks don't block the node.
 
 use super::handover::ProgressDelta;
 use std::fs::{self, File, OpenOptions};
@@ -105,8 +105,8 @@
         Ok((opened, frames))
     }
 
-    /// Appends deltas without waiting for the disk. If the file has grown too large or lacks frames, it is rewritten
-    /// from `all` deltas instead.
+    /// Appends deltas without waiting for the disk. If the file has grown too large or lacks frames, it is
+    /// rewritten from `all` deltas instead.
     pub fn append(&mut self, deltas: &[ProgressDelta], all: impl FnOnce() -> Vec<ProgressDelta>) {
         if self.appended >= self.rewrite_at || self.incomplete.load(Ordering::Relaxed) {
             return self.rewrite(&all());
--- a/crates/firshore-node/src/runner/progress_keeper.rs
+++ b/crates/firshore-node/src/runner/progress_keeper.rs
@@ -1,5 +1,5 @@
-//! A node's copy of all items' events, for the case that it becomes leader: in memory, and on its disk for the case
-//! that all processes stop.
+//! A node's copy of all items' events, for the case that it becomes leader: in memory, and on its disk for the
+//! case that all processes stop.
 
 use super::ItemKey;
 use super::handover::{HeldItems, HeldProgress, ProgressDelta};
--- a/crates/firshore-node/src/runner/progress_sender.rs
+++ b/crates/firshore-node/src/runner/progress_sender.rs
@@ -1,5 +1,5 @@
-//! Sends the events of items to the nodes of the other replicas, so that the next leader resumes the items after their
-//! last event.
+//! Sends the events of items to the nodes of the other replicas, so that the next leader resumes the items
+//! after their last event.
 
 use super::handover::{ProgressDelta, Told, ToldThrough};
 use super::progress::ItemProgress;
--- a/crates/firshore-node/src/runner/schedule.rs
+++ b/crates/firshore-node/src/runner/schedule.rs
@@ -140,8 +140,8 @@
             .expect("the service was inserted above")
     }
 
-    /// Returns `None` if online requests prevent the start of an item, otherwise whether it is at risk and may use the
-    /// last slots.
+    /// Returns `None` if online requests prevent the start of an item, otherwise whether it is at risk and may
+    /// use the last slots.
     fn start_permit(
         &self,
         now: Instant,
@@ -268,7 +268,7 @@
                     summary.duration,
                 );
             }
-            // Removing the entry drops this task's own handle. The task ends here, so that nothing is aborted.
+            // Removing the entry drops the handle of this task, which ends here, so that nothing is aborted.
             runner.running.borrow_mut().remove(&run_key);
             runner.run_ended.notify_one();
         });
@@ -286,8 +286,8 @@
         let item = waiting.item;
         let route = self.route(item)?;
         let service = self.gateway.split.borrow_mut().next(&route);
-        // Items of a service under pressure are skipped and don't count as refused, so that items of other services
-        // behind them are examined.
+        // Items of a service under pressure are skipped and don't count as refused, so that items of other
+        // services behind them are examined.
         let at_risk = self.start_permit(now, &service, waiting, pass)?;
         if pass.full.contains(&(service.clone(), at_risk)) {
             pass.refused += 1;
@@ -305,7 +305,8 @@
             service: &service,
             attempts: &attempts,
             affinity: affinity_key(&terms.prompt),
-            // Requests of isolated nodes are in no node's count, but in the loads that back ends report with items.
+            // Requests of isolated nodes are in no node's count, but in the loads that back ends report with
+            // items.
             load_limit: limit - fleet.unseen(now, &service),
             begin_within: None,
             answer_within: None,
--- a/crates/firshore-node/src/runner/urgency.rs
+++ b/crates/firshore-node/src/runner/urgency.rs
@@ -1,14 +1,14 @@
 //! Order in which items start and are preempted. No I/O; the time is passed in.
 //!
-//! The item with the earliest deadline is the most urgent (earliest deadline first, Liu and Layland 1973). Items past
-//! their deadline come last: running them first would make the next ones late too. The remaining work of an item is
-//! left out because it is only an estimate.
+//! The item with the earliest deadline is the most urgent (earliest deadline first, Liu and Layland 1973).
+//! Items past their deadline come last: running them first would make the next ones late too. The remaining
+//! work of an item is left out because it is only an estimate.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Fraction of the time until its deadline after which a job is at risk. Before, its items leave the last slots to online
-/// requests.
+/// Fraction of the time until its deadline after which a job is at risk. Before, its items leave the last slots
+/// to online requests.
 const AT_RISK_FRACTION: f64 = 0.5;
 
 /// Urgency of an item; the most urgent is the least.
@@ -52,8 +52,8 @@
 
 /// Deadlines of jobs.
 ///
-/// The age of a job is read from the system clock once, when the job is first seen. After that the monotonic clock is
-/// used, so that a jump of the system clock doesn't move deadlines.
+/// The age of a job is read from the system clock once, when the job is first seen. After that the monotonic
+/// clock is used, so that a jump of the system clock doesn't move deadlines.
 #[derive(Debug, Default)]
 pub struct DueTable {
     jobs: HashMap<String, DueTime>,
--- a/crates/firshore-node/src/runner/work_ahead.rs
+++ b/crates/firshore-node/src/runner/work_ahead.rs
@@ -1,8 +1,9 @@
-//! Estimates of the items' remaining work, compared to the capacity until their deadlines. No I/O; the time is passed in.
+//! Estimates of the items' remaining work, compared to the capacity until their deadlines. No I/O; the time is
+//! passed in.
 //!
-//! Capacity for items is free between load peaks of online requests. The remaining work is estimated from the mean item
-//! of the service, the available time from the recent fraction of time in which items could run. So items at risk start
-//! early between two peaks instead of shortly before their deadline.
+//! Capacity for items is free between load peaks of online requests. The remaining work is estimated from the
+//! mean item of the service, the available time from the recent fraction of time in which items could run. So
+//! items at risk start early between two peaks instead of shortly before their deadline.
 
 use super::urgency::DueTime;
 use firshore_types::ids::ServiceName;
@@ -12,8 +13,8 @@
 /// Weight of a new item in the means, which thus cover about the last ten items.
 const SMOOTHING: f64 = 0.1;
 
-/// Minimum remaining work, as a fraction of the mean item. The length of an item is unknown, so that it may continue even
-/// after more events than the mean.
+/// Minimum remaining work, as a fraction of the mean item. The length of an item is unknown, so that it may
+/// continue even after more events than the mean.
 const MIN_REMAINING_FRACTION: f64 = 0.1;
 
 /// Safety factor on the remaining work, for longer items and slower back ends.
@@ -58,7 +59,8 @@
 }
 
 impl WorkAhead {
-    /// Records a finished item with `events` in total, of which its last run generated `new_events` within `duration`.
+    /// Records a finished item with `events` in total, of which its last run generated `new_events` within
+    /// `duration`.
     pub fn finished(
         &mut self,
         service: &ServiceName,
@@ -80,8 +82,8 @@
         mean.seconds_per_event += (seconds_per_event - mean.seconds_per_event) * SMOOTHING;
     }
 
-    /// Returns the estimated remaining run time of an item with `produced` events, or `None` until an item of the service
-    /// has finished.
+    /// Returns the estimated remaining run time of an item with `produced` events, or `None` until an item of
+    /// the service has finished.
     pub fn left(&self, service: &ServiceName, produced: usize) -> Option<Duration> {
         let mean = self.mean_items.get(service)?;
         let min_events = mean.events * MIN_REMAINING_FRACTION;
@@ -113,8 +115,8 @@
         work > free.slots * time.as_secs_f64()
     }
 
-    /// Returns the deadline risk of an item with `produced` events, if items can run in a fraction `calm_fraction` of the
-    /// time.
+    /// Returns the deadline risk of an item with `produced` events, if items can run in a fraction
+    /// `calm_fraction` of the time.
     pub fn outlook(
         &self,
         now: Instant,
--- a/crates/firshore-node/src/settings.rs
+++ b/crates/firshore-node/src/settings.rs
@@ -183,8 +183,8 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenants {
-    /// Span over which a tenant's requests are counted, in seconds; the same on all nodes. In any span of this length
-    /// a tenant may send its rate times the span, plus its burst.
+    /// Span over which a tenant's requests are counted, in seconds; the same on all nodes. In any span of this
+    /// length a tenant may send its rate times the span, plus its burst.
     pub rate_span_seconds: f64,
 }
 
@@ -231,8 +231,8 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Overload {
-    /// Whether requests that would start too late for their route's objective are refused at once, instead of being
-    /// queued at full back ends.
+    /// Whether requests that would start too late for their route's objective are refused at once, instead of
+    /// being queued at full back ends.
     pub refuse_late: bool,
 }
 
@@ -281,7 +281,8 @@
 /// Minimum history of a store that can be watched.
 const MIN_HISTORY_SECONDS: f64 = 1.0;
 
-/// Minimum bound on propagating changes: the fractions of it for relays and the store must exceed their response times.
+/// Minimum bound on propagating changes: the fractions of it for relays and the store must exceed their
+/// response times.
 const MIN_BOUND_MILLISECONDS: f64 = 1_000.0;
 
 /// Minimum time for copying all data to a new disk.
--- a/crates/firshore-node/src/watcher.rs
+++ b/crates/firshore-node/src/watcher.rs
@@ -33,9 +33,9 @@
     observe(watcher, step).await;
 }
 
-/// Watches all objects of a kind. After each response calls `step` with the update, if any, the state of the watch, and
-/// the time as of which the state is known: for a listing the time at which its first page was requested, for a watch
-/// the time at which its response arrived.
+/// Watches all objects of a kind. After each response calls `step` with the update, if any, the state of the
+/// watch, and the time as of which the state is known: for a listing the time at which its first page was
+/// requested, for a watch the time at which its response arrived.
 pub async fn observe(watcher: Watcher, step: impl Fn(Option<Learned>, &Observation, Instant)) {
     let Watcher {
         log,
