--- a/crates/firshore-admission/src/admission.rs
+++ b/crates/firshore-admission/src/admission.rs
@@ -22,7 +22,7 @@
 
 /// Whether a caller is within its share of a service's room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShareStanding {
+pub enum ShareStatus {
     /// It has less than its share, or the service is not full.
     Within,
     /// It has its share already, and others wait for theirs.
@@ -31,7 +31,7 @@
 
 /// What a request asks.
 #[derive(Clone, Copy, Debug)]
-pub struct AdmissionAsk {
+pub struct AdmissionRequest {
     /// Time to the first event that its caller aims for.
     pub objective: Duration,
     /// Longest time that the route allows.
@@ -41,14 +41,14 @@
     /// Time since it arrived.
     pub age: Duration,
     /// Whether its caller is within its share.
-    pub standing: ShareStanding,
+    pub standing: ShareStatus,
     /// Whether others wait at the node that go before it.
     pub behind_others: bool,
     /// Whether the node is on its way out: what waits in a line may not end before the node does.
-    pub node_leaves: bool,
+    pub node_is_draining: bool,
 }
 
-impl AdmissionAsk {
+impl AdmissionRequest {
     /// Returns whether its caller has spent part of its time before: it was refused and came back.
     pub fn has_returned(&self) -> bool {
         self.time_left < self.timeout.mul_f64(RETURNED_TIME_LEFT)
@@ -71,9 +71,9 @@
 
 /// What room there is for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RoomOutlook {
+pub struct CapacityOutlook {
     /// Whether the node may take a place for it at any back end.
-    pub has_place: bool,
+    pub has_slot: bool,
     /// Whether places are so few that each node takes its own only.
     pub is_scarce: bool,
     /// Time until it would begin at the back end that is believed to be the least full.
@@ -94,15 +94,15 @@
 }
 
 /// Decides about a request.
-pub fn decide(ask: &AdmissionAsk, outlook: &RoomOutlook) -> Admission {
-    let beyond_share = outlook.is_scarce && ask.standing == ShareStanding::Beyond;
-    let may_be_cut = outlook.is_scarce && ask.node_leaves;
-    if outlook.has_place && !ask.behind_others && !beyond_share && !may_be_cut {
+pub fn decide(ask: &AdmissionRequest, outlook: &CapacityOutlook) -> Admission {
+    let beyond_share = outlook.is_scarce && ask.standing == ShareStatus::Beyond;
+    let may_be_cut = outlook.is_scarce && ask.node_is_draining;
+    if outlook.has_slot && !ask.behind_others && !beyond_share && !may_be_cut {
         return Admission::Send;
     }
     let wait = ask.may_wait();
     // Who is beyond its share must not stand in line before those within theirs.
-    match wait.is_zero() || ask.node_leaves || beyond_share {
+    match wait.is_zero() || ask.node_is_draining || beyond_share {
         true => Admission::Refuse,
         false => Admission::Wait(wait),
     }
--- a/crates/firshore-admission/src/returns.rs
+++ b/crates/firshore-admission/src/returns.rs
@@ -33,7 +33,7 @@
 
 /// What a refusal is planned from.
 #[derive(Clone, Copy, Debug)]
-pub struct ReturnAsk {
+pub struct RetryRequest {
     /// Time that the caller has left.
     pub time_left: Duration,
     /// Requests a second that this node's part of the service's room can begin; `None`: not known.
@@ -42,7 +42,7 @@
 
 /// Time after which a caller is to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReturnTime {
+pub enum RetryTime {
     /// There is room for it then beyond what is likely to be asked.
     Free(Duration),
     /// It takes its chance then together with those who ask anew.
@@ -51,7 +51,7 @@
     Beyond(Duration),
 }
 
-impl ReturnTime {
+impl RetryTime {
     /// Returns the time to be told.
     pub fn wait(&self) -> Duration {
         match *self {
@@ -74,7 +74,7 @@
 
 /// Times that this node has told refused callers of one service.
 #[derive(Debug)]
-pub struct ReturnPlan {
+pub struct RetryPlan {
     began_at: Instant,
     /// Callers told to come back, by bucket; the first bucket is the one under way.
     told: VecDeque<u32>,
@@ -85,7 +85,7 @@
     phase: f64,
 }
 
-impl ReturnPlan {
+impl RetryPlan {
     /// Nobody told yet. `phase` is drawn from 0 to 1, another at each node.
     pub fn new(now: Instant, phase: f64) -> Self {
         let len = LONGEST_WAIT.as_nanos() / BUCKET.as_nanos() + 2;
@@ -103,35 +103,35 @@
     pub fn plan(
         &mut self,
         now: Instant,
-        ask: &ReturnAsk,
+        ask: &RetryRequest,
         mut forecast: impl FnMut(Duration) -> f64,
         random: f64,
-    ) -> ReturnTime {
+    ) -> RetryTime {
         self.advance(now);
         let reach = ask.time_left.mul_f64(SPENT_PART);
         let reach = reach.clamp(SHORTEST_WAIT, LONGEST_WAIT);
         let Some(room) = ask.room else {
             let wait = spread(SHORTEST_WAIT, reach, random);
             self.book(now, wait);
-            return ReturnTime::Contended(wait);
+            return RetryTime::Contended(wait);
         };
         let outlook = self.outlook(now, room, &mut forecast);
         let reachable = outlook.iter().filter(|one| one.begin < reach);
         let reachable: Vec<BucketOutlook> = reachable.copied().collect();
         if let Some(free) = reachable.iter().find(|one| one.is_free) {
             let wait = self.tell(free, reach, random);
-            return ReturnTime::Free(wait);
+            return RetryTime::Free(wait);
         }
         let contended: Vec<BucketOutlook> = latest_contended(&reachable, reach);
         if !contended.is_empty() {
             let drawn = random * contended.len() as f64;
             let bucket = &contended[(drawn as usize).min(contended.len() - 1)];
             let wait = self.tell(bucket, reach, drawn.fract());
-            return ReturnTime::Contended(wait);
+            return RetryTime::Contended(wait);
         }
         let beyond = outlook.iter().find(|one| one.is_free);
         let wait = beyond.map(|one| spread(one.begin, one.begin + BUCKET, random));
-        ReturnTime::Beyond(wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT))
+        RetryTime::Beyond(wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT))
     }
 
     fn advance(&mut self, now: Instant) {
--- a/crates/firshore-admission/src/shares.rs
+++ b/crates/firshore-admission/src/shares.rs
@@ -10,7 +10,7 @@
 //! What all nodes are asked is told with the exchange of limits. A node that is cut off goes on with what it was
 //! told last, and takes a tenant to ask more or less of all nodes by as much as it does here.
 
-use crate::admission::ShareStanding;
+use crate::admission::ShareStatus;
 use firshore_limits::SHARE_LIFETIME;
 use firshore_limits::report::{TenantDemand, TenantDigest};
 use firshore_types::ids::ServiceName;
@@ -65,7 +65,7 @@
 
 /// A request of a tenant.
 #[derive(Clone, Copy, Debug)]
-pub struct ShareAsk<'a> {
+pub struct ShareRequest<'a> {
     /// Service that is to run it.
     pub service: &'a ServiceName,
     /// Who asks.
@@ -74,7 +74,7 @@
     pub rank: CallerRank,
 }
 
-impl ShareAsk<'_> {
+impl ShareRequest<'_> {
     fn key(&self) -> AccountKey {
         AccountKey {
             tenant: self.tenant,
@@ -273,7 +273,7 @@
     }
 
     /// A request has arrived and is within its tenant's limit.
-    pub fn arrived(&mut self, now: Instant, ask: &ShareAsk<'_>) {
+    pub fn arrived(&mut self, now: Instant, ask: &ShareRequest<'_>) {
         let saved = self.next_phase();
         let new = || DecayedCount::new(now);
         self.tenants
@@ -306,25 +306,25 @@
     /// requests begin each second. Called once for a request.
     ///
     /// Where nothing was told for long, everybody is within its share.
-    pub fn standing(&mut self, now: Instant, ask: &ShareAsk<'_>, room: f64) -> ShareStanding {
+    pub fn standing(&mut self, now: Instant, ask: &ShareRequest<'_>, room: f64) -> ShareStatus {
         let Some(part) = self.part_within(now, ask, room) else {
-            return ShareStanding::Within;
+            return ShareStatus::Within;
         };
         let shares = self.services.get_mut(ask.service);
         let account = shares.and_then(|shares| shares.accounts.get_mut(&ask.key()));
         let Some(account) = account else {
-            return ShareStanding::Within;
+            return ShareStatus::Within;
         };
         account.saved += part;
         if account.saved < 1.0 {
-            return ShareStanding::Beyond;
+            return ShareStatus::Beyond;
         }
         account.saved -= 1.0;
-        ShareStanding::Within
+        ShareStatus::Within
     }
 
     /// Part of a tenant's requests that is within its share; `None`: all are.
-    fn part_within(&mut self, now: Instant, ask: &ShareAsk<'_>, room: f64) -> Option<f64> {
+    fn part_within(&mut self, now: Instant, ask: &ShareRequest<'_>, room: f64) -> Option<f64> {
         self.find_levels(now, ask.service, room);
         let shares = self.services.get(ask.service)?;
         let levels = shares.levels.as_ref()?;
--- a/crates/firshore-admission/tests/admission.rs
+++ b/crates/firshore-admission/tests/admission.rs
@@ -1,26 +1,26 @@
 //! Whether a request is sent, waits at the node, or is refused.
 
-use firshore_admission::admission::{Admission, AdmissionAsk, RoomOutlook, ShareStanding, decide};
+use firshore_admission::admission::{Admission, AdmissionRequest, CapacityOutlook, ShareStatus, decide};
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn ask() -> AdmissionAsk {
-    AdmissionAsk {
+fn ask() -> AdmissionRequest {
+    AdmissionRequest {
         objective: OBJECTIVE,
         timeout: TIMEOUT,
         time_left: TIMEOUT,
         age: Duration::ZERO,
-        standing: ShareStanding::Within,
+        standing: ShareStatus::Within,
         behind_others: false,
-        node_leaves: false,
+        node_is_draining: false,
     }
 }
 
-fn outlook(has_place: bool, is_scarce: bool) -> RoomOutlook {
-    RoomOutlook {
-        has_place,
+fn outlook(has_slot: bool, is_scarce: bool) -> CapacityOutlook {
+    CapacityOutlook {
+        has_slot,
         is_scarce,
         begin_delay: Duration::ZERO,
         age: None,
@@ -39,7 +39,7 @@
     let full = outlook(false, true);
     let waits = decide(&ask(), &full);
     assert!(matches!(waits, Admission::Wait(wait) if wait <= OBJECTIVE / 4));
-    let old = AdmissionAsk {
+    let old = AdmissionRequest {
         age: OBJECTIVE / 4,
         ..ask()
     };
@@ -48,8 +48,8 @@
 
 #[test]
 fn a_caller_beyond_its_share_gets_no_scarce_place() {
-    let beyond = AdmissionAsk {
-        standing: ShareStanding::Beyond,
+    let beyond = AdmissionRequest {
+        standing: ShareStatus::Beyond,
         ..ask()
     };
     assert_eq!(decide(&beyond, &outlook(true, true)), Admission::Refuse);
@@ -58,7 +58,7 @@
 
 #[test]
 fn who_waits_at_the_node_goes_first() {
-    let behind = AdmissionAsk {
+    let behind = AdmissionRequest {
         behind_others: true,
         ..ask()
     };
@@ -69,8 +69,8 @@
 /// What stands in a line when the node ends is cut off.
 #[test]
 fn a_node_on_its_way_out_lets_nothing_into_lines() {
-    let leaving = AdmissionAsk {
-        node_leaves: true,
+    let leaving = AdmissionRequest {
+        node_is_draining: true,
         ..ask()
     };
     assert_eq!(decide(&leaving, &outlook(true, false)), Admission::Send);
@@ -81,7 +81,7 @@
 #[test]
 fn who_was_refused_before_is_known_by_the_time_it_has_left() {
     assert!(!ask().has_returned());
-    let returned = AdmissionAsk {
+    let returned = AdmissionRequest {
         time_left: TIMEOUT - Duration::from_millis(1_500),
         ..ask()
     };
--- a/crates/firshore-admission/tests/returns.rs
+++ b/crates/firshore-admission/tests/returns.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use firshore_admission::returns::{ReturnAsk, ReturnPlan, ReturnTime};
+use firshore_admission::returns::{RetryRequest, RetryPlan, RetryTime};
 use std::time::{Duration, Instant};
 use support::{Played, ROOM, ReturnWay, Scene, highest_tenth, play, served_part};
 
@@ -93,7 +93,7 @@
 fn assert_planned(played: &Played) {
     let part = served_part(played.free());
     assert!(part >= LEAST_SERVED, "{part}");
-    let is_told = |one: &&support::RefusedCaller| !matches!(one.told, ReturnTime::Beyond(_));
+    let is_told = |one: &&support::RefusedCaller| !matches!(one.told, RetryTime::Beyond(_));
     let highest = highest_tenth(played.callers.iter().filter(is_told));
     assert!(highest <= MOST_IN_TENTH, "{highest}");
 }
@@ -159,7 +159,7 @@
         let refused = planned.callers.len();
         assert!(free as f64 <= 0.02 * refused as f64, "{free} of {refused}");
         let is_told = |one: &&support::RefusedCaller| {
-            one.refused_at > ROOM_KNOWN_AFTER && !matches!(one.told, ReturnTime::Beyond(_))
+            one.refused_at > ROOM_KNOWN_AFTER && !matches!(one.told, RetryTime::Beyond(_))
         };
         let highest = highest_tenth(planned.callers.iter().filter(is_told));
         assert!(highest <= MOST_IN_TENTH, "{name}: {highest}");
@@ -185,7 +185,7 @@
     assert!(planned.lost() < constant.lost());
     // A tenth of a second of the room: nobody could tell that the crowd would not go on.
     assert!(planned.lost() as f64 <= spread.lost() as f64 + ROOM / 10.0);
-    let is_told = |one: &&support::RefusedCaller| !matches!(one.told, ReturnTime::Beyond(_));
+    let is_told = |one: &&support::RefusedCaller| !matches!(one.told, RetryTime::Beyond(_));
     let highest = highest_tenth(planned.callers.iter().filter(is_told));
     assert!(highest <= MOST_IN_TENTH, "{highest}");
 }
@@ -193,28 +193,28 @@
 #[test]
 fn a_plan_gives_each_bucket_away_once() {
     let now = Instant::now();
-    let mut plan = ReturnPlan::new(now, 0.5);
-    let ask = ReturnAsk {
+    let mut plan = RetryPlan::new(now, 0.5);
+    let ask = RetryRequest {
         time_left: TIME,
         room: Some(20.0),
     };
     // Eight of eighteen a second are free: about thirteen within the reach.
     let told = (0..40).map(|idx| plan.plan(now, &ask, |_| 10.0, f64::from(idx) / 40.0));
-    let told: Vec<ReturnTime> = told.collect();
-    let is_free = |one: &&ReturnTime| matches!(one, ReturnTime::Free(_));
-    let free: Vec<Duration> = told.iter().filter(is_free).map(ReturnTime::wait).collect();
+    let told: Vec<RetryTime> = told.collect();
+    let is_free = |one: &&RetryTime| matches!(one, RetryTime::Free(_));
+    let free: Vec<Duration> = told.iter().filter(is_free).map(RetryTime::wait).collect();
     assert!((11..=14).contains(&free.len()), "{}", free.len());
     assert!(free.is_sorted(), "{free:?}");
     assert!(free.iter().all(|wait| wait.as_secs_f64() <= REACH));
     let beyond = told.last().expect("all are told");
-    assert!(matches!(beyond, ReturnTime::Beyond(wait) if wait.as_secs_f64() > REACH));
+    assert!(matches!(beyond, RetryTime::Beyond(wait) if wait.as_secs_f64() > REACH));
 }
 
 #[test]
 fn without_anything_known_callers_are_spread() {
     let now = Instant::now();
-    let mut plan = ReturnPlan::new(now, 0.0);
-    let ask = ReturnAsk {
+    let mut plan = RetryPlan::new(now, 0.0);
+    let ask = RetryRequest {
         time_left: TIME,
         room: None,
     };
@@ -228,14 +228,14 @@
 #[test]
 fn a_caller_with_little_time_is_told_no_more_than_it_can_spend() {
     let now = Instant::now();
-    let mut plan = ReturnPlan::new(now, 0.0);
-    let ask = ReturnAsk {
+    let mut plan = RetryPlan::new(now, 0.0);
+    let ask = RetryRequest {
         time_left: Duration::from_millis(450),
         room: Some(100.0),
     };
     let told = plan.plan(now, &ask, |_| 10.0, 0.999);
     assert!(
-        matches!(told, ReturnTime::Free(wait) if wait <= Duration::from_millis(150)),
+        matches!(told, RetryTime::Free(wait) if wait <= Duration::from_millis(150)),
         "{told:?}"
     );
 }
--- a/crates/firshore-admission/tests/shares.rs
+++ b/crates/firshore-admission/tests/shares.rs
@@ -2,8 +2,8 @@
 
 mod sharing;
 
-use firshore_admission::admission::ShareStanding;
-use firshore_admission::shares::{CallerRank, ShareAsk, ShareTable};
+use firshore_admission::admission::ShareStatus;
+use firshore_admission::shares::{CallerRank, ShareRequest, ShareTable};
 use firshore_limits::report::{TenantDemand, TenantDigest};
 use firshore_types::ids::ServiceName;
 use sharing::{Played, Scene, TenantEnd, Way, play};
@@ -160,8 +160,8 @@
     }
 
     /// A request of a tenant, by itself at its rank.
-    fn ask(&mut self, tenant: u64, priority: u32, room: f64) -> ShareStanding {
-        let ask = ShareAsk {
+    fn ask(&mut self, tenant: u64, priority: u32, room: f64) -> ShareStatus {
+        let ask = ShareRequest {
             service: &self.service,
             tenant: TenantDigest(tenant),
             rank: CallerRank::new(Some(priority), 0),
@@ -177,7 +177,7 @@
             self.pass(Duration::from_millis(4));
             for (number, (tenant, priority)) in asks.into_iter().enumerate() {
                 let standing = self.ask(tenant, priority, room);
-                within[number] += usize::from(round >= FIRST && standing == ShareStanding::Within);
+                within[number] += usize::from(round >= FIRST && standing == ShareStatus::Within);
             }
         }
         within.map(|within| within as f64 / COUNTED as f64)
@@ -242,9 +242,9 @@
     let mut within = [0, 0];
     for _ in 0..80 {
         asked.pass(Duration::from_millis(100));
-        within[0] += u32::from(asked.ask(0, 0, 30.0) == ShareStanding::Within);
+        within[0] += u32::from(asked.ask(0, 0, 30.0) == ShareStatus::Within);
         for _ in 0..12 {
-            within[1] += u32::from(asked.ask(1, 0, 30.0) == ShareStanding::Within);
+            within[1] += u32::from(asked.ask(1, 0, 30.0) == ShareStatus::Within);
         }
     }
     let [small, hot] = within;
@@ -256,9 +256,9 @@
 fn everybody_is_within_where_nothing_is_known() {
     let mut asked = Asked::new(&[400.0]);
     asked.pass(Duration::from_secs(20));
-    assert_eq!(asked.ask(0, 0, 1.0), ShareStanding::Within);
+    assert_eq!(asked.ask(0, 0, 1.0), ShareStatus::Within);
     let mut asked = Asked::new(&[]);
-    assert_eq!(asked.ask(0, 0, 1.0), ShareStanding::Within);
+    assert_eq!(asked.ask(0, 0, 1.0), ShareStatus::Within);
 }
 
 #[test]
@@ -268,9 +268,9 @@
     let mut within = [0, 0];
     for _ in 0..100 {
         asked.pass(Duration::from_millis(10));
-        within[0] += u32::from(asked.ask(0, 0, 200.0) == ShareStanding::Within);
+        within[0] += u32::from(asked.ask(0, 0, 200.0) == ShareStatus::Within);
         for _ in 0..5 {
-            within[1] += u32::from(asked.ask(1, 0, 200.0) == ShareStanding::Within);
+            within[1] += u32::from(asked.ask(1, 0, 200.0) == ShareStatus::Within);
         }
     }
     let [usual, hot] = within;
--- a/crates/firshore-admission/tests/sharing/mod.rs
+++ b/crates/firshore-admission/tests/sharing/mod.rs
@@ -1,8 +1,8 @@
 //! Nodes before one full service, in simulated time: tenants of skewed size, one of which asks several times its
 //! usual, a line of requests that all nodes see, and nodes that are cut off from what the others tell.
 
-use firshore_admission::admission::ShareStanding;
-use firshore_admission::shares::{CallerRank, ShareAsk, ShareTable};
+use firshore_admission::admission::ShareStatus;
+use firshore_admission::shares::{CallerRank, ShareRequest, ShareTable};
 use firshore_limits::report::{TenantDemand, TenantDigest};
 use firshore_types::ids::ServiceName;
 use rand::{RngExt, SeedableRng};
@@ -293,7 +293,7 @@
         let node = clients[self.random.random_range(0..clients.len())];
         let node = &mut self.nodes[node];
         node.arrivals[tenant] += 1.0;
-        let ask = ShareAsk {
+        let ask = ShareRequest {
             service: &self.service,
             tenant: TenantDigest(tenant as u64),
             rank: CallerRank::new(None, 0),
@@ -307,11 +307,11 @@
         };
         let standing = match is_full && self.scene.way != Way::None {
             true => node.table.standing(now, &ask, room),
-            false => ShareStanding::Within,
+            false => ShareStatus::Within,
         };
         let admitted = match standing {
-            ShareStanding::Within => delay <= WITHIN_LINE,
-            ShareStanding::Beyond => !is_full,
+            ShareStatus::Within => delay <= WITHIN_LINE,
+            ShareStatus::Beyond => !is_full,
         };
         if elapsed >= COUNTED_FROM {
             let demand = self.demand(elapsed, tenant);
@@ -319,7 +319,7 @@
             end.demand = demand;
             end.asked += 1;
             end.admitted += u32::from(admitted);
-            end.within += u32::from(admitted && standing == ShareStanding::Within);
+            end.within += u32::from(admitted && standing == ShareStatus::Within);
         }
         admitted
     }
--- a/crates/firshore-admission/tests/support/mod.rs
+++ b/crates/firshore-admission/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Many nodes, each with its own history and plan, before one shared room, in simulated time.
 
 use firshore_admission::demand::{ArrivalKind, DemandHistory};
-use firshore_admission::returns::{ReturnAsk, ReturnPlan, ReturnTime};
+use firshore_admission::returns::{RetryRequest, RetryPlan, RetryTime};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
     pub node: usize,
     /// When it was refused, in seconds.
     pub refused_at: f64,
-    pub told: ReturnTime,
+    pub told: RetryTime,
     /// When it came back.
     pub back_at: f64,
     pub served: bool,
@@ -70,7 +70,7 @@
 
 impl Played {
     pub fn free(&self) -> impl Iterator<Item = &RefusedCaller> {
-        let is_free = |one: &&RefusedCaller| matches!(one.told, ReturnTime::Free(_));
+        let is_free = |one: &&RefusedCaller| matches!(one.told, RetryTime::Free(_));
         self.callers.iter().filter(is_free)
     }
 
@@ -104,7 +104,7 @@
 
 struct Node {
     history: DemandHistory,
-    plan: ReturnPlan,
+    plan: RetryPlan,
 }
 
 struct Replay<'a> {
@@ -125,7 +125,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(scene.seed);
     let nodes = (0..scene.nodes).map(|_| Node {
         history: DemandHistory::new(start),
-        plan: ReturnPlan::new(start, random.random()),
+        plan: RetryPlan::new(start, random.random()),
     });
     let nodes = nodes.collect();
     let mut replay = Replay {
@@ -192,12 +192,12 @@
         self.coming.entry(back).or_default().push(idx);
     }
 
-    fn tell(&mut self, now: Instant, at: usize) -> ReturnTime {
+    fn tell(&mut self, now: Instant, at: usize) -> RetryTime {
         let random: f64 = self.random.random();
         let Node { history, plan } = &mut self.nodes[at];
         match self.scene.way {
             ReturnWay::Planned => {
-                let ask = ReturnAsk {
+                let ask = RetryRequest {
                     time_left: TIME - TRIP,
                     room: history.room(now),
                 };
@@ -205,13 +205,13 @@
             }
             ReturnWay::Spread => {
                 let reach = TIME.mul_f64(SPENT_PART);
-                ReturnTime::Contended(reach.mul_f64(random))
+                RetryTime::Contended(reach.mul_f64(random))
             }
             ReturnWay::Late => {
                 let reach = TIME.mul_f64(SPENT_PART);
-                ReturnTime::Contended(reach.mul_f64(0.5 + random / 2.0))
+                RetryTime::Contended(reach.mul_f64(0.5 + random / 2.0))
             }
-            ReturnWay::Constant => ReturnTime::Contended(Duration::from_millis(250)),
+            ReturnWay::Constant => RetryTime::Contended(Duration::from_millis(250)),
         }
     }
 
--- a/crates/firshore-clock/src/lib.rs
+++ b/crates/firshore-clock/src/lib.rs
@@ -3,7 +3,7 @@
 //! The steady clock that timers run on (`CLOCK_MONOTONIC` on Linux) stands still meanwhile, so that a node that
 //! wakes would take a picture that is seconds old for a fresh one, and itself for the holder of what has been
 //! given to others. `CLOCK_BOOTTIME` goes on. Moments are told here as those of timers with the time added
-//! for which the machine was suspended since the process's first question; [`as_timer`] takes it off again.
+//! for which the machine was suspended since the process's first question; [`timer_deadline`] takes it off again.
 #![deny(missing_docs, unsafe_code)]
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
@@ -42,7 +42,7 @@
 }
 
 /// Returns when a timer is to fire for a moment, if the machine is not suspended any more.
-pub fn as_timer(at: Instant) -> Instant {
+pub fn timer_deadline(at: Instant) -> Instant {
     at.checked_sub(suspended()).unwrap_or(at)
 }
 
--- a/crates/firshore-clock/tests/clock.rs
+++ b/crates/firshore-clock/tests/clock.rs
@@ -1,6 +1,6 @@
 //! Time that goes on while the machine is suspended.
 
-use firshore_clock::{as_timer, elapsed, now, simulate_suspension};
+use firshore_clock::{timer_deadline, elapsed, now, simulate_suspension};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -8,7 +8,7 @@
 fn without_a_suspension_it_is_the_steady_clock() {
     let (before, at, after) = (Instant::now(), now(), Instant::now());
     assert!(before <= at && at <= after);
-    assert!(as_timer(at) == at);
+    assert!(timer_deadline(at) == at);
 }
 
 #[test]
@@ -17,7 +17,7 @@
     simulate_suspension(Duration::from_secs(5));
     assert!(elapsed(began) >= Duration::from_secs(5));
     let later = now() + Duration::from_secs(1);
-    let timer = as_timer(later).saturating_duration_since(Instant::now());
+    let timer = timer_deadline(later).saturating_duration_since(Instant::now());
     assert!(timer <= Duration::from_secs(1), "{timer:?}");
 }
 
--- a/crates/firshore-crashes/src/print.rs
+++ b/crates/firshore-crashes/src/print.rs
@@ -15,7 +15,7 @@
 
 /// What is told apart.
 #[derive(Clone, Copy, Debug)]
-pub struct AskedRequest<'a> {
+pub struct FingerprintInput<'a> {
     /// Tenant that asks, where it is known.
     pub tenant: Option<&'a TenantName>,
     /// Host that the request names.
@@ -30,7 +30,7 @@
 
 /// Stands for a request, whoever sends it on and however often it comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RequestPrint {
+pub struct RequestFingerprint {
     /// Digest of the caller: of the tenant, or of the host where there is none.
     #[serde(rename = "c")]
     caller: u64,
@@ -42,14 +42,14 @@
     low: u64,
 }
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// Returns what is the same for all requests of a caller.
     pub fn caller(&self) -> u64 {
         self.caller
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}{:016x}", self.high, self.low)
     }
@@ -57,15 +57,15 @@
 
 /// The key, which all nodes of a cluster share.
 #[derive(Clone)]
-pub struct PrintKey(Hmac<Sha256>);
+pub struct FingerprintKey(Hmac<Sha256>);
 
-impl fmt::Debug for PrintKey {
+impl fmt::Debug for FingerprintKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("PrintKey")
     }
 }
 
-impl PrintKey {
+impl FingerprintKey {
     /// A key made of the cluster's secret.
     ///
     /// # Panics
@@ -78,7 +78,7 @@
     }
 
     /// Returns what stands for a request.
-    pub fn print(&self, asked: &AskedRequest<'_>) -> RequestPrint {
+    pub fn print(&self, asked: &FingerprintInput<'_>) -> RequestFingerprint {
         let caller = match asked.tenant {
             Some(tenant) => [b"tenant", tenant.as_str().as_bytes()],
             None => [b"nobody", asked.host.as_bytes()],
@@ -91,7 +91,7 @@
             asked.target.as_bytes(),
             asked.body,
         ]);
-        RequestPrint {
+        RequestFingerprint {
             caller: caller_half,
             high,
             low,
--- a/crates/firshore-crashes/src/report.rs
+++ b/crates/firshore-crashes/src/report.rs
@@ -1,6 +1,6 @@
 //! What nodes tell each other, as it travels.
 
-use crate::print::RequestPrint;
+use crate::print::RequestFingerprint;
 use firshore_adapter::incarnation::StartTime;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
 pub struct LostRun {
     /// Request.
     #[serde(rename = "r")]
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Bytes of its answer that had arrived.
     #[serde(rename = "n")]
     pub reached: u64,
@@ -28,7 +28,7 @@
 
 /// A back end that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReportedEnd {
+pub struct ReportedExit {
     /// Back end.
     #[serde(rename = "b")]
     pub backend: String,
@@ -48,7 +48,7 @@
 pub struct ReportedCompletion {
     /// Request.
     #[serde(rename = "r")]
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Milliseconds since then.
     #[serde(rename = "a")]
     pub age: u64,
@@ -59,7 +59,7 @@
 pub struct CrashReport {
     /// Back ends that ended.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub ends: Vec<ReportedEnd>,
+    pub ends: Vec<ReportedExit>,
     /// Requests that have run to a good end although back ends had ended under them.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub completions: Vec<ReportedCompletion>,
--- a/crates/firshore-crashes/src/sync.rs
+++ b/crates/firshore-crashes/src/sync.rs
@@ -9,7 +9,7 @@
 
 /// What a node tells a peer, and from where on it asks for the peer's news.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashQuestion {
+pub struct CrashSyncRequest {
     /// How far the asker knows the peer's table.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub known: Option<TableCursor>,
@@ -20,7 +20,7 @@
 
 /// What the peer answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashAnswer {
+pub struct CrashSyncResponse {
     /// How far the asker knows the peer's table with this.
     #[serde(rename = "k")]
     pub cursor: TableCursor,
@@ -46,13 +46,13 @@
 pub fn answer(
     table: &mut CrashTable,
     now: Instant,
-    question: &CrashQuestion,
-) -> (CrashAnswer, Vec<TableChange>) {
+    question: &CrashSyncRequest,
+) -> (CrashSyncResponse, Vec<TableChange>) {
     let changes = table.merge(now, &question.report);
     let cursor = table.cursor();
     let known = question.known.filter(|known| known.epoch == cursor.epoch);
     let report = table.changes_after(now, known.map_or(0, |known| known.position));
-    let answer = CrashAnswer {
+    let answer = CrashSyncResponse {
         cursor: TableCursor {
             position: report.position,
             ..cursor
@@ -87,9 +87,9 @@
     }
 
     /// Returns what to ask a peer.
-    pub fn question(&self, now: Instant, peer: &NodeName, table: &CrashTable) -> CrashQuestion {
+    pub fn question(&self, now: Instant, peer: &NodeName, table: &CrashTable) -> CrashSyncRequest {
         let progress = self.progress(peer);
-        CrashQuestion {
+        CrashSyncRequest {
             known: progress.known,
             report: table.changes_after(now, progress.told),
         }
@@ -101,7 +101,7 @@
         now: Instant,
         peer: &NodeName,
         told: u64,
-        answer: &CrashAnswer,
+        answer: &CrashSyncResponse,
         table: &mut CrashTable,
     ) -> Vec<TableChange> {
         let before = self.progress(peer);
--- a/crates/firshore-crashes/src/table.rs
+++ b/crates/firshore-crashes/src/table.rs
@@ -4,8 +4,8 @@
 //! them are innocent. A request that has run to a good end anywhere since it was suspected is not judged by
 //! ends any more.
 
-use crate::print::RequestPrint;
-use crate::report::{CrashReport, LostRun, ReportedCompletion, ReportedEnd, TableCursor};
+use crate::print::RequestFingerprint;
+use crate::report::{CrashReport, LostRun, ReportedCompletion, ReportedExit, TableCursor};
 use crate::verdict;
 use firshore_adapter::incarnation::Incarnation;
 use std::collections::{BTreeMap, HashMap};
@@ -28,7 +28,7 @@
 pub(crate) struct EndedBackend {
     pub(crate) at: Instant,
     /// Requests that were lost there, and how many bytes of their answers had arrived.
-    pub(crate) lost: BTreeMap<RequestPrint, u64>,
+    pub(crate) lost: BTreeMap<RequestFingerprint, u64>,
     position: u64,
 }
 
@@ -60,11 +60,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableChange {
     /// The request is held back from now on.
-    Condemned(RequestPrint, Verdict),
+    Condemned(RequestFingerprint, Verdict),
     /// It is not held back any more.
-    Lifted(RequestPrint),
+    Lifted(RequestFingerprint),
     /// Another node saw that a back end has ended.
-    BackendEnded(Incarnation),
+    BackendExited(Incarnation),
 }
 
 /// Back ends that ended and requests that were lost there, as this node knows from all.
@@ -75,10 +75,10 @@
     remember: Duration,
     position: u64,
     ends: HashMap<Incarnation, EndedBackend>,
-    completions: HashMap<RequestPrint, Completion>,
+    completions: HashMap<RequestFingerprint, Completion>,
     /// Requests that were lost at any of these back ends, without a good end since.
-    suspects: BTreeMap<RequestPrint, Suspicion>,
-    verdicts: BTreeMap<RequestPrint, Verdict>,
+    suspects: BTreeMap<RequestFingerprint, Suspicion>,
+    verdicts: BTreeMap<RequestFingerprint, Verdict>,
 }
 
 impl CrashTable {
@@ -114,17 +114,17 @@
     }
 
     /// Returns whether any request is held back.
-    pub fn has_verdicts(&self) -> bool {
+    pub fn has_quarantined(&self) -> bool {
         !self.verdicts.is_empty()
     }
 
     /// Returns the verdict on a request, if there is one.
-    pub fn verdict(&self, print: &RequestPrint) -> Option<&Verdict> {
+    pub fn verdict(&self, print: &RequestFingerprint) -> Option<&Verdict> {
         self.verdicts.get(print)
     }
 
     /// Returns what is known against a request, if nothing has cleared it.
-    pub fn suspicion(&self, print: &RequestPrint) -> Suspicion {
+    pub fn suspicion(&self, print: &RequestFingerprint) -> Suspicion {
         self.suspects.get(print).copied().unwrap_or_default()
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Takes in that a request has run to a good end. Says something of requests only that are suspected.
-    pub fn completed(&mut self, now: Instant, print: RequestPrint) -> Vec<TableChange> {
+    pub fn completed(&mut self, now: Instant, print: RequestFingerprint) -> Vec<TableChange> {
         if !self.suspects.contains_key(&print) {
             return Vec::new();
         }
@@ -174,7 +174,7 @@
                 continue;
             }
             if !self.ends.contains_key(&backend) {
-                changes.push(TableChange::BackendEnded(backend.clone()));
+                changes.push(TableChange::BackendExited(backend.clone()));
             }
             self.add_end(past(now, end.age), &backend, &end.lost);
         }
@@ -233,7 +233,7 @@
 
     /// The back end that a report tells of. One that tells no start of it, from a node that knows none, means
     /// an end that is known with its start: it would count twice otherwise.
-    fn told_of(&self, end: &ReportedEnd) -> Incarnation {
+    fn told_of(&self, end: &ReportedExit) -> Incarnation {
         let told = Incarnation {
             name: end.backend.as_str().into(),
             started: end.started,
@@ -273,7 +273,7 @@
         }
     }
 
-    fn add_completion(&mut self, at: Instant, print: RequestPrint) {
+    fn add_completion(&mut self, at: Instant, print: RequestFingerprint) {
         if self.completions.contains_key(&print) {
             return;
         }
@@ -298,7 +298,7 @@
                 .lost
                 .keys()
                 .filter(|one| self.verdicts.contains_key(one));
-            condemned.next().map(RequestPrint::caller)
+            condemned.next().map(RequestFingerprint::caller)
         };
         let mut owned: HashMap<Option<u64>, usize> = HashMap::new();
         for end in self.ends.values() {
@@ -345,9 +345,9 @@
     now.saturating_duration_since(at).as_millis() as u64
 }
 
-fn reported(now: Instant, backend: &Incarnation, end: &EndedBackend) -> ReportedEnd {
+fn reported(now: Instant, backend: &Incarnation, end: &EndedBackend) -> ReportedExit {
     let lost = end.lost.iter();
-    ReportedEnd {
+    ReportedExit {
         backend: backend.name.to_string(),
         started: backend.started,
         age: age(now, end.at),
--- a/crates/firshore-crashes/src/verdict.rs
+++ b/crates/firshore-crashes/src/verdict.rs
@@ -4,7 +4,7 @@
 //! request that crashes back ends from the others is that it was at several that ended, one after the other,
 //! that no run of it got further than those before, and that back ends do not end as often without it.
 
-use crate::print::RequestPrint;
+use crate::print::RequestFingerprint;
 use crate::table::{EndedBackend, Suspicion, Verdict};
 use firshore_adapter::incarnation::Incarnation;
 use std::collections::{BTreeMap, HashMap};
@@ -31,8 +31,8 @@
 
 /// What comes of judging.
 pub(crate) struct Judgement {
-    pub(crate) suspects: BTreeMap<RequestPrint, Suspicion>,
-    pub(crate) verdicts: BTreeMap<RequestPrint, Verdict>,
+    pub(crate) suspects: BTreeMap<RequestFingerprint, Suspicion>,
+    pub(crate) verdicts: BTreeMap<RequestFingerprint, Verdict>,
 }
 
 /// Back ends that ended, in order of time.
@@ -57,7 +57,7 @@
 /// suspected.
 pub(crate) fn judge(
     ends: &HashMap<Incarnation, EndedBackend>,
-    completed: impl Fn(&RequestPrint) -> bool,
+    completed: impl Fn(&RequestFingerprint) -> bool,
 ) -> Judgement {
     let mut sorted: Vec<(&Incarnation, &EndedBackend)> = ends.iter().collect();
     sorted.sort_by_key(|(backend, end)| (end.at, *backend));
@@ -82,9 +82,9 @@
 
 fn ends_by_request(
     sorted: &[(&Incarnation, &EndedBackend)],
-    completed: impl Fn(&RequestPrint) -> bool,
-) -> BTreeMap<RequestPrint, EndsUnder> {
-    let mut reached: BTreeMap<RequestPrint, Vec<(usize, u64)>> = BTreeMap::new();
+    completed: impl Fn(&RequestFingerprint) -> bool,
+) -> BTreeMap<RequestFingerprint, EndsUnder> {
+    let mut reached: BTreeMap<RequestFingerprint, Vec<(usize, u64)>> = BTreeMap::new();
     for (idx, (_, end)) in sorted.iter().enumerate() {
         for (print, bytes) in &end.lost {
             if !completed(print) {
@@ -113,10 +113,10 @@
 
 /// The request that is to be condemned next, with the ends that no other verdict explains.
 fn most_suspect(
-    under: &BTreeMap<RequestPrint, EndsUnder>,
+    under: &BTreeMap<RequestFingerprint, EndsUnder>,
     list: &EndList<'_>,
-) -> Option<(RequestPrint, Vec<usize>)> {
-    let mut most: Option<(RequestPrint, Vec<usize>)> = None;
+) -> Option<(RequestFingerprint, Vec<usize>)> {
+    let mut most: Option<(RequestFingerprint, Vec<usize>)> = None;
     for (print, ends) in under.iter().filter(|(_, ends)| ends.furthest.len() >= ENDS) {
         let open = ends.furthest.iter().filter(|idx| !list.explained[**idx]);
         let open: Vec<usize> = open.copied().collect();
--- a/crates/firshore-crashes/tests/print.rs
+++ b/crates/firshore-crashes/tests/print.rs
@@ -1,10 +1,10 @@
 //! Digests of requests.
 
-use firshore_crashes::print::{AskedRequest, PrintKey};
+use firshore_crashes::print::{FingerprintInput, FingerprintKey};
 use firshore_types::ids::TenantName;
 use std::collections::BTreeSet;
 
-const ASKED: AskedRequest<'static> = AskedRequest {
+const ASKED: FingerprintInput<'static> = FingerprintInput {
     tenant: None,
     host: "a.example",
     method: "POST",
@@ -14,44 +14,44 @@
 
 #[test]
 fn what_asks_the_same_has_the_same_print_at_all_nodes_with_the_key() {
-    let (one, other) = (PrintKey::new(b"secret"), PrintKey::new(b"secret"));
+    let (one, other) = (FingerprintKey::new(b"secret"), FingerprintKey::new(b"secret"));
     assert_eq!(one.print(&ASKED), other.print(&ASKED));
-    assert_ne!(one.print(&ASKED), PrintKey::new(b"another").print(&ASKED));
+    assert_ne!(one.print(&ASKED), FingerprintKey::new(b"another").print(&ASKED));
 }
 
 #[test]
 fn caller_host_method_target_and_body_are_told_apart() {
-    let key = PrintKey::new(b"secret");
+    let key = FingerprintKey::new(b"secret");
     let tenant: TenantName = "t".into();
     let same_word: TenantName = "a.example".into();
     let asked = [
         ASKED,
-        AskedRequest {
+        FingerprintInput {
             tenant: Some(&tenant),
             ..ASKED
         },
-        AskedRequest {
+        FingerprintInput {
             tenant: Some(&same_word),
             ..ASKED
         },
-        AskedRequest {
+        FingerprintInput {
             host: "b.example",
             ..ASKED
         },
-        AskedRequest {
+        FingerprintInput {
             method: "PUT",
             ..ASKED
         },
-        AskedRequest {
+        FingerprintInput {
             target: "/notes/1?full=2",
             ..ASKED
         },
-        AskedRequest {
+        FingerprintInput {
             target: "/notes/1?full=1body",
             body: b"",
             ..ASKED
         },
-        AskedRequest {
+        FingerprintInput {
             body: b"bodi",
             ..ASKED
         },
@@ -63,13 +63,13 @@
 
 #[test]
 fn requests_of_one_caller_share_the_callers_digest() {
-    let key = PrintKey::new(b"secret");
+    let key = FingerprintKey::new(b"secret");
     let tenant: TenantName = "t".into();
-    let other_body = AskedRequest {
+    let other_body = FingerprintInput {
         body: b"other",
         ..ASKED
     };
-    let of_tenant = AskedRequest {
+    let of_tenant = FingerprintInput {
         tenant: Some(&tenant),
         ..ASKED
     };
--- a/crates/firshore-crashes/tests/table.rs
+++ b/crates/firshore-crashes/tests/table.rs
@@ -1,7 +1,7 @@
 //! What is known of back ends that ended, and which requests are held back for it.
 
 use firshore_adapter::incarnation::{Incarnation, StartTime};
-use firshore_crashes::print::{AskedRequest, PrintKey, RequestPrint};
+use firshore_crashes::print::{FingerprintInput, FingerprintKey, RequestFingerprint};
 use firshore_crashes::report::{CrashReport, LostRun};
 use firshore_crashes::sync::{self, CrashSync};
 use firshore_crashes::table::{CrashTable, TableChange};
@@ -13,9 +13,9 @@
 
 const REMEMBER: Duration = Duration::from_secs(600);
 
-fn print_of(tenant: &str, target: &str) -> RequestPrint {
+fn print_of(tenant: &str, target: &str) -> RequestFingerprint {
     let tenant: TenantName = tenant.into();
-    PrintKey::new(b"secret").print(&AskedRequest {
+    FingerprintKey::new(b"secret").print(&FingerprintInput {
         tenant: Some(&tenant),
         host: "a.example",
         method: "POST",
@@ -24,11 +24,11 @@
     })
 }
 
-fn print(target: &str) -> RequestPrint {
+fn print(target: &str) -> RequestFingerprint {
     print_of("t", target)
 }
 
-fn lost(print: RequestPrint, reached: u64) -> LostRun {
+fn lost(print: RequestFingerprint, reached: u64) -> LostRun {
     LostRun { print, reached }
 }
 
@@ -40,7 +40,7 @@
 fn end_under(
     table: &mut CrashTable,
     at: Instant,
-    print: RequestPrint,
+    print: RequestFingerprint,
     names: &[&str],
 ) -> Vec<TableChange> {
     let mut changes = Vec::new();
@@ -79,7 +79,7 @@
     let (mut table, now) = (table(), Instant::now());
     end_under(&mut table, now, print("/a"), &["b1", "b1", "b1", "b2"]);
     assert_eq!(table.suspicion(&print("/a")).ends, 2);
-    assert!(!table.has_verdicts());
+    assert!(!table.has_quarantined());
 }
 
 #[test]
@@ -93,7 +93,7 @@
         );
     }
     assert_eq!(table.suspicion(&print("/popular")).ends, 6);
-    assert!(!table.has_verdicts());
+    assert!(!table.has_quarantined());
 }
 
 #[test]
@@ -108,14 +108,14 @@
         &["b3", "b4", "b5"],
     );
     assert_eq!(table.suspicion(&print("/a")).ends, 0);
-    assert!(!table.has_verdicts());
+    assert!(!table.has_quarantined());
 }
 
 #[test]
 fn a_verdict_is_lifted_by_a_run_that_was_under_way() {
     let (mut table, now) = (table(), Instant::now());
     end_under(&mut table, now, print("/a"), &["b1", "b2", "b3"]);
-    assert!(table.has_verdicts());
+    assert!(table.has_quarantined());
     let changes = table.completed(now, print("/a"));
     assert_eq!(changes, [TableChange::Lifted(print("/a"))]);
 }
@@ -129,7 +129,7 @@
         table.ended(at, &Incarnation::named(*name), &[run]);
     }
     assert_eq!(table.suspicion(&print("/item")).ends, 1);
-    assert!(!table.has_verdicts());
+    assert!(!table.has_quarantined());
 }
 
 #[test]
@@ -236,7 +236,7 @@
     for seed in 0..20 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let now = Instant::now();
-        let mut seen: Vec<(u64, String, RequestPrint)> = Vec::new();
+        let mut seen: Vec<(u64, String, RequestFingerprint)> = Vec::new();
         for end in 0..12_u64 {
             for request in 0..4 {
                 if random.random_bool(0.5) {
@@ -244,7 +244,7 @@
                 }
             }
         }
-        let judged = |seen: &[(u64, String, RequestPrint)]| {
+        let judged = |seen: &[(u64, String, RequestFingerprint)]| {
             let mut table = table();
             for (end, backend, print) in seen {
                 let at = now + Duration::from_secs(*end);
@@ -290,12 +290,12 @@
     let (mut own, mut peer) = (table(), CrashTable::new(2, REMEMBER));
     end_under(&mut own, began, print("/a"), &["b1", "b2", "b3"]);
     exchange(now, &mut progress, &name, &mut own, &mut peer);
-    assert!(peer.has_verdicts());
+    assert!(peer.has_quarantined());
     assert!(!progress.differs(&name, Some(peer.cursor()), &own));
     let mut peer = CrashTable::new(3, REMEMBER);
     assert!(progress.differs(&name, None, &own));
     exchange(now, &mut progress, &name, &mut own, &mut peer);
-    assert!(peer.has_verdicts());
+    assert!(peer.has_quarantined());
 }
 
 #[test]
--- a/crates/firshore-gateway/src/belief.rs
+++ b/crates/firshore-gateway/src/belief.rs
@@ -11,14 +11,14 @@
 
 /// From whom a node has what it believes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BeliefSource {
+pub enum FreshnessSource {
     /// From the store itself.
     Store,
     /// From a node that passes on what the store holds.
     Relay(NodeName),
 }
 
-impl fmt::Display for BeliefSource {
+impl fmt::Display for FreshnessSource {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store => formatter.write_str("store"),
@@ -30,21 +30,21 @@
 #[derive(Clone, Debug)]
 struct Confirmation {
     as_of: Instant,
-    source: BeliefSource,
+    source: FreshnessSource,
 }
 
 /// What a node believes of the objects of one kind.
 #[derive(Debug, Default)]
-pub struct Belief {
+pub struct Freshness {
     confirmation: RefCell<Option<Confirmation>>,
     /// Age up to which decisions may rest on it; none: any.
     longest_age: Cell<Option<Duration>>,
 }
 
-impl Belief {
+impl Freshness {
     /// Takes in that all that stood in the store at `as_of`, by the clock of ages, is known, by an answer of `source`. An
     /// answer that tells of an earlier moment than another one did says nothing.
-    pub fn confirm(&self, as_of: Instant, source: BeliefSource) {
+    pub fn confirm(&self, as_of: Instant, source: FreshnessSource) {
         let mut confirmation = self.confirmation.borrow_mut();
         if let Some(known) = confirmation.as_ref()
             && known.as_of >= as_of
@@ -96,9 +96,9 @@
 
 /// What a gateway believes.
 #[derive(Debug, Default)]
-pub struct Beliefs {
+pub struct StoreFreshness {
     /// Which configuration is in force.
-    pub configuration: Rc<Belief>,
+    pub configuration: Rc<Freshness>,
     /// Which back ends there are, and which of them leave.
-    pub backends: Rc<Belief>,
+    pub backends: Rc<Freshness>,
 }
--- a/crates/firshore-gateway/src/caller_connection.rs
+++ b/crates/firshore-gateway/src/caller_connection.rs
@@ -59,7 +59,7 @@
 
 /// The caller is gone: nothing more can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerGone;
+pub struct CallerDisconnected;
 
 thread_local! {
     /// One for each thread: building it starts a task that keeps the date.
@@ -239,29 +239,29 @@
     }
 
     /// Writes the buffer out.
-    pub async fn flush(&mut self) -> Result<(), CallerGone> {
+    pub async fn flush(&mut self) -> Result<(), CallerDisconnected> {
         while !self.output.is_empty() {
             match self.stream.try_write(&self.output) {
                 Ok(count) => self.output.advance(count),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.wait_for_room().await?;
                 }
-                Err(_) => return Err(CallerGone),
+                Err(_) => return Err(CallerDisconnected),
             }
         }
         Ok(())
     }
 
-    async fn wait_for_room(&mut self) -> Result<(), CallerGone> {
+    async fn wait_for_room(&mut self) -> Result<(), CallerDisconnected> {
         let full = self.input.len() > READ_AHEAD_BYTES;
         let interest = match full {
             true => Interest::WRITABLE,
             false => Interest::READABLE | Interest::WRITABLE,
         };
-        let ready = self.stream.ready(interest).await.map_err(|_| CallerGone)?;
+        let ready = self.stream.ready(interest).await.map_err(|_| CallerDisconnected)?;
         if ready.is_readable() && !full {
             // Readiness may be stale: a second wait for bytes here would miss the room.
-            self.try_read().map_err(|_| CallerGone)?;
+            self.try_read().map_err(|_| CallerDisconnected)?;
         }
         Ok(())
     }
--- a/crates/firshore-gateway/src/choice.rs
+++ b/crates/firshore-gateway/src/choice.rs
@@ -47,7 +47,7 @@
     /// At the least loaded of a few drawn: for a node whose picture is current.
     LeastLoaded,
     /// At random, as the room is: for one of many nodes, whose pictures are alike and a while old.
-    ByRoom,
+    ByCapacity,
 }
 
 /// A back end that may take the request.
@@ -110,7 +110,7 @@
         return Some(found);
     }
     let by_room = match placement {
-        Placement::ByRoom => by_room(candidates, random),
+        Placement::ByCapacity => by_room(candidates, random),
         Placement::LeastLoaded => None,
     };
     by_room.or_else(|| by_load(candidates, random))
--- a/crates/firshore-gateway/src/crash_monitor.rs
+++ b/crates/firshore-gateway/src/crash_monitor.rs
@@ -3,9 +3,9 @@
 use crate::fleet::Fleet;
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::Incarnation;
-use firshore_crashes::print::RequestPrint;
+use firshore_crashes::print::RequestFingerprint;
 use firshore_crashes::report::{LostRun, TableCursor};
-use firshore_crashes::sync::{self, CrashAnswer, CrashQuestion, CrashSync};
+use firshore_crashes::sync::{self, CrashSyncResponse, CrashSyncRequest, CrashSync};
 use firshore_crashes::table::{CrashTable, Suspicion, TableChange};
 use firshore_exchange::exchange;
 use firshore_metrics::Counter;
@@ -194,12 +194,12 @@
     }
 
     /// Whether any request is held back.
-    pub fn holds_any_back(&self) -> bool {
-        self.table.borrow().has_verdicts()
+    pub fn has_quarantined(&self) -> bool {
+        self.table.borrow().has_quarantined()
     }
 
     /// Returns for how long a request is still held back, if it is.
-    pub fn held_back_for(&self, print: &RequestPrint) -> Option<Duration> {
+    pub fn quarantined_for(&self, print: &RequestFingerprint) -> Option<Duration> {
         let now = firshore_clock::now().into_std();
         let table = self.table.borrow();
         let verdict = table.verdict(print)?;
@@ -207,12 +207,12 @@
     }
 
     /// Returns what is known against a request.
-    pub fn suspicion(&self, print: &RequestPrint) -> Suspicion {
+    pub fn suspicion(&self, print: &RequestFingerprint) -> Suspicion {
         self.table.borrow().suspicion(print)
     }
 
     /// A request has run to a good end.
-    pub fn completed(&self, print: RequestPrint) {
+    pub fn completed(&self, print: RequestFingerprint) {
         if self.suspicion(&print).ends == 0 {
             return;
         }
@@ -225,7 +225,7 @@
     }
 
     /// Answers a node that tells what it knows.
-    pub fn answer(&self, question: &CrashQuestion) -> CrashAnswer {
+    pub fn answer(&self, question: &CrashSyncRequest) -> CrashSyncResponse {
         let now = firshore_clock::now().into_std();
         let before = self.table.borrow().cursor();
         let (answer, changes) = sync::answer(&mut self.table.borrow_mut(), now, question);
@@ -237,7 +237,7 @@
     }
 
     /// Takes in a peer's answer to a question that told this node's table up to `told`.
-    pub fn answered(&self, sync: &mut CrashSync, peer: &NodeName, told: u64, answer: &CrashAnswer) {
+    pub fn answered(&self, sync: &mut CrashSync, peer: &NodeName, told: u64, answer: &CrashSyncResponse) {
         let now = firshore_clock::now().into_std();
         let mut table = self.table.borrow_mut();
         let changes = sync.answered(now, peer, told, answer, &mut table);
@@ -270,7 +270,7 @@
                 }
                 // Without this, every node sent requests to a back end that had ended until it had failed there
                 // itself; its entry stays for some seconds.
-                TableChange::BackendEnded(backend) => {
+                TableChange::BackendExited(backend) => {
                     self.pass_over(backend);
                 }
                 TableChange::Lifted(print) => {
--- a/crates/firshore-gateway/src/events.rs
+++ b/crates/firshore-gateway/src/events.rs
@@ -10,7 +10,7 @@
 quick_error! {
     /// Why a stream cannot be passed on as it is.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum EventFault {
+    pub enum EventError {
         /// An event is missing or comes twice.
         OutOfOrder(expected: u64, found: u64) {
             display("The back end sent event {found} where {expected} was due. Report this to the operators.")
@@ -39,7 +39,7 @@
     }
 
     /// Takes in what arrived and returns the whole events in it.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, EventFault> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, EventError> {
         self.buffer.extend_from_slice(bytes);
         let before = self.last;
         let whole = self.follow_events().inspect_err(|_| {
@@ -48,13 +48,13 @@
         })?;
         if self.buffer.len() - whole > MAXIMUM_EVENT_BYTES {
             self.last = before;
-            return Err(EventFault::TooLong);
+            return Err(EventError::TooLong);
         }
         Ok(self.buffer.split_to(whole).freeze())
     }
 
     /// Follows the numbers of the whole events that are held, and returns their length.
-    fn follow_events(&mut self) -> Result<usize, EventFault> {
+    fn follow_events(&mut self) -> Result<usize, EventError> {
         let mut whole = 0;
         while let Some(length) = event_length(&self.buffer[whole..]) {
             let event = &self.buffer[whole..whole + length];
@@ -66,11 +66,11 @@
         Ok(whole)
     }
 
-    fn follow(&mut self, number: u64) -> Result<(), EventFault> {
+    fn follow(&mut self, number: u64) -> Result<(), EventError> {
         if let Some(last) = self.last
             && number != last + 1
         {
-            return Err(EventFault::OutOfOrder(last + 1, number));
+            return Err(EventError::OutOfOrder(last + 1, number));
         }
         self.last = Some(number);
         Ok(())
--- a/crates/firshore-gateway/src/fleet/mod.rs
+++ b/crates/firshore-gateway/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 mod state;
 
 use crate::attempts::Attempts;
-use crate::pace::AnswerQuality;
+use crate::pace::ResponseQuality;
 use firshore_adapter::backend::{Backend, Pace, ReportedLoad};
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_exchange::endpoint::Endpoint;
@@ -36,7 +36,7 @@
 
 /// How a back end's handling of a request reflects on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Impression {
+pub enum BackendOutcome {
     /// It answered.
     Answered,
     /// It answered that it failed.
@@ -70,7 +70,7 @@
 
 /// Pace that a back end told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NamedPace {
+pub struct PaceReport {
     /// Back end.
     pub backend: BackendName,
     /// How long work takes there.
@@ -78,7 +78,7 @@
 }
 
 /// What a request needs of a back end.
-pub struct Wanted<'a> {
+pub struct BackendRequirements<'a> {
     /// Service.
     pub service: &'a ServiceName,
     /// Sends so far.
@@ -283,7 +283,7 @@
     }
 
     /// Takes in what other nodes have under way; back ends that are not named are idle.
-    pub fn learned_others(
+    pub fn apply_remote_load(
         &mut self,
         now: Instant,
         others: &HashMap<BackendName, u32>,
@@ -318,7 +318,7 @@
     }
 
     /// Takes in how far apart the pictures are that this node gets of what others have under way.
-    pub fn set_picture_interval(&mut self, interval: Duration) {
+    pub fn set_view_interval(&mut self, interval: Duration) {
         self.picture_interval = interval;
     }
 
@@ -415,10 +415,10 @@
     }
 
     /// Returns what back ends told this node of their pace since it was asked last, for others.
-    pub fn take_untold_paces(&mut self) -> Vec<NamedPace> {
+    pub fn take_unreported_paces(&mut self) -> Vec<PaceReport> {
         let states = self.states.iter_mut();
         let paces = states.filter_map(|(name, state)| {
-            Some(NamedPace {
+            Some(PaceReport {
                 backend: name.clone(),
                 pace: state.untold_pace.take()?,
             })
@@ -427,7 +427,7 @@
     }
 
     /// Takes in what back ends told other nodes of their pace a moment ago.
-    pub fn learned_paces(&mut self, now: Instant, paces: Vec<NamedPace>) {
+    pub fn apply_remote_paces(&mut self, now: Instant, paces: Vec<PaceReport>) {
         for one in paces {
             let Some(state) = self.states.get_mut(&one.backend) else {
                 continue;
@@ -453,15 +453,15 @@
     }
 
     /// Takes in how a back end handled a request. Returns whether it is ejected by that.
-    pub fn observed(&mut self, now: Instant, incarnation: &Incarnation, seen: Impression) -> bool {
+    pub fn observed(&mut self, now: Instant, incarnation: &Incarnation, seen: BackendOutcome) -> bool {
         let Some(state) = self.state_mut(incarnation) else {
             return false;
         };
         match seen {
-            Impression::Answered | Impression::Failed => {
+            BackendOutcome::Answered | BackendOutcome::Failed => {
                 let quality = match seen {
-                    Impression::Failed => AnswerQuality::Failed,
-                    _ => AnswerQuality::Good,
+                    BackendOutcome::Failed => ResponseQuality::Failed,
+                    _ => ResponseQuality::Good,
                 };
                 state.pace.answered(now, quality);
                 state.failures = 0;
@@ -469,7 +469,7 @@
                 state.ejected_until = None;
                 return false;
             }
-            Impression::Full => {
+            BackendOutcome::Full => {
                 state.report = Some(Report {
                     others: state.backend.slots * 2,
                     at: now,
@@ -477,9 +477,9 @@
                 });
                 return false;
             }
-            Impression::Unreachable => state.failures = FAILURES_TO_EJECT,
-            Impression::Broke => {
-                state.pace.answered(now, AnswerQuality::Failed);
+            BackendOutcome::Unreachable => state.failures = FAILURES_TO_EJECT,
+            BackendOutcome::Broke => {
+                state.pace.answered(now, ResponseQuality::Failed);
                 state.failures += 1;
             }
         }
--- a/crates/firshore-gateway/src/fleet/places.rs
+++ b/crates/firshore-gateway/src/fleet/places.rs
@@ -2,10 +2,10 @@
 
 use super::room::ServiceRoom;
 use super::state::State;
-use super::{Fleet, Wanted};
+use super::{Fleet, BackendRequirements};
 use crate::choice::{self, Candidate, Placement};
 use firshore_adapter::backend::Backend;
-use firshore_admission::admission::RoomOutlook;
+use firshore_admission::admission::CapacityOutlook;
 use firshore_types::ids::ServiceName;
 use rand::Rng;
 use std::time::{Duration, Instant};
@@ -46,7 +46,7 @@
 
 impl Fleet {
     /// Back ends that a request may go to, those that are trusted if there are any.
-    fn usable(&self, now: Instant, wanted: &Wanted<'_>) -> Vec<&State> {
+    fn usable(&self, now: Instant, wanted: &BackendRequirements<'_>) -> Vec<&State> {
         let Some(names) = self.by_service.get(wanted.service) else {
             return Vec::new();
         };
@@ -145,7 +145,7 @@
     pub fn choose(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
+        wanted: &BackendRequirements<'_>,
         random: &mut impl Rng,
     ) -> Option<Backend> {
         let usable = self.usable(now, wanted);
@@ -183,9 +183,9 @@
     pub fn outlook(
         &self,
         now: Instant,
-        wanted: &Wanted<'_>,
+        wanted: &BackendRequirements<'_>,
         begin_within: Duration,
-    ) -> Option<RoomOutlook> {
+    ) -> Option<CapacityOutlook> {
         let usable = self.usable(now, wanted);
         let room = self.room(wanted.service);
         let delays = usable.iter().map(|state| state.begin_delay(now, &room));
@@ -200,8 +200,8 @@
         };
         let waits_too_long = matches!(supply, PlaceSupply::Wait(wait) if wait > begin_within);
         let has_none = Self::has_none(&usable);
-        Some(RoomOutlook {
-            has_place: has_none || (may_take && !waits_too_long),
+        Some(CapacityOutlook {
+            has_slot: has_none || (may_take && !waits_too_long),
             is_scarce,
             begin_delay,
             age: self.picture_age(now),
@@ -209,7 +209,7 @@
     }
 
     /// Returns the requests a second that back ends of a service begin where all their slots are taken.
-    pub fn begin_rate(&self, now: Instant, wanted: &Wanted<'_>) -> f64 {
+    pub fn begin_rate(&self, now: Instant, wanted: &BackendRequirements<'_>) -> f64 {
         let usable = self.usable(now, wanted);
         let slots = usable.iter().map(|state| state.slots());
         self.room(wanted.service).begin_rate(slots.sum())
@@ -222,7 +222,7 @@
 
     fn placement(&self) -> Placement {
         match self.picture_interval > CURRENT_PICTURE {
-            true => Placement::ByRoom,
+            true => Placement::ByCapacity,
             false => Placement::LeastLoaded,
         }
     }
@@ -232,7 +232,7 @@
 /// does in time, and is better than none.
 fn quick_enough<'a>(
     now: Instant,
-    wanted: &Wanted<'_>,
+    wanted: &BackendRequirements<'_>,
     room: &ServiceRoom,
     states: Vec<&'a State>,
 ) -> Vec<&'a State> {
--- a/crates/firshore-gateway/src/forward/admit.rs
+++ b/crates/firshore-gateway/src/forward/admit.rs
@@ -2,14 +2,14 @@
 
 use super::{Forwarding, Handled, Interrupted, guarded};
 use crate::caller_connection::CallerConnection;
-use crate::fleet::Wanted;
+use crate::fleet::BackendRequirements;
 use crate::metrics::AdmissionEnd;
 use crate::overload::LinePlace;
 use crate::refusal::Refusal;
 use firshore_adapter::backend::Backend;
-use firshore_admission::admission::{self, Admission, AdmissionAsk, RoomOutlook, ShareStanding};
-use firshore_admission::returns::ReturnTime;
-use firshore_admission::shares::{CallerRank, ShareAsk};
+use firshore_admission::admission::{self, Admission, AdmissionRequest, CapacityOutlook, ShareStatus};
+use firshore_admission::returns::RetryTime;
+use firshore_admission::shares::{CallerRank, ShareRequest};
 use firshore_limits::report::TenantDigest;
 use firshore_types::error::ErrorCode;
 use slog::info;
@@ -25,7 +25,7 @@
     /// To none: none may take it.
     Nobody,
     /// To none: it would begin too late.
-    NoRoom(RoomOutlook),
+    NoRoom(CapacityOutlook),
 }
 
 impl Forwarding<'_> {
@@ -93,22 +93,22 @@
         bought.unwrap_or(self.route.priority)
     }
 
-    fn ask(&self, behind_others: bool) -> AdmissionAsk {
+    fn ask(&self, behind_others: bool) -> AdmissionRequest {
         let timeout = self.route.timeout;
-        AdmissionAsk {
+        AdmissionRequest {
             objective: self.route.objective,
             timeout,
             time_left: self.terms.deadline.unwrap_or(timeout),
             age: self.request.arrived.elapsed(),
-            standing: self.standing.get().unwrap_or(ShareStanding::Within),
+            standing: self.standing.get().unwrap_or(ShareStatus::Within),
             behind_others,
-            node_leaves: self.gateway.leaving.is_leaving(),
+            node_is_draining: self.gateway.leaving.is_leaving(),
         }
     }
 
-    fn share_ask(&self) -> Option<ShareAsk<'_>> {
+    fn share_ask(&self) -> Option<ShareRequest<'_>> {
         let tenant = self.tenant.as_deref()?;
-        Some(ShareAsk {
+        Some(ShareRequest {
             service: &self.service,
             tenant: TenantDigest::from(&tenant.name),
             rank: CallerRank::new(tenant.priority, self.route.priority),
@@ -136,8 +136,8 @@
         self.standing.set(Some(shares.standing(now, &ask, room)));
     }
 
-    fn wanted(&self) -> Wanted<'_> {
-        Wanted {
+    fn wanted(&self) -> BackendRequirements<'_> {
+        BackendRequirements {
             service: &self.service,
             attempts: &self.attempts,
             affinity: None,
@@ -147,7 +147,7 @@
         }
     }
 
-    fn outlook(&self, now: Instant, ask: &AdmissionAsk) -> Option<RoomOutlook> {
+    fn outlook(&self, now: Instant, ask: &AdmissionRequest) -> Option<CapacityOutlook> {
         let fleet = self.gateway.fleet.borrow();
         fleet.outlook(now, &self.wanted(), ask.begin_within())
     }
@@ -163,7 +163,7 @@
     /// Refuses a request that would begin too late: its caller is told when to come back.
     pub(super) async fn refuse_without_room(
         &mut self,
-        outlook: RoomOutlook,
+        outlook: CapacityOutlook,
         connection: &mut CallerConnection,
     ) -> Handled {
         let end = AdmissionEnd::Refused;
@@ -186,9 +186,9 @@
 
     /// When the caller is to come back. One that has come back already hardly comes again, and takes no place of
     /// others.
-    fn return_time(&self) -> ReturnTime {
+    fn return_time(&self) -> RetryTime {
         let (now, time_left) = (Instant::now(), self.remaining());
-        let last = ReturnTime::Beyond(time_left.mul_f64(RETURN_SHARE));
+        let last = RetryTime::Beyond(time_left.mul_f64(RETURN_SHARE));
         if self.ask(false).has_returned() {
             return last;
         }
--- a/crates/firshore-gateway/src/forward/mod.rs
+++ b/crates/firshore-gateway/src/forward/mod.rs
@@ -13,7 +13,7 @@
 use crate::choice::affinity_key;
 use crate::events::EventStream;
 use crate::fleet::endpoint;
-use crate::fleet::{Impression, Wanted};
+use crate::fleet::{BackendOutcome, BackendRequirements};
 use crate::gateway::Gateway;
 use crate::metrics::RequestEnd;
 use actix_http::header::HOST;
@@ -25,8 +25,8 @@
 use firshore_adapter::incarnation::Incarnation;
 use firshore_adapter::route::Route;
 use firshore_adapter::tenant::Tenant;
-use firshore_admission::admission::ShareStanding;
-use firshore_crashes::print::{AskedRequest, RequestPrint};
+use firshore_admission::admission::ShareStatus;
+use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
 use firshore_crashes::report::LostRun;
 use firshore_exchange::exchange::{self, Exchange, ExchangeError, Reuse};
 use firshore_types::ids::ServiceName;
@@ -112,9 +112,9 @@
     /// The last send.
     last_send: Option<LastSend>,
     /// What it asks, once somebody wanted to know.
-    print: OnceCell<RequestPrint>,
+    print: OnceCell<RequestFingerprint>,
     /// Whether its tenant is within its share, once the service was full.
-    standing: Cell<Option<ShareStanding>>,
+    standing: Cell<Option<ShareStatus>>,
     /// How it ended for the caller.
     end: RequestEnd,
 }
@@ -186,7 +186,7 @@
             if self.remaining() < LEAST_REMAINING {
                 return Err(Interrupted::TimedOut);
             }
-            if let Some(wait) = self.gateway.held_back_for(|| self.print()) {
+            if let Some(wait) = self.gateway.quarantined_for(|| self.print()) {
                 return Ok(self.hold_back(wait, connection).await);
             }
             let backend = match self.find_backend(connection).await? {
@@ -244,12 +244,12 @@
     }
 
     /// What stands for the request at all nodes, whatever identifier it came with.
-    fn print(&self) -> RequestPrint {
+    fn print(&self) -> RequestFingerprint {
         let make = || {
             let host = self.request.headers.get(HOST);
             let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
             let target = self.request.uri.path_and_query();
-            self.gateway.print_key.print(&AskedRequest {
+            self.gateway.fingerprint_key.print(&FingerprintInput {
                 tenant: self.tenant.as_deref().map(|tenant| &tenant.name),
                 host,
                 method: self.request.method.as_str(),
@@ -269,7 +269,7 @@
             true => affinity_key(&self.terms.prompt),
             false => None,
         };
-        let wanted = Wanted {
+        let wanted = BackendRequirements {
             service: &self.service,
             attempts: &self.attempts,
             affinity,
@@ -315,7 +315,7 @@
             Ok(to_backend) => to_backend,
             Err(_) => {
                 self.gateway
-                    .observed(&backend.incarnation, Impression::Unreachable);
+                    .observed(&backend.incarnation, BackendOutcome::Unreachable);
                 return Ok(Sent::Ended(SendEnd::NotSent));
             }
         };
@@ -345,7 +345,7 @@
 
     fn lost(&self, backend: &Backend, error: &ExchangeError) -> Sent {
         self.gateway
-            .observed(&backend.incarnation, Impression::Broke);
+            .observed(&backend.incarnation, BackendOutcome::Broke);
         warn!(self.gateway.log, "forward: Answer lost."; "request" => &self.terms.id,
             "backend" => %backend.incarnation, "reason" => %error, "print" => %self.print(),
             "age_ms" => self.age());
@@ -441,8 +441,8 @@
             fleet.reported(Instant::now(), &backend.incarnation, load);
         }
         let seen = match (answer.misdirected, answer.ran) {
-            (true, _) => Impression::Unreachable,
-            (false, Ran::No) => Impression::Full,
+            (true, _) => BackendOutcome::Unreachable,
+            (false, Ran::No) => BackendOutcome::Full,
             (false, _) => return,
         };
         self.gateway.observed(&backend.incarnation, seen);
--- a/crates/firshore-gateway/src/forward/relay.rs
+++ b/crates/firshore-gateway/src/forward/relay.rs
@@ -3,8 +3,8 @@
 use super::headers::end_to_end;
 use super::{Forwarding, Handled, Interrupted, KeptFailure, Sent, guarded};
 use crate::attempts::SendEnd;
-use crate::caller_connection::{CallerConnection, CallerGone};
-use crate::fleet::Impression;
+use crate::caller_connection::{CallerConnection, CallerDisconnected};
+use crate::fleet::BackendOutcome;
 use actix_http::ResponseHead;
 use actix_http::body::BodySize;
 use actix_http::header::CONTENT_LENGTH;
@@ -43,8 +43,8 @@
             return Ok(self.lost(backend, &error));
         }
         let seen = match head.status.is_server_error() {
-            true => Impression::Failed,
-            false => Impression::Answered,
+            true => BackendOutcome::Failed,
+            false => BackendOutcome::Answered,
         };
         self.gateway.observed(&backend.incarnation, seen);
         if promises_not_run(&head) {
@@ -187,7 +187,7 @@
             return Ok(self.stream_broke(backend, &error));
         }
         self.gateway
-            .observed(&backend.incarnation, Impression::Answered);
+            .observed(&backend.incarnation, BackendOutcome::Answered);
         self.note_completed(&exchange.head);
         if !self.progress.head_sent {
             self.put_stream_head(&exchange.head, connection);
@@ -203,7 +203,7 @@
         let deadline = tokio::time::Instant::from_std(self.deadline);
         match tokio::time::timeout_at(deadline, connection.flush()).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(CallerGone)) => Err(Interrupted::CallerLeft),
+            Ok(Err(CallerDisconnected)) => Err(Interrupted::CallerLeft),
             Err(_) => Err(Interrupted::TimedOut),
         }
     }
--- a/crates/firshore-gateway/src/gateway.rs
+++ b/crates/firshore-gateway/src/gateway.rs
@@ -1,12 +1,12 @@
 //! What the requests of a node share.
 
-use crate::belief::Beliefs;
+use crate::belief::StoreFreshness;
 use crate::crash_monitor::{CrashCounters, CrashMonitor};
-use crate::fleet::{EntryChange, Fleet, Impression};
+use crate::fleet::{EntryChange, Fleet, BackendOutcome};
 use crate::leaving::Leaving;
 use crate::metrics::GatewayMetrics;
 use crate::overload::OverloadControl;
-use crate::pressure::PressureCount;
+use crate::pressure::PressureCounter;
 use crate::split::Split;
 use firshore_adapter::Adapter;
 use firshore_adapter::backend::Backend;
@@ -16,9 +16,9 @@
 use firshore_adapter::route::Route;
 use firshore_adapter::tenant::Tenant;
 use firshore_admission::shares::ShareTable;
-use firshore_crashes::print::{PrintKey, RequestPrint};
+use firshore_crashes::print::{FingerprintKey, RequestFingerprint};
 use firshore_limits::limiter::{OverLimit, TenantLimiter};
-use firshore_limits::report::{UsageNews, UseReport};
+use firshore_limits::report::{UsageResponse, UsageReport};
 use firshore_metrics::Builder;
 use firshore_types::error::ApiError;
 use firshore_types::ids::ZoneName;
@@ -35,7 +35,7 @@
 use tokio::sync::Notify;
 
 /// A result of the journal.
-pub type JobAnswer<'a, T> = LocalBoxFuture<'a, Result<T, ApiError>>;
+pub type JobFuture<'a, T> = LocalBoxFuture<'a, Result<T, ApiError>>;
 
 /// Keeps batch jobs. Called from callers' requests; answers only what lasts.
 pub trait JobService {
@@ -48,7 +48,7 @@
         route: Arc<Route>,
         job: JobId,
         items: Vec<JobItem>,
-    ) -> JobAnswer<'a, ()>;
+    ) -> JobFuture<'a, ()>;
 
     /// Results from a position on; waits up to `wait` for one. `None`: no such job.
     fn results<'a>(
@@ -56,13 +56,13 @@
         job: JobId,
         from: u64,
         wait: Duration,
-    ) -> JobAnswer<'a, Option<ResultPage>>;
+    ) -> JobFuture<'a, Option<ResultPage>>;
 
     /// Body of an item without a result. `None`: no such item, or it has a result.
-    fn body<'a>(&'a self, job: JobId, item: String) -> JobAnswer<'a, Option<Payload>>;
+    fn body<'a>(&'a self, job: JobId, item: String) -> JobFuture<'a, Option<Payload>>;
 
     /// Ends a job. `false`: no such job.
-    fn end<'a>(&'a self, job: JobId) -> JobAnswer<'a, bool>;
+    fn end<'a>(&'a self, job: JobId) -> JobFuture<'a, bool>;
 }
 
 /// Shared by all connections of a node.
@@ -72,7 +72,7 @@
     /// The environment.
     pub adapter: Adapter,
     /// As of when the store is known, and from whom.
-    pub beliefs: Rc<Beliefs>,
+    pub beliefs: Rc<StoreFreshness>,
     /// Back ends.
     pub fleet: Rc<RefCell<Fleet>>,
     /// The node's way out.
@@ -86,13 +86,13 @@
     /// Woken when a request goes to a back end that has no slot free for it.
     pub crowded: Notify,
     /// How online requests press on services, until it is told.
-    pub pressure: RefCell<PressureCount>,
+    pub pressure: RefCell<PressureCounter>,
     /// Woken when what tenants have asked has to be told at once.
     pub limits_pressing: Notify,
     /// Division of requests among services.
     pub split: RefCell<Split>,
     /// Makes requests known again by what they ask.
-    pub print_key: PrintKey,
+    pub fingerprint_key: FingerprintKey,
     /// Requests under which back ends end.
     pub crashes: Rc<CrashMonitor>,
     /// Requests that wait for room.
@@ -160,7 +160,7 @@
             jobs,
             limiter: TenantLimiter::new(random.random(), rate_span).into(),
             // Known to this node alone, until the cluster's is given.
-            print_key: PrintKey::new(&random.random::<[u8; 32]>()),
+            fingerprint_key: FingerprintKey::new(&random.random::<[u8; 32]>()),
             crashes: Rc::new(crashes),
             overload: Rc::default(),
             shares: ShareTable::new(random.random()).into(),
@@ -176,9 +176,9 @@
     }
 
     /// Has requests known again by a key that all nodes share, and ends of back ends kept for `remember`.
-    pub fn with_crash_memory(self, print_key: PrintKey, remember: Duration) -> Self {
+    pub fn with_crash_memory(self, fingerprint_key: FingerprintKey, remember: Duration) -> Self {
         self.crashes.remember_for(remember);
-        Self { print_key, ..self }
+        Self { fingerprint_key, ..self }
     }
 
     /// A request is about to be sent to a back end.
@@ -232,7 +232,7 @@
     }
 
     /// Takes in a whole listing of back ends.
-    pub fn list_backends(&self, backends: Vec<Backend>) {
+    pub fn replace_backends(&self, backends: Vec<Backend>) {
         let incarnations: Vec<Incarnation> =
             backends.iter().map(|one| one.incarnation.clone()).collect();
         let changes = self.fleet.borrow_mut().replace(backends);
@@ -242,7 +242,7 @@
     }
 
     /// Takes in a back end that was added or has changed.
-    pub fn list_backend(&self, backend: Backend) {
+    pub fn upsert_backend(&self, backend: Backend) {
         let listed = backend.incarnation.clone();
         let change = self.fleet.borrow_mut().upsert(backend);
         self.log_entry(&listed, &change);
@@ -301,8 +301,8 @@
     }
 
     /// What tenants have asked since it was told last; `None` where none has a limit.
-    /// [`Self::learned_uses`] follows.
-    pub fn report_uses(&self, now: Instant) -> Option<UseReport> {
+    /// [`Self::apply_usage_report`] follows.
+    pub fn take_usage_report(&self, now: Instant) -> Option<UsageReport> {
         if !self.has_limits() {
             return None;
         }
@@ -311,13 +311,13 @@
     }
 
     /// Takes in what tenants may still ask, as of a moment; `None`: what was told was not answered.
-    pub fn learned_uses(&self, news: Option<(Instant, &UsageNews)>) {
+    pub fn apply_usage_report(&self, news: Option<(Instant, &UsageResponse)>) {
         let mut limiter = self.limiter.borrow_mut();
         match news {
             Some((at, news)) => limiter.answered(at, news),
             None => return limiter.unanswered(),
         }
-        if let Some((at, demands)) = limiter.known_demand() {
+        if let Some((at, demands)) = limiter.reported_demand() {
             self.shares.borrow_mut().told(at, demands);
         }
     }
@@ -342,26 +342,26 @@
 
     /// Returns for how long a request is still held back, as back ends end under it. What it asks is worked
     /// out only while any request is held back.
-    pub fn held_back_for(&self, print: impl Fn() -> RequestPrint) -> Option<Duration> {
-        match self.crashes.holds_any_back() {
-            true => self.crashes.held_back_for(&print()),
+    pub fn quarantined_for(&self, print: impl Fn() -> RequestFingerprint) -> Option<Duration> {
+        match self.crashes.has_quarantined() {
+            true => self.crashes.quarantined_for(&print()),
             false => None,
         }
     }
 
     /// A request has run to a good end: it does not crash back ends.
-    pub fn completed(&self, print: impl Fn() -> RequestPrint) {
+    pub fn completed(&self, print: impl Fn() -> RequestFingerprint) {
         if self.crashes.suspects_any() {
             self.crashes.completed(print());
         }
     }
 
     /// Takes in what other nodes have under way, as of now, and how far apart such pictures are.
-    pub fn learned_others(&self, others: &HashMap<BackendName, u32>, interval: Duration) {
+    pub fn apply_remote_load(&self, others: &HashMap<BackendName, u32>, interval: Duration) {
         let mut fleet = self.fleet.borrow_mut();
         let mut random = self.random.borrow_mut();
-        fleet.learned_others(Instant::now(), others, &mut *random);
-        fleet.set_picture_interval(interval);
+        fleet.apply_remote_load(Instant::now(), others, &mut *random);
+        fleet.set_view_interval(interval);
         drop(fleet);
         self.overload.room_changed();
     }
@@ -373,7 +373,7 @@
     }
 
     /// Takes in how a back end handled a request.
-    pub fn observed(&self, incarnation: &Incarnation, seen: Impression) {
+    pub fn observed(&self, incarnation: &Incarnation, seen: BackendOutcome) {
         let ejected = self
             .fleet
             .borrow_mut()
--- a/crates/firshore-gateway/src/metrics.rs
+++ b/crates/firshore-gateway/src/metrics.rs
@@ -3,7 +3,7 @@
 //! Labels are of few values: services, and the ends of requests, sends and runs.
 
 use crate::attempts::SendEnd;
-use crate::belief::Beliefs;
+use crate::belief::StoreFreshness;
 use firshore_metrics::{Builder, Counter, EncodeLabelSet, Family, Gauge, Histogram};
 use firshore_types::ids::ServiceName;
 use std::time::Duration;
@@ -202,7 +202,7 @@
     }
 
     /// Sets how old the beliefs of a node are now.
-    pub fn set_belief_ages(&self, beliefs: &Beliefs) {
+    pub fn set_belief_ages(&self, beliefs: &StoreFreshness) {
         let ages = [
             ("configuration", &beliefs.configuration),
             ("backends", &beliefs.backends),
--- a/crates/firshore-gateway/src/overload.rs
+++ b/crates/firshore-gateway/src/overload.rs
@@ -1,7 +1,7 @@
 //! What a node knows and keeps for the requests of a service that has too little room: who waits here.
 
 use firshore_admission::demand::{ArrivalKind, DemandHistory};
-use firshore_admission::returns::{ReturnAsk, ReturnPlan, ReturnTime};
+use firshore_admission::returns::{RetryRequest, RetryPlan, RetryTime};
 use firshore_types::ids::ServiceName;
 use rand::{Rng, RngExt};
 use std::cell::{Cell, RefCell};
@@ -30,14 +30,14 @@
 /// What was asked of a service here, and when those refused were told to come back.
 struct ServiceCalendar {
     history: DemandHistory,
-    plan: ReturnPlan,
+    plan: RetryPlan,
 }
 
 impl ServiceCalendar {
     fn new(now: Instant, phase: f64) -> Self {
         Self {
             history: DemandHistory::new(now),
-            plan: ReturnPlan::new(now, phase),
+            plan: RetryPlan::new(now, phase),
         }
     }
 }
@@ -142,11 +142,11 @@
         service: &ServiceName,
         time_left: Duration,
         random: &mut impl Rng,
-    ) -> Option<ReturnTime> {
+    ) -> Option<RetryTime> {
         let mut calendars = self.calendars.borrow_mut();
         let ServiceCalendar { history, plan } = calendars.get_mut(service)?;
         history.refused(now);
-        let ask = ReturnAsk {
+        let ask = RetryRequest {
             time_left,
             room: history.room(now),
         };
--- a/crates/firshore-gateway/src/pace.rs
+++ b/crates/firshore-gateway/src/pace.rs
@@ -166,7 +166,7 @@
 
 /// How an answer ended that a back end vouches for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerQuality {
+pub enum ResponseQuality {
     /// It is what was asked.
     Good,
     /// The back end failed at it.
@@ -175,11 +175,11 @@
 
 /// Usual pause between events of a service's streams.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct UsualPause {
+pub struct TypicalPause {
     seconds: Option<f32>,
 }
 
-impl UsualPause {
+impl TypicalPause {
     /// Takes in a pause. Returns it as a factor of what was usual before.
     pub fn seen(&mut self, pause: Duration) -> f32 {
         let seconds = pause.as_secs_f32().max(f32::MIN_POSITIVE);
@@ -223,10 +223,10 @@
     }
 
     /// Takes in how an answer ended. A back end that fails fast has slots free all the time and is worth little.
-    pub fn answered(&mut self, now: Instant, quality: AnswerQuality) {
+    pub fn answered(&mut self, now: Instant, quality: ResponseQuality) {
         let good = match quality {
-            AnswerQuality::Good => 1.0,
-            AnswerQuality::Failed => 0.0,
+            ResponseQuality::Good => 1.0,
+            ResponseQuality::Failed => 0.0,
         };
         let part = moved(self.success_part(now), good, ANSWER_WEIGHT);
         self.success = Some(SuccessPart { part, at: now });
--- a/crates/firshore-gateway/src/pressure.rs
+++ b/crates/firshore-gateway/src/pressure.rs
@@ -12,12 +12,12 @@
     pub service: ServiceName,
     /// How often and how.
     #[serde(flatten)]
-    pub figure: PressureFigure,
+    pub figure: PressureCounts,
 }
 
 /// Requests that found too little room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PressureFigure {
+pub struct PressureCounts {
     /// Requests that began to wait for a free slot.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub waiting: u32,
@@ -33,7 +33,7 @@
     *count == 0
 }
 
-impl PressureFigure {
+impl PressureCounts {
     /// Returns how many requests that are, each time that one pressed counted.
     pub fn sum(&self) -> u32 {
         let early = self.waiting.saturating_add(self.late);
@@ -51,11 +51,11 @@
 ///
 /// What is told and does not arrive is not told again: it would count as of now when it is long over.
 #[derive(Debug, Default)]
-pub struct PressureCount {
-    services: BTreeMap<ServiceName, PressureFigure>,
+pub struct PressureCounter {
+    services: BTreeMap<ServiceName, PressureCounts>,
 }
 
-impl PressureCount {
+impl PressureCounter {
     /// A request begins to wait for a free slot, at this node or at a back end.
     pub fn waited(&mut self, service: &ServiceName) {
         let figure = self.figure(service);
@@ -100,9 +100,9 @@
     }
 
     /// The figure of a service; its name is copied once only between two tellings.
-    fn figure(&mut self, service: &ServiceName) -> &mut PressureFigure {
+    fn figure(&mut self, service: &ServiceName) -> &mut PressureCounts {
         if !self.services.contains_key(service) {
-            let none = PressureFigure::default();
+            let none = PressureCounts::default();
             self.services.insert(service.clone(), none);
         }
         self.services
--- a/crates/firshore-gateway/src/refusal.rs
+++ b/crates/firshore-gateway/src/refusal.rs
@@ -1,6 +1,6 @@
 //! The node's own answers: refusals that promise that nothing ran, and failures that do not.
 
-use crate::caller_connection::{CallerConnection, CallerGone};
+use crate::caller_connection::{CallerConnection, CallerDisconnected};
 use actix_http::StatusCode;
 use actix_http::body::BodySize;
 use actix_http::header::{CONTENT_TYPE, HeaderMap, HeaderValue, RETRY_AFTER};
@@ -49,7 +49,7 @@
         &self,
         connection: &mut CallerConnection,
         close: bool,
-    ) -> Result<(), CallerGone> {
+    ) -> Result<(), CallerDisconnected> {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if let Some(wait) = self.retry_after {
--- a/crates/firshore-gateway/tests/access.rs
+++ b/crates/firshore-gateway/tests/access.rs
@@ -4,8 +4,8 @@
 
 use firshore_adapter::jobs::{JobId, JobItem, ResultPage};
 use firshore_adapter::route::Route;
-use firshore_gateway::belief::BeliefSource;
-use firshore_gateway::gateway::{JobAnswer, JobService};
+use firshore_gateway::belief::FreshnessSource;
+use firshore_gateway::gateway::{JobFuture, JobService};
 use firshore_stand_in::adapter::{KEY, TENANT};
 use firshore_stand_in::backend::Play;
 use firshore_types::payload::Payload;
@@ -180,7 +180,7 @@
 }
 
 impl NotedJobs {
-    fn note<'a, T: 'a>(&'a self, job: JobId, answer: T) -> JobAnswer<'a, T> {
+    fn note<'a, T: 'a>(&'a self, job: JobId, answer: T) -> JobFuture<'a, T> {
         self.asked.borrow_mut().push(job);
         std::future::ready(Ok(answer)).boxed_local()
     }
@@ -196,7 +196,7 @@
         _route: Arc<Route>,
         job: JobId,
         _items: Vec<JobItem>,
-    ) -> JobAnswer<'a, ()> {
+    ) -> JobFuture<'a, ()> {
         self.note(job, ())
     }
 
@@ -205,15 +205,15 @@
         job: JobId,
         _from: u64,
         _wait: Duration,
-    ) -> JobAnswer<'a, Option<ResultPage>> {
+    ) -> JobFuture<'a, Option<ResultPage>> {
         self.note(job, None)
     }
 
-    fn body<'a>(&'a self, job: JobId, _item: String) -> JobAnswer<'a, Option<Payload>> {
+    fn body<'a>(&'a self, job: JobId, _item: String) -> JobFuture<'a, Option<Payload>> {
         self.note(job, None)
     }
 
-    fn end<'a>(&'a self, job: JobId) -> JobAnswer<'a, bool> {
+    fn end<'a>(&'a self, job: JobId) -> JobFuture<'a, bool> {
         self.note(job, true)
     }
 }
@@ -338,7 +338,7 @@
         let [no_route, no_key] = unknown.each_ref();
         assert_eq!(status(place.callers, no_route.0, &no_route.1).await, 404);
         belief.limit_age(Duration::from_millis(500));
-        belief.confirm(Instant::now(), BeliefSource::Store);
+        belief.confirm(Instant::now(), FreshnessSource::Store);
         assert_eq!(status(place.callers, no_route.0, &no_route.1).await, 404);
         assert_eq!(status(place.callers, no_key.0, &no_key.1).await, 401);
         actix_rt::time::sleep(Duration::from_millis(600)).await;
@@ -346,7 +346,7 @@
             assert_eq!(status(place.callers, path, headers).await, 503, "{path}");
         }
         assert_eq!(status(place.callers, "/own/", &key("key-a")).await, 200);
-        belief.confirm(Instant::now(), BeliefSource::Store);
+        belief.confirm(Instant::now(), FreshnessSource::Store);
         assert_eq!(status(place.callers, no_route.0, &no_route.1).await, 404);
     });
 }
--- a/crates/firshore-gateway/tests/belief.rs
+++ b/crates/firshore-gateway/tests/belief.rs
@@ -1,16 +1,16 @@
 //! As of when a node knows the store.
 
-use firshore_gateway::belief::{Belief, BeliefSource};
+use firshore_gateway::belief::{Freshness, FreshnessSource};
 use std::time::Duration;
 use tokio::time::Instant;
 
-fn relay() -> BeliefSource {
-    BeliefSource::Relay("n1".into())
+fn relay() -> FreshnessSource {
+    FreshnessSource::Relay("n1".into())
 }
 
 #[test]
 fn a_belief_is_as_old_as_the_moment_that_was_told() {
-    let belief = Belief::default();
+    let belief = Freshness::default();
     assert_eq!(belief.age_ms(), None);
     let told = Instant::now() - Duration::from_secs(3);
     belief.confirm(told, relay());
@@ -21,9 +21,9 @@
 
 #[test]
 fn an_answer_that_tells_of_an_earlier_moment_says_nothing() {
-    let belief = Belief::default();
+    let belief = Freshness::default();
     let now = Instant::now();
-    belief.confirm(now, BeliefSource::Store);
+    belief.confirm(now, FreshnessSource::Store);
     belief.confirm(now - Duration::from_secs(1), relay());
     assert_eq!(belief.as_of(), Some(now));
     assert_eq!(belief.source().as_deref(), Some("store"));
--- a/crates/firshore-gateway/tests/caller_connection.rs
+++ b/crates/firshore-gateway/tests/caller_connection.rs
@@ -5,7 +5,7 @@
 use actix_http::header::HeaderMap;
 use bytes::Bytes;
 use firshore_adapter::configuration::CallerLimits;
-use firshore_gateway::caller_connection::{CallerConnection, CallerGone, Incoming};
+use firshore_gateway::caller_connection::{CallerConnection, CallerDisconnected, Incoming};
 use std::future::pending;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -94,7 +94,7 @@
         connection.put_head(StatusCode::OK, HeaderMap::new(), size, false);
         connection.put_chunk(Bytes::from(vec![b'x'; LONG_BODY]));
         drop(stream);
-        assert_eq!(connection.flush().await, Err(CallerGone));
+        assert_eq!(connection.flush().await, Err(CallerDisconnected));
     });
 }
 
--- a/crates/firshore-gateway/tests/crash_monitor.rs
+++ b/crates/firshore-gateway/tests/crash_monitor.rs
@@ -4,9 +4,9 @@
 
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::Incarnation;
-use firshore_crashes::print::{AskedRequest, RequestPrint};
-use firshore_crashes::report::{CrashReport, LostRun, ReportedEnd};
-use firshore_crashes::sync::CrashQuestion;
+use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
+use firshore_crashes::report::{CrashReport, LostRun, ReportedExit};
+use firshore_crashes::sync::CrashSyncRequest;
 use firshore_stand_in::adapter::HOST;
 use firshore_stand_in::backend::Play;
 use serde_json::{Value, json};
@@ -46,8 +46,8 @@
 
 impl Place {
     /// What stands for a request as [`send`] writes it.
-    fn print(&self, path: &str) -> RequestPrint {
-        self.gateway.print_key.print(&AskedRequest {
+    fn print(&self, path: &str) -> RequestFingerprint {
+        self.gateway.fingerprint_key.print(&FingerprintInput {
             tenant: None,
             host: HOST,
             method: "POST",
@@ -59,7 +59,7 @@
     /// Another node tells that back ends have ended under a request, a second apart.
     fn told_of_ends(&self, path: &str, backends: &[&str]) {
         let print = self.print(path);
-        let ends = backends.iter().enumerate().map(|(idx, name)| ReportedEnd {
+        let ends = backends.iter().enumerate().map(|(idx, name)| ReportedExit {
             backend: (*name).to_owned(),
             started: None,
             age: 1_000 * idx as u64,
@@ -69,7 +69,7 @@
             ends: ends.collect(),
             ..CrashReport::default()
         };
-        let question = CrashQuestion {
+        let question = CrashSyncRequest {
             known: None,
             report,
         };
--- a/crates/firshore-gateway/tests/decisions.rs
+++ b/crates/firshore-gateway/tests/decisions.rs
@@ -6,8 +6,8 @@
 use firshore_adapter::route::{Repetition, Route, RouteTable, WeightedService};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
 use firshore_gateway::choice::{Candidate, Placement, affinity_key, choose};
-use firshore_gateway::events::{EventFault, EventStream, data_of};
-use firshore_gateway::fleet::{Fleet, Impression, Wanted};
+use firshore_gateway::events::{EventError, EventStream, data_of};
+use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
 use firshore_gateway::split::Split;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -43,7 +43,7 @@
 ) -> Option<String> {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let service = "llm".into();
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts,
         affinity,
@@ -234,10 +234,10 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut fleet = fleet(&names);
     let others = names[1..].iter().map(|name| (BackendName::from(*name), 2));
-    fleet.learned_others(now, &others.collect(), &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &others.collect(), &mut ChaCha8Rng::seed_from_u64(1));
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -262,7 +262,7 @@
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b", "c"]);
     let others = HashMap::from([("a".into(), 4), ("b".into(), 2)]);
-    fleet.learned_others(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("c"));
     for _ in 0..3 {
         fleet.started(now, &incarnation("c"));
@@ -312,14 +312,14 @@
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b"]);
-    assert!(fleet.observed(now, &incarnation("a"), Impression::Unreachable));
+    assert!(fleet.observed(now, &incarnation("a"), BackendOutcome::Unreachable));
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
-    assert!(fleet.observed(now, &incarnation("b"), Impression::Unreachable));
+    assert!(fleet.observed(now, &incarnation("b"), BackendOutcome::Unreachable));
     assert!(
         chosen(&fleet, now, &attempts, None).is_some(),
         "any is better than none"
     );
-    fleet.observed(now, &incarnation("b"), Impression::Answered);
+    fleet.observed(now, &incarnation("b"), BackendOutcome::Answered);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
     let later = now + Duration::from_secs(5);
     fleet.started(later, &incarnation("b"));
@@ -364,7 +364,7 @@
     for wrong in ["id: 3\ndata: c\n\n", "id: 5\ndata: e\n\n"] {
         let mut stream = EventStream::after(Some(3));
         let found = if wrong.starts_with("id: 3") { 3 } else { 5 };
-        let fault = EventFault::OutOfOrder(4, found);
+        let fault = EventError::OutOfOrder(4, found);
         assert_eq!(stream.feed(wrong.as_bytes()), Err(fault));
     }
 }
@@ -390,7 +390,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut counts = [0; 5];
     for _ in 0..DRAWS {
-        let found = choose(&candidates, None, Placement::ByRoom, &mut random);
+        let found = choose(&candidates, None, Placement::ByCapacity, &mut random);
         counts[found.unwrap()] += 1;
     }
     let shares = counts.map(|count| f64::from(count) / DRAWS as f64);
@@ -406,7 +406,7 @@
     let now = Instant::now();
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -416,10 +416,10 @@
     };
     let mut fleet = fleet(&["a", "b", "c"]);
     let others = HashMap::from([("a".into(), 4), ("b".into(), 2)]);
-    fleet.learned_others(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for (interval, least, most) in [(100, DRAWS, DRAWS), (400, 100, 240)] {
-        fleet.set_picture_interval(Duration::from_millis(interval));
+        fleet.set_view_interval(Duration::from_millis(interval));
         let chosen = (0..DRAWS).map(|_| fleet.choose(now, &wanted, &mut random).unwrap());
         let idle = incarnation("c");
         let count = chosen.filter(|one| one.incarnation == idle).count();
@@ -439,10 +439,10 @@
     let candidates = [candidate(1, 1.5), candidate(2, 1.0), candidate(3, 2.0)];
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..100 {
-        let found = choose(&candidates, None, Placement::ByRoom, &mut random);
+        let found = choose(&candidates, None, Placement::ByCapacity, &mut random);
         assert_eq!(found, Some(1));
     }
-    assert_eq!(choose(&[], None, Placement::ByRoom, &mut random), None);
+    assert_eq!(choose(&[], None, Placement::ByCapacity, &mut random), None);
 }
 
 #[test]
@@ -458,7 +458,7 @@
                 ..backend("b", "here")
             };
             fleet.replace(vec![backend]);
-            let wanted = Wanted {
+            let wanted = BackendRequirements {
                 service: &service,
                 attempts: &attempts,
                 affinity: None,
@@ -493,7 +493,7 @@
 fn draws(fleet: &Fleet, now: Instant, answer_within: Option<Duration>) -> [usize; 2] {
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -514,7 +514,7 @@
 fn slots_of_a_slow_back_end_count_for_less() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
-    fleet.set_picture_interval(Duration::from_millis(400));
+    fleet.set_view_interval(Duration::from_millis(400));
     reported(&mut fleet, now, "a", 60);
     reported(&mut fleet, now, "b", 180);
     let [fast, slow] = draws(&fleet, now, None);
@@ -523,10 +523,10 @@
         "three times as many: {fast}, {slow}"
     );
     // Where pictures are current, the slow one is passed over until the others are clearly fuller.
-    fleet.set_picture_interval(Duration::from_millis(100));
+    fleet.set_view_interval(Duration::from_millis(100));
     assert_eq!(draws(&fleet, now, None), [2_000, 0]);
     let crowded = HashMap::from([("a".into(), 8)]);
-    fleet.learned_others(now, &crowded, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &crowded, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(draws(&fleet, now, None), [0, 2_000]);
 }
 
@@ -535,7 +535,7 @@
     let now = Instant::now();
     let objective = Some(Duration::from_millis(300));
     let mut fleet = fleet(&["a", "b"]);
-    fleet.set_picture_interval(Duration::from_millis(400));
+    fleet.set_view_interval(Duration::from_millis(400));
     fleet.served(
         &"llm".into(),
         Duration::from_millis(80),
@@ -547,7 +547,7 @@
     let [_, slow] = draws(&fleet, now, None);
     assert!(slow > 100, "without an objective it takes its part: {slow}");
     let full = HashMap::from([("a".into(), 20)]);
-    fleet.learned_others(now, &full, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &full, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(
         draws(&fleet, now, objective),
         [0, 2_000],
@@ -559,14 +559,14 @@
 fn paces_that_other_nodes_heard_count_and_are_not_told_back() {
     let now = Instant::now();
     let (mut one, mut other) = (fleet(&["a", "b"]), fleet(&["a", "b"]));
-    one.set_picture_interval(Duration::from_millis(400));
-    assert_eq!(other.take_untold_paces(), []);
+    one.set_view_interval(Duration::from_millis(400));
+    assert_eq!(other.take_unreported_paces(), []);
     reported(&mut other, now, "b", 300);
-    let paces = other.take_untold_paces();
+    let paces = other.take_unreported_paces();
     assert_eq!(paces.len(), 1);
-    assert_eq!(other.take_untold_paces(), [], "each is told once");
-    one.learned_paces(now, paces);
-    assert_eq!(one.take_untold_paces(), []);
+    assert_eq!(other.take_unreported_paces(), [], "each is told once");
+    one.apply_remote_paces(now, paces);
+    assert_eq!(one.take_unreported_paces(), []);
     let [_, slow] = draws(&one, now, None);
     assert!(
         (400..600).contains(&slow),
@@ -578,11 +578,11 @@
 fn a_back_end_that_fails_fast_is_chosen_less() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
-    fleet.set_picture_interval(Duration::from_millis(400));
+    fleet.set_view_interval(Duration::from_millis(400));
     reported(&mut fleet, now, "a", 100);
     reported(&mut fleet, now, "b", 60);
     for _ in 0..20 {
-        fleet.observed(now, &incarnation("b"), Impression::Failed);
+        fleet.observed(now, &incarnation("b"), BackendOutcome::Failed);
     }
     let [_, failing] = draws(&fleet, now, None);
     assert!(failing < 700, "it would get 1,250 by its pace: {failing}");
@@ -593,17 +593,17 @@
 fn a_service_without_told_paces_is_served_as_before() {
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
-    fleet.set_picture_interval(Duration::from_millis(400));
+    fleet.set_view_interval(Duration::from_millis(400));
     fleet.served(
         &"llm".into(),
         Duration::from_millis(900),
         Duration::from_millis(500),
     );
     for _ in 0..20 {
-        fleet.observed(now, &incarnation("b"), Impression::Failed);
+        fleet.observed(now, &incarnation("b"), BackendOutcome::Failed);
     }
     let others = HashMap::from([("a".into(), 5)]);
-    fleet.learned_others(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
+    fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
     let [half_full, idle] = draws(&fleet, now, Some(Duration::from_millis(300)));
     assert!(
         (600..733).contains(&half_full),
--- a/crates/firshore-gateway/tests/overload/world.rs
+++ b/crates/firshore-gateway/tests/overload/world.rs
@@ -4,9 +4,9 @@
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_adapter::route::Repetition;
-use firshore_admission::admission::{Admission, AdmissionAsk, ShareStanding, decide};
+use firshore_admission::admission::{Admission, AdmissionRequest, ShareStatus, decide};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
-use firshore_gateway::fleet::{Fleet, Impression, Wanted};
+use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
 use firshore_types::ids::ServiceName;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -154,7 +154,7 @@
             Duration::from_secs_f64(random.random_range(scene.picture_interval.clone()));
         let mut fleet = Fleet::new(format!("z{}", number % 3).as_str().into());
         fleet.replace((0..ENGINES).map(listed).collect());
-        fleet.set_picture_interval(picture_interval * 2);
+        fleet.set_view_interval(picture_interval * 2);
         Self {
             fleet,
             waiting: BTreeSet::new(),
@@ -284,16 +284,16 @@
         let asking = &self.requests[request];
         let gateway = &mut self.gateways[asking.gateway];
         gateway.waiting.remove(&place);
-        let ask = AdmissionAsk {
+        let ask = AdmissionRequest {
             objective: OBJECTIVE,
             timeout: TIMEOUT,
             time_left: asking.time_left,
             age: self.now - self.start - asking.arrived,
-            standing: ShareStanding::Within,
+            standing: ShareStatus::Within,
             behind_others: gateway.waiting.first().is_some_and(|first| *first < place),
-            node_leaves: false,
+            node_is_draining: false,
         };
-        let mut wanted = Wanted {
+        let mut wanted = BackendRequirements {
             service: &self.service,
             attempts: &asking.attempts,
             affinity: None,
@@ -375,7 +375,7 @@
         let sent = &mut self.requests[request];
         let fleet = &mut self.gateways[sent.gateway].fleet;
         fleet.reported(self.now, &incarnation, load);
-        fleet.observed(self.now, &incarnation, Impression::Full);
+        fleet.observed(self.now, &incarnation, BackendOutcome::Full);
         fleet.ended(self.now, &incarnation);
         match sent.attempts.ended(&incarnation, SendEnd::NotRun) {
             Next::SendAgain => self.ask(request),
@@ -404,7 +404,7 @@
         let (expected, began_after) = (begun.expected_wait, begun.began_after);
         fleet.began(self.now, &self.service, expected, began_after);
         fleet.reported(self.now, &incarnation, self.engines[engine].load());
-        fleet.observed(self.now, &incarnation, Impression::Answered);
+        fleet.observed(self.now, &incarnation, BackendOutcome::Answered);
     }
 
     fn end(&mut self, engine: usize, request: Option<usize>) {
@@ -438,7 +438,7 @@
         let gateway = &mut self.gateways[teller];
         gateway
             .fleet
-            .learned_others(self.now, &others, &mut self.random);
+            .apply_remote_load(self.now, &others, &mut self.random);
         self.schedule(interval, Event::Picture(teller));
         self.ask_waiting(teller);
     }
--- a/crates/firshore-gateway/tests/pace.rs
+++ b/crates/firshore-gateway/tests/pace.rs
@@ -1,7 +1,7 @@
 //! How long work takes at a back end: what is told, what fades, what streams and failures show.
 
 use firshore_adapter::backend::Pace;
-use firshore_gateway::pace::{AnswerQuality, PaceEstimate, UsualPause};
+use firshore_gateway::pace::{ResponseQuality, PaceEstimate, TypicalPause};
 use std::time::{Duration, Instant};
 
 const NOISE: Duration = Duration::from_millis(600);
@@ -38,7 +38,7 @@
     let now = Instant::now();
     let mut estimate = PaceEstimate::default();
     assert_eq!((estimate.pace(now), estimate.factor(now)), (None, 1.0));
-    estimate.answered(now, AnswerQuality::Failed);
+    estimate.answered(now, ResponseQuality::Failed);
     assert_eq!(estimate.factor(now), 1.0, "its pace is not known");
 }
 
@@ -108,7 +108,7 @@
     let mut estimate = PaceEstimate::default();
     estimate.told(start, told(60));
     for _ in 0..20 {
-        estimate.answered(start, AnswerQuality::Failed);
+        estimate.answered(start, ResponseQuality::Failed);
     }
     assert!(estimate.factor(start) > 2.0);
     assert_near(estimate.pace(start).unwrap(), 0.6);
@@ -116,11 +116,11 @@
     for _ in 0..40 {
         now = after(now, 20);
         estimate.told(now, told(60));
-        estimate.answered(now, AnswerQuality::Good);
+        estimate.answered(now, ResponseQuality::Good);
     }
     assert_near(estimate.factor(now), 0.6);
     // Without requests it is tried again after some seconds.
-    estimate.answered(now, AnswerQuality::Failed);
+    estimate.answered(now, ResponseQuality::Failed);
     let later = after(now, 5_000);
     assert_eq!(Some(estimate.factor(later)), estimate.pace(later));
 }
@@ -128,7 +128,7 @@
 #[test]
 fn pauses_of_streams_show_a_slow_engine_that_tells_nothing() {
     let start = Instant::now();
-    let mut usual = UsualPause::default();
+    let mut usual = TypicalPause::default();
     let mut estimates = [PaceEstimate::default(); 4];
     let pauses = [40, 40, 40, 100].map(Duration::from_millis);
     for round in 0..200 {
@@ -156,7 +156,7 @@
 #[test]
 fn a_few_pauses_or_one_stall_show_nothing() {
     let now = Instant::now();
-    let mut usual = UsualPause::default();
+    let mut usual = TypicalPause::default();
     let mut estimate = PaceEstimate::default();
     for _ in 0..10 {
         estimate.paused(now, usual.seen(Duration::from_millis(40)));
--- a/crates/firshore-gateway/tests/pressure.rs
+++ b/crates/firshore-gateway/tests/pressure.rs
@@ -1,12 +1,12 @@
 //! How online requests press on services, as counted and as it travels.
 
-use firshore_gateway::pressure::{PressureCount, PressureFigure, ServicePressure};
+use firshore_gateway::pressure::{PressureCounter, PressureCounts, ServicePressure};
 use firshore_types::ids::ServiceName;
 
 #[test]
 fn what_pressed_is_told_once() {
     let (chat, desk) = (ServiceName::from("chat"), ServiceName::from("desk"));
-    let mut count = PressureCount::default();
+    let mut count = PressureCounter::default();
     count.waited(&chat);
     count.late(&chat);
     count.late(&chat);
@@ -14,14 +14,14 @@
     count.reported(&chat, 5);
     count.reported(&desk, 0);
     let told = count.take();
-    let chat_figure = PressureFigure {
+    let chat_figure = PressureCounts {
         waiting: 6,
         late: 2,
         refused: 0,
     };
-    let desk_figure = PressureFigure {
+    let desk_figure = PressureCounts {
         refused: 1,
-        ..PressureFigure::default()
+        ..PressureCounts::default()
     };
     assert_eq!(told[0].figure, chat_figure);
     assert_eq!(told[1].figure, desk_figure);
@@ -31,19 +31,19 @@
 
 #[test]
 fn a_service_on_which_nothing_presses_is_not_told() {
-    let mut count = PressureCount::default();
+    let mut count = PressureCounter::default();
     count.reported(&"chat".into(), 0);
     assert_eq!(count.take(), Vec::new());
 }
 
 #[test]
 fn what_others_told_adds_up() {
-    let mut one = PressureCount::default();
-    let mut other = PressureCount::default();
+    let mut one = PressureCounter::default();
+    let mut other = PressureCounter::default();
     one.late(&"chat".into());
     other.late(&"chat".into());
     other.waited(&"desk".into());
-    let mut sum = PressureCount::default();
+    let mut sum = PressureCounter::default();
     sum.told(&one.take());
     sum.told(&other.take());
     let sums: Vec<(String, u32)> = sum
@@ -58,9 +58,9 @@
 fn figures_of_zero_do_not_travel() {
     let pressure = ServicePressure {
         service: "chat".into(),
-        figure: PressureFigure {
+        figure: PressureCounts {
             late: 3,
-            ..PressureFigure::default()
+            ..PressureCounts::default()
         },
     };
     let text = serde_json::to_string(&pressure).unwrap();
--- a/crates/firshore-gateway/tests/room.rs
+++ b/crates/firshore-gateway/tests/room.rs
@@ -4,9 +4,9 @@
 use firshore_adapter::backend::{Backend, ReportedLoad};
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_adapter::route::Repetition;
-use firshore_admission::admission::RoomOutlook;
+use firshore_admission::admission::CapacityOutlook;
 use firshore_gateway::attempts::Attempts;
-use firshore_gateway::fleet::{Fleet, Wanted};
+use firshore_gateway::fleet::{Fleet, BackendRequirements};
 use firshore_types::ids::ServiceName;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -49,7 +49,7 @@
     for _ in 0..100 {
         fleet.served(&"llm".into(), FIRST_EVENT, REST);
     }
-    fleet.set_picture_interval(OLD_PICTURES);
+    fleet.set_view_interval(OLD_PICTURES);
     fleet
 }
 
@@ -62,13 +62,13 @@
         (name, others)
     });
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    fleet.learned_others(now, &others.collect::<HashMap<_, _>>(), &mut random);
+    fleet.apply_remote_load(now, &others.collect::<HashMap<_, _>>(), &mut random);
 }
 
-fn outlook(fleet: &Fleet, now: Instant) -> RoomOutlook {
+fn outlook(fleet: &Fleet, now: Instant) -> CapacityOutlook {
     let service = ServiceName::from("llm");
     let attempts = Attempts::new(Repetition::Idempotent, 1);
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
@@ -94,15 +94,15 @@
 fn a_current_picture_tells_the_wait() {
     let now = Instant::now();
     let mut fleet = fleet(10);
-    fleet.set_picture_interval(Duration::from_millis(30));
+    fleet.set_view_interval(Duration::from_millis(30));
     pictured(&mut fleet, now, &[8; 10]);
     let at = outlook(&fleet, now);
-    assert!(at.has_place, "the first in line begins in time");
+    assert!(at.has_slot, "the first in line begins in time");
     assert!(at.is_scarce);
     let expected = (FIRST_EVENT + REST).mul_f32(1.0 / SLOTS as f32);
     assert!(at.begin_delay.abs_diff(expected) < Duration::from_millis(2));
     pictured(&mut fleet, now, &[12; 10]);
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
     pictured(&mut fleet, now, &[5; 10]);
     assert!(!outlook(&fleet, now).is_scarce);
 }
@@ -112,11 +112,11 @@
 fn one_free_back_end_of_many_is_no_room() {
     let now = Instant::now();
     let mut fleet = fleet(20);
-    fleet.set_picture_interval(Duration::from_millis(30));
+    fleet.set_view_interval(Duration::from_millis(30));
     let mut held = [14; 20];
     held[3] = 2;
     pictured(&mut fleet, now, &held);
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 /// Requests that waited longer than was expected say that others were sent there meanwhile.
@@ -124,22 +124,22 @@
 fn what_came_later_than_expected_is_added_where_a_service_is_full() {
     let now = Instant::now();
     let mut fleet = fleet(10);
-    fleet.set_picture_interval(Duration::from_millis(30));
+    fleet.set_view_interval(Duration::from_millis(30));
     pictured(&mut fleet, now, &[8; 10]);
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     let began_after = FIRST_EVENT + Duration::from_millis(400);
     for _ in 0..10 {
         fleet.began(now, &"llm".into(), Duration::ZERO, began_after);
     }
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
     pictured(&mut fleet, now, &[3; 10]);
     assert!(
-        outlook(&fleet, now).has_place,
+        outlook(&fleet, now).has_slot,
         "a slow one or two were the cause"
     );
     let later = now + Duration::from_secs(2);
     pictured(&mut fleet, later, &[8; 10]);
-    assert!(outlook(&fleet, later).has_place, "it fades");
+    assert!(outlook(&fleet, later).has_slot, "it fades");
 }
 
 #[test]
@@ -148,7 +148,7 @@
     let mut fleet = fleet(10);
     pictured(&mut fleet, now, &[4; 10]);
     let outlook = outlook(&fleet, now);
-    assert!(outlook.has_place);
+    assert!(outlook.has_slot);
     assert!(!outlook.is_scarce);
     assert_eq!(outlook.begin_delay, Duration::ZERO);
 }
@@ -168,8 +168,8 @@
         let others = others.iter().enumerate();
         let others = others.map(|(number, held)| (incarnation(number).name, *held));
         let mut random = ChaCha8Rng::seed_from_u64(u64::from(node));
-        fleet.learned_others(now, &others.collect(), &mut random);
-        dealt += u32::from(outlook(&fleet, now).has_place);
+        fleet.apply_remote_load(now, &others.collect(), &mut random);
+        dealt += u32::from(outlook(&fleet, now).has_slot);
     }
     // Free are 20 places less what each node itself holds; all together must not take them several times.
     assert!(dealt > 0);
@@ -182,16 +182,16 @@
     let mut fleet = fleet(4);
     fleet.started(now, &incarnation(2));
     pictured(&mut fleet, now, &[8; 4]);
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
     fleet.ended(now, &incarnation(2));
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     let later = now + Duration::from_millis(60);
-    assert!(!outlook(&fleet, later).has_place, "others have seen it");
+    assert!(!outlook(&fleet, later).has_slot, "others have seen it");
     fleet.started(now, &incarnation(1));
     fleet.ended(now, &incarnation(1));
     let at = outlook(&fleet, now);
     assert!(
-        at.has_place,
+        at.has_slot,
         "the one of the second back end is still there"
     );
 }
@@ -203,9 +203,9 @@
     fleet.started(now, &incarnation(0));
     pictured(&mut fleet, now, &[7]);
     fleet.ended(now, &incarnation(0));
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     fleet.started(now, &incarnation(0));
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 #[test]
@@ -215,7 +215,7 @@
     fleet.started(now, &incarnation(0));
     pictured(&mut fleet, now, &[9]);
     fleet.ended(now, &incarnation(0));
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 /// Requests of short work may wait for many others and still begin in time.
@@ -227,9 +227,9 @@
         fleet.served(&"llm".into(), Duration::from_millis(15), Duration::ZERO);
     }
     pictured(&mut fleet, now, &[20; 2]);
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     pictured(&mut fleet, now, &[60; 2]);
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 /// A third of the gateways is cut off from the others, not from back ends: pictures show two thirds of
@@ -258,13 +258,13 @@
     let mut fleet = fleet(20);
     reported(&mut fleet, now, 3, 3, 0);
     let at = outlook(&fleet, now);
-    assert!(at.has_place);
+    assert!(at.has_slot);
     for number in 0..20 {
         reported(&mut fleet, now, number, SLOTS, 1);
     }
     let at = outlook(&fleet, now);
     assert!(at.is_scarce);
-    assert!(!at.has_place);
+    assert!(!at.has_slot);
 }
 
 #[test]
@@ -286,17 +286,17 @@
     let mut fleet = idle_fleet(20);
     let mut sent = 0;
     for number in 0..20 {
-        if outlook(&fleet, start).has_place {
+        if outlook(&fleet, start).has_slot {
             fleet.started(start, &incarnation(number));
             sent += 1;
         }
     }
     assert_eq!(sent, 4);
     let later = start + Duration::from_millis(400);
-    assert!(outlook(&fleet, later).has_place, "it goes on trying");
+    assert!(outlook(&fleet, later).has_slot, "it goes on trying");
     reported(&mut fleet, later, 0, 2, 0);
     let at = outlook(&fleet, later);
-    assert!(at.has_place);
+    assert!(at.has_slot);
     assert!(!at.is_scarce);
 }
 
@@ -333,13 +333,13 @@
     for number in 0..4 {
         fleet.started(now, &incarnation(number));
     }
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
     fleet.began(now, &"llm".into(), Duration::ZERO, FIRST_EVENT);
-    assert!(outlook(&fleet, now).has_place);
+    assert!(outlook(&fleet, now).has_slot);
     for _ in 0..20 {
         fleet.began(now, &"llm".into(), Duration::ZERO, REST);
     }
-    assert!(!outlook(&fleet, now).has_place);
+    assert!(!outlook(&fleet, now).has_slot);
 }
 
 /// Others keep their places by their own ends: a node that has started later would refuse everybody.
@@ -348,19 +348,19 @@
     for pictures in [Duration::from_millis(30), OLD_PICTURES] {
         let now = Instant::now();
         let mut fleet = idle_fleet(4);
-        fleet.set_picture_interval(pictures);
+        fleet.set_view_interval(pictures);
         pictured(&mut fleet, now, &[20; 4]);
-        assert!(outlook(&fleet, now).has_place, "{pictures:?}");
+        assert!(outlook(&fleet, now).has_slot, "{pictures:?}");
         assert!(finds_backend(&fleet, now), "{pictures:?}");
         fleet.started(now, &incarnation(1));
-        assert!(!outlook(&fleet, now).has_place, "{pictures:?}");
+        assert!(!outlook(&fleet, now).has_slot, "{pictures:?}");
     }
 }
 
 fn finds_backend(fleet: &Fleet, now: Instant) -> bool {
     let service = ServiceName::from("llm");
     let attempts = Attempts::new(Repetition::Idempotent, 1);
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
--- a/crates/firshore-gateway/tests/successors.rs
+++ b/crates/firshore-gateway/tests/successors.rs
@@ -12,9 +12,9 @@
 use firshore_adapter::decode::Decoder;
 use firshore_adapter::objects::Object;
 use firshore_adapter::route::Repetition;
-use firshore_crashes::print::{AskedRequest, RequestPrint};
+use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
 use firshore_gateway::attempts::{Attempts, Next, SendEnd};
-use firshore_gateway::fleet::{Fleet, Impression, Wanted};
+use firshore_gateway::fleet::{Fleet, BackendOutcome, BackendRequirements};
 use firshore_stand_in::adapter::{HOST, Plain};
 use firshore_stand_in::backend::{EVENTS, Play, ScriptedBackend};
 use rand::SeedableRng;
@@ -85,7 +85,7 @@
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut found: Vec<Backend> = Vec::new();
     for _ in 0..200 {
-        let wanted = Wanted {
+        let wanted = BackendRequirements {
             service: &service,
             attempts: &attempts,
             affinity: None,
@@ -110,7 +110,7 @@
         listed("b", 2, 1_000),
     );
     let mut fleet = fleet(&[old.clone(), other]);
-    fleet.observed(now, &old.incarnation, Impression::Unreachable);
+    fleet.observed(now, &old.incarnation, BackendOutcome::Unreachable);
     assert!(!chosen(&fleet, now).contains(&old), "it is ejected");
     fleet.upsert(new.clone());
     assert!(chosen(&fleet, now).contains(&new));
@@ -137,7 +137,7 @@
     // What the old process had under way ends late and says nothing of the new one.
     fleet.ended(now, &old.incarnation);
     fleet.reported(now, &old.incarnation, load);
-    fleet.observed(now, &old.incarnation, Impression::Unreachable);
+    fleet.observed(now, &old.incarnation, BackendOutcome::Unreachable);
     assert_eq!(fleet.load(now, &new.incarnation), Some(0.1));
     assert_eq!(chosen(&fleet, now), [new]);
 }
@@ -213,8 +213,8 @@
         self.gateway.fleet.borrow_mut().upsert(entry.decode());
     }
 
-    fn print(&self, path: &str) -> RequestPrint {
-        self.gateway.print_key.print(&AskedRequest {
+    fn print(&self, path: &str) -> RequestFingerprint {
+        self.gateway.fingerprint_key.print(&FingerprintInput {
             tenant: None,
             host: HOST,
             method: "POST",
--- a/crates/firshore-gateway/tests/suspended.rs
+++ b/crates/firshore-gateway/tests/suspended.rs
@@ -4,8 +4,8 @@
 mod support;
 
 use firshore_adapter::tenant::{RateLimit, Tenant};
-use firshore_gateway::belief::BeliefSource;
-use firshore_limits::report::{TenantDigest, TenantPicture, UsageNews};
+use firshore_gateway::belief::FreshnessSource;
+use firshore_limits::report::{TenantDigest, TenantView, UsageResponse};
 use firshore_stand_in::backend::Play;
 use serde_json::json;
 use std::time::Duration;
@@ -23,7 +23,7 @@
         let place = place(configuration, &[&[]], Play::Whole).await;
         let belief = &place.gateway.beliefs.configuration;
         belief.limit_age(Duration::from_secs(2));
-        belief.confirm(firshore_clock::now(), BeliefSource::Store);
+        belief.confirm(firshore_clock::now(), FreshnessSource::Store);
         assert_eq!(status(place.callers).await, 404);
         firshore_clock::simulate_suspension(SUSPENSION);
         assert_eq!(status(place.callers).await, 503);
@@ -52,21 +52,21 @@
                 burst: 1_000.0,
             }),
         };
-        let picture = TenantPicture {
+        let picture = TenantView {
             tenant: TenantDigest::from(&ann.name),
             left: 1_000.0,
             next: 1_000.0,
             demand: 1_000.0,
         };
-        let news = UsageNews {
+        let news = UsageResponse {
             pictures: vec![picture],
             ledger: 1,
             complete: true,
         };
         let _ = place.gateway.admit(&ann);
         let now = firshore_clock::now().into_std();
-        place.gateway.report_uses(now);
-        place.gateway.learned_uses(Some((now, &news)));
+        place.gateway.take_usage_report(now);
+        place.gateway.apply_usage_report(Some((now, &news)));
         let admitted = || {
             (0..300)
                 .filter(|_| place.gateway.admit(&ann).is_ok())
--- a/crates/firshore-gateway/tests/uneven.rs
+++ b/crates/firshore-gateway/tests/uneven.rs
@@ -5,7 +5,7 @@
 use firshore_adapter::incarnation::Incarnation;
 use firshore_adapter::route::Repetition;
 use firshore_gateway::attempts::Attempts;
-use firshore_gateway::fleet::{Fleet, Wanted};
+use firshore_gateway::fleet::{Fleet, BackendRequirements};
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -136,12 +136,12 @@
         leaving: false,
     });
     fleet.replace(listed.collect());
-    fleet.set_picture_interval(Duration::from_millis(PICTURE_INTERVAL));
+    fleet.set_view_interval(Duration::from_millis(PICTURE_INTERVAL));
     fleet
 }
 
 fn exchange(fleets: &mut [Fleet], at: Instant, random: &mut impl Rng) {
-    let mut paces: Vec<_> = fleets.iter_mut().map(Fleet::take_untold_paces).collect();
+    let mut paces: Vec<_> = fleets.iter_mut().map(Fleet::take_unreported_paces).collect();
     for told in &mut paces {
         told.sort_by_key(|one| one.backend.clone());
     }
@@ -153,9 +153,9 @@
                 *others.entry(name.clone()).or_default() += count;
             }
         }
-        fleet.learned_others(at, &others, random);
+        fleet.apply_remote_load(at, &others, random);
         for (_, told) in paces.iter().enumerate().filter(|(one, _)| *one != number) {
-            fleet.learned_paces(at, told.clone());
+            fleet.apply_remote_paces(at, told.clone());
         }
     }
 }
@@ -169,7 +169,7 @@
     let (mut world, start) = (World::new(), Instant::now());
     let mut fleets: Vec<Fleet> = (0..GATEWAYS).map(|_| gateway()).collect();
     let (service, attempts) = ("llm".into(), Attempts::new(Repetition::Idempotent, 1));
-    let wanted = Wanted {
+    let wanted = BackendRequirements {
         service: &service,
         attempts: &attempts,
         affinity: None,
--- a/crates/firshore-limits/src/ledger.rs
+++ b/crates/firshore-limits/src/ledger.rs
@@ -1,7 +1,7 @@
 //! What all tenants were admitted of late, on the node that all others tell, directly or through relays.
 
 use crate::demand::DemandTable;
-use crate::report::{Quota, TenantDigest, TenantPicture, TenantUse, UsageNews, UseReport};
+use crate::report::{Quota, TenantDigest, TenantView, TenantUsage, UsageResponse, UsageReport};
 use crate::window::AdmittedWindow;
 use crate::{SHARE_RESERVATION, SILENT_GROWTH};
 use firshore_adapter::tenant::RateLimit;
@@ -100,7 +100,7 @@
     near_at: Option<Instant>,
 }
 
-fn limit(told: &TenantUse) -> RateLimit {
+fn limit(told: &TenantUsage) -> RateLimit {
     RateLimit {
         per_second: told.rate.into(),
         burst: told.burst.into(),
@@ -114,7 +114,7 @@
         began_at: Instant,
         now: Instant,
         span: Duration,
-        told: &TenantUse,
+        told: &TenantUsage,
         assumed: f64,
     ) -> Self {
         let limit = limit(told);
@@ -138,7 +138,7 @@
         }
     }
 
-    fn set_limit(&mut self, span: Duration, version: u64, told: &TenantUse) {
+    fn set_limit(&mut self, span: Duration, version: u64, told: &TenantUsage) {
         if version < self.version {
             return;
         }
@@ -192,16 +192,16 @@
     }
 
     /// Little is left, as far as is known: not all nodes have told yet what they have admitted.
-    fn cap_left(&self, picture: TenantPicture) -> TenantPicture {
+    fn cap_left(&self, picture: TenantView) -> TenantView {
         let most = (self.quota.requests * LEFT_MEANWHILE).max(1.0) as f32;
-        TenantPicture {
+        TenantView {
             left: picture.left.min(most),
             ..picture
         }
     }
 
-    fn picture(&self, now: Instant, tenant: TenantDigest) -> TenantPicture {
-        TenantPicture {
+    fn picture(&self, now: Instant, tenant: TenantDigest) -> TenantView {
+        TenantView {
             tenant,
             left: self.left() as f32,
             next: self.admitted.next() as f32,
@@ -231,11 +231,11 @@
     }
 
     /// Takes in what a node or relay tells. Returns what it is told.
-    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UseReport) -> UsageNews {
+    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UsageReport) -> UsageResponse {
         self.heard_of_former |= report.ledger != 0 && report.ledger != self.id;
         let is_first = report.ledger != self.id && self.heard.insert(node.clone());
         let tenants = report.tenants.iter();
-        let mut pictures: Vec<TenantPicture> = tenants
+        let mut pictures: Vec<TenantView> = tenants
             .map(|told| self.told_tenant(now, node, report, told, is_first))
             .collect();
         let named: HashSet<TenantDigest> = pictures.iter().map(|one| one.tenant).collect();
@@ -247,7 +247,7 @@
                 pictures.push(account.picture(now, *tenant));
             }
         }
-        UsageNews {
+        UsageResponse {
             pictures,
             ledger: self.id,
             complete: now.saturating_duration_since(self.began_at) >= COMPLETE_AFTER,
@@ -274,10 +274,10 @@
         &mut self,
         now: Instant,
         node: &NodeName,
-        report: &UseReport,
-        told: &TenantUse,
+        report: &UsageReport,
+        told: &TenantUsage,
         is_first: bool,
-    ) -> TenantPicture {
+    ) -> TenantView {
         let span = self.span;
         let (began_at, id) = (self.began_at, self.id);
         let assumed = match self.heard_of_former {
--- a/crates/firshore-limits/src/limiter.rs
+++ b/crates/firshore-limits/src/limiter.rs
@@ -1,7 +1,7 @@
 //! A node's decision on each request of a tenant with a limit.
 
 use crate::report::{
-    Quota, TenantDemand, TenantDigest, TenantPicture, TenantUse, UsageNews, UseReport,
+    Quota, TenantDemand, TenantDigest, TenantView, TenantUsage, UsageResponse, UsageReport,
 };
 use crate::window::AdmittedWindow;
 use crate::{SHARE_LIFETIME, SILENT_GROWTH, is_pressing};
@@ -148,7 +148,7 @@
 /// What was told last of all tenants.
 #[derive(Debug)]
 struct ToldTenants {
-    named: HashMap<TenantDigest, TenantPicture>,
+    named: HashMap<TenantDigest, TenantView>,
     /// Whether one that is not named is known not to be near its limit.
     complete: bool,
     /// Ledger that told it.
@@ -576,7 +576,7 @@
 
     /// What is to be told now, by a node with this version of the configuration. [`Self::answered`] or
     /// [`Self::unanswered`] follows.
-    pub fn report(&mut self, now: Instant, version: u64) -> UseReport {
+    pub fn report(&mut self, now: Instant, version: u64) -> UsageReport {
         self.tenants.retain(|_, state| !state.is_idle(now));
         let tenants = self.tenants.iter_mut().map(|(tenant, state)| {
             state.average(now);
@@ -586,7 +586,7 @@
             // would have all nodes refuse what is within the limit.
             let most = state.recent.sum().ceil() as i32;
             state.telling = state.telling.min(most);
-            TenantUse {
+            TenantUsage {
                 tenant: *tenant,
                 admitted: state.telling,
                 demand: state.demand,
@@ -597,7 +597,7 @@
                 burst: state.limit.burst as f32,
             }
         });
-        UseReport {
+        UsageReport {
             version,
             ledger: self.told.as_ref().map_or(0, |told| told.ledger),
             relayed: false,
@@ -606,7 +606,7 @@
     }
 
     /// Takes in the answer to the last report, of the moment `at`.
-    pub fn answered(&mut self, at: Instant, news: &UsageNews) {
+    pub fn answered(&mut self, at: Instant, news: &UsageResponse) {
         let named = news.pictures.iter().map(|one| (one.tenant, *one));
         let told = ToldTenants {
             named: named.collect(),
@@ -627,7 +627,7 @@
 
     /// What tenants ask of all nodes, as it was told last, and as of when; `None`: nothing was told. What a tenant
     /// asks beyond its limit is left out where the tenant has asked this node.
-    pub fn known_demand(&self) -> Option<(Instant, impl Iterator<Item = TenantDemand> + '_)> {
+    pub fn reported_demand(&self) -> Option<(Instant, impl Iterator<Item = TenantDemand> + '_)> {
         let told = self.told.as_ref()?;
         let demands = told.named.iter().map(|(tenant, picture)| {
             let state = self.tenants.get(tenant);
--- a/crates/firshore-limits/src/relay.rs
+++ b/crates/firshore-limits/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::demand::DemandTable;
 use crate::is_pressing;
-use crate::report::{TenantDigest, TenantPicture, TenantUse, UsageNews, UseReport};
+use crate::report::{TenantDigest, TenantView, TenantUsage, UsageResponse, UsageReport};
 use crate::window::AdmittedWindow;
 use firshore_types::ids::NodeName;
 use std::collections::{HashMap, HashSet};
@@ -21,11 +21,11 @@
     recent: AdmittedWindow,
     demand: DemandTable,
     /// What was told of it.
-    picture: Option<TenantPicture>,
+    picture: Option<TenantView>,
 }
 
 impl RelayedTenant {
-    fn new(now: Instant, span: Duration, told: &TenantUse) -> Self {
+    fn new(now: Instant, span: Duration, told: &TenantUsage) -> Self {
         Self {
             rate: told.rate,
             burst: told.burst,
@@ -42,9 +42,9 @@
     }
 
     /// The last picture, less what is not in it yet.
-    fn picture(&self) -> Option<TenantPicture> {
+    fn picture(&self) -> Option<TenantView> {
         let picture = self.picture?;
-        Some(TenantPicture {
+        Some(TenantView {
             left: picture.left - (self.pending + self.telling) as f32,
             ..picture
         })
@@ -59,7 +59,7 @@
     ledger: u64,
     tenants: HashMap<TenantDigest, RelayedTenant>,
     /// What was told of tenants of which no node here has told anything.
-    others: HashMap<TenantDigest, TenantPicture>,
+    others: HashMap<TenantDigest, TenantView>,
     /// Nodes that have told this relay.
     met: HashSet<NodeName>,
     /// Span over which rates are counted.
@@ -83,17 +83,17 @@
     }
 
     /// Takes in what a node tells. Returns what it is told.
-    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UseReport) -> UsageNews {
+    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UsageReport) -> UsageResponse {
         self.take_in(now, node, report);
         let known = self.tenants.values().filter_map(RelayedTenant::picture);
-        UsageNews {
+        UsageResponse {
             pictures: known.chain(self.others.values().copied()).collect(),
             ledger: self.ledger,
             complete: self.complete,
         }
     }
 
-    fn take_in(&mut self, now: Instant, node: &NodeName, report: &UseReport) {
+    fn take_in(&mut self, now: Instant, node: &NodeName, report: &UsageReport) {
         // A relay that has just begun knows what its nodes know.
         if self.ledger == 0 {
             self.ledger = report.ledger;
@@ -136,14 +136,14 @@
     }
 
     /// What is to be told now. [`Self::answered`] or [`Self::unanswered`] follows.
-    pub fn report(&mut self, now: Instant) -> UseReport {
+    pub fn report(&mut self, now: Instant) -> UsageReport {
         let mut tenants = Vec::new();
         for (digest, tenant) in &mut self.tenants {
             tenant.demand.forget_old(now);
             tenant.recent.advance(now);
             let sum = tenant.demand.sum(now);
             tenant.telling += std::mem::take(&mut tenant.pending);
-            tenants.push(TenantUse {
+            tenants.push(TenantUsage {
                 tenant: *digest,
                 admitted: tenant.telling,
                 demand: sum.all,
@@ -154,7 +154,7 @@
                 burst: tenant.burst,
             });
         }
-        UseReport {
+        UsageReport {
             version: self.version,
             ledger: self.ledger,
             relayed: true,
@@ -163,7 +163,7 @@
     }
 
     /// Takes in the answer to the last report. Tenants that nobody asks for any more are forgotten.
-    pub fn answered(&mut self, news: &UsageNews) {
+    pub fn answered(&mut self, news: &UsageResponse) {
         self.ledger = news.ledger;
         self.complete = news.complete;
         self.others.clear();
--- a/crates/firshore-limits/src/report.rs
+++ b/crates/firshore-limits/src/report.rs
@@ -19,7 +19,7 @@
 
 /// What a node tells of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TenantUse {
+pub struct TenantUsage {
     /// Tenant.
     #[serde(rename = "t")]
     pub tenant: TenantDigest,
@@ -48,7 +48,7 @@
 
 /// What a node tells of all tenants that asked it a while ago.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct UseReport {
+pub struct UsageReport {
     /// Version of the configuration that the limits stand in.
     #[serde(rename = "v")]
     pub version: u64,
@@ -60,14 +60,14 @@
     pub relayed: bool,
     /// Tenants.
     #[serde(rename = "t")]
-    pub tenants: Vec<TenantUse>,
+    pub tenants: Vec<TenantUsage>,
 }
 
-impl UseReport {
+impl UsageReport {
     /// The report with which a node takes back what it told another before: that one is told no more, and
     /// must not keep the node's share as that of a silent one.
     pub fn retraction(&self) -> Self {
-        let tenants = self.tenants.iter().map(|told| TenantUse {
+        let tenants = self.tenants.iter().map(|told| TenantUsage {
             admitted: 0,
             demand: 0.0,
             recent: 0.0,
@@ -82,7 +82,7 @@
 
 /// What a node is told of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TenantPicture {
+pub struct TenantView {
     /// Tenant.
     #[serde(rename = "t")]
     pub tenant: TenantDigest,
@@ -108,10 +108,10 @@
 
 /// What a node is told of all tenants.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct UsageNews {
+pub struct UsageResponse {
     /// The tenants that the node has told of, and all that are near their limit.
     #[serde(rename = "p")]
-    pub pictures: Vec<TenantPicture>,
+    pub pictures: Vec<TenantView>,
     /// The ledger that it comes from; never 0.
     #[serde(rename = "l")]
     pub ledger: u64,
--- a/crates/firshore-limits/tests/cut_off.rs
+++ b/crates/firshore-limits/tests/cut_off.rs
@@ -5,7 +5,7 @@
 
 use firshore_adapter::tenant::{RateLimit, Tenant};
 use firshore_limits::limiter::{Basis, TenantLimiter};
-use firshore_limits::report::{TenantDigest, TenantPicture, UsageNews};
+use firshore_limits::report::{TenantDigest, TenantView, UsageResponse};
 use std::time::{Duration, Instant};
 use support::{Fleet, Scene, Shape};
 
@@ -102,14 +102,14 @@
 }
 
 /// What is told of a tenant.
-fn news(tenant: &Tenant, left: f32, demand: f32) -> UsageNews {
-    let picture = TenantPicture {
+fn news(tenant: &Tenant, left: f32, demand: f32) -> UsageResponse {
+    let picture = TenantView {
         tenant: TenantDigest::from(&tenant.name),
         left,
         next: 0.0,
         demand,
     };
-    UsageNews {
+    UsageResponse {
         pictures: vec![picture],
         ledger: 1,
         complete: true,
@@ -179,12 +179,12 @@
     let start = Instant::now();
     let tenant = tenant(100.0);
     let mut limiter = TenantLimiter::new(7, SPAN);
-    assert!(limiter.known_demand().is_none());
+    assert!(limiter.reported_demand().is_none());
     limiter.admit(start, &tenant).expect("a first request");
     limiter.report(start, 1);
     for (demand, known) in [(30.0, 30.0), (700.0, 100.0)] {
         limiter.answered(start, &news(&tenant, 400.0, demand));
-        let (at, mut demands) = limiter.known_demand().expect("it was told");
+        let (at, mut demands) = limiter.reported_demand().expect("it was told");
         assert_eq!(at, start);
         let demand = demands.next().expect("one tenant");
         assert_eq!(demand.tenant, TenantDigest::from(&tenant.name));
--- a/crates/firshore-limits/tests/ledger.rs
+++ b/crates/firshore-limits/tests/ledger.rs
@@ -1,19 +1,19 @@
 //! What a ledger tells nodes that move, fall silent, or come from the ledger before.
 
 use firshore_limits::ledger::UsageLedger;
-use firshore_limits::report::{TenantDigest, TenantUse, UseReport};
+use firshore_limits::report::{TenantDigest, TenantUsage, UsageReport};
 use std::time::{Duration, Instant};
 
 const SPAN: Duration = Duration::from_secs(5);
 const TENANT: TenantDigest = TenantDigest(7);
 
 /// A report of a node that is asked `demand` requests a second, and admitted some.
-fn report(ledger: u64, demand: f32, admitted: i32, recent: f32) -> UseReport {
-    UseReport {
+fn report(ledger: u64, demand: f32, admitted: i32, recent: f32) -> UsageReport {
+    UsageReport {
         version: 1,
         ledger,
         relayed: false,
-        tenants: vec![TenantUse {
+        tenants: vec![TenantUsage {
             tenant: TENANT,
             admitted,
             demand,
@@ -91,7 +91,7 @@
     let start = Instant::now();
     let mut ledger = UsageLedger::new(2, start, SPAN);
     let own = report(1, 40.0, 0, 200.0);
-    let relayed = UseReport {
+    let relayed = UsageReport {
         relayed: true,
         ..report(1, 40.0, 0, 300.0)
     };
--- a/crates/firshore-limits/tests/support/mod.rs
+++ b/crates/firshore-limits/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use firshore_limits::ledger::UsageLedger;
 use firshore_limits::limiter::TenantLimiter;
 use firshore_limits::relay::UsageRelay;
-use firshore_limits::report::{UsageNews, UseReport};
+use firshore_limits::report::{UsageResponse, UsageReport};
 use firshore_types::ids::NodeName;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -143,7 +143,7 @@
     limiter: TenantLimiter,
     next_report: Instant,
     /// When the answer to the last report comes, and what it says.
-    answer: Option<(Instant, Option<(Instant, UsageNews)>)>,
+    answer: Option<(Instant, Option<(Instant, UsageResponse)>)>,
     weight: f64,
     dark_until: Instant,
 }
@@ -403,8 +403,8 @@
         now: Instant,
         number: usize,
         name: &NodeName,
-        report: &UseReport,
-    ) -> Option<(Instant, UsageNews)> {
+        report: &UsageReport,
+    ) -> Option<(Instant, UsageResponse)> {
         if !self.scene.relays {
             let leads = now >= self.leaderless_until;
             return leads.then(|| (now, self.ledger.told(now, name, report)));
--- a/crates/firshore-node/src/environment.rs
+++ b/crates/firshore-node/src/environment.rs
@@ -3,7 +3,7 @@
 use crate::observation::{CALM_WAIT, Learned, Terms};
 use crate::refusals::RefusalLog;
 use crate::relay::RelayedKind;
-use crate::relay::asker::RelayAsker;
+use crate::relay::asker::RelayClient;
 use crate::relay::budget::FreshnessBudget;
 use crate::relay::store::RelayedStore;
 use crate::settings::Objects;
@@ -12,7 +12,7 @@
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::objects::{Change, Object};
-use firshore_gateway::belief::Belief;
+use firshore_gateway::belief::Freshness;
 use firshore_gateway::gateway::Gateway;
 use slog::{info, warn};
 use std::cell::RefCell;
@@ -77,10 +77,10 @@
 pub fn follow(
     gateway: &Rc<Gateway>,
     objects: &Objects,
-    asker: impl Fn() -> RelayAsker,
+    asker: impl Fn() -> RelayClient,
 ) -> [Task; 2] {
     let kinds = FollowedKinds::new(gateway, objects);
-    let watcher = |kind: RelayedKind, belief: &Rc<Belief>| {
+    let watcher = |kind: RelayedKind, belief: &Rc<Freshness>| {
         belief.limit_age(kind.budget.bound());
         let direct = gateway.adapter.objects.clone();
         Watcher {
@@ -127,7 +127,7 @@
                     .filter_map(|object| self.decode_backend(object))
                     .collect();
                 info!(self.gateway.log, "fleet: Back ends listed."; "count" => backends.len());
-                self.gateway.list_backends(backends);
+                self.gateway.replace_backends(backends);
             }
             Learned::Changed(changes) => {
                 for change in changes {
@@ -150,7 +150,7 @@
                     info!(gateway.log, "fleet: Back end updated."; "backend" => %backend.incarnation,
                         "service" => %backend.service, "leaving" => backend.leaving,
                         "revision" => object.revision);
-                    gateway.list_backend(backend);
+                    gateway.upsert_backend(backend);
                 }
                 // The former entry is no longer valid: requests could go to a back end of another service.
                 None => {
--- a/crates/firshore-node/src/journal/client.rs
+++ b/crates/firshore-node/src/journal/client.rs
@@ -10,9 +10,9 @@
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::jobs::{JobId, JobItem, ResultPage};
 use firshore_adapter::route::Route;
-use firshore_gateway::gateway::{JobAnswer, JobService};
+use firshore_gateway::gateway::{JobFuture, JobService};
 use firshore_jobs::command::JobHeader;
-use firshore_limits::report::UsageNews;
+use firshore_limits::report::UsageResponse;
 use firshore_link::client::PeerError;
 use firshore_log::placement::Candidate;
 use firshore_log::refusal::JournalRefusal;
@@ -56,7 +56,7 @@
 }
 
 /// What the leader or a relay answers a node that tells its load.
-pub struct OthersLoad {
+pub struct LoadResponse {
     /// Requests that all other nodes have under way at each back end.
     pub counts: HashMap<BackendName, u32>,
     /// Time until this node is to tell again.
@@ -64,13 +64,13 @@
     /// Age of the oldest part of it.
     pub age: Duration,
     /// What tenants may still ask.
-    pub news: Option<UsageNews>,
+    pub news: Option<UsageResponse>,
     /// What back ends told others of their pace a moment ago.
     pub paces: Vec<BackendPace>,
 }
 
-impl OthersLoad {
-    fn new(counts: Vec<BackendCount>, pause: u64, age: u64, news: Option<UsageNews>) -> Self {
+impl LoadResponse {
+    fn new(counts: Vec<BackendCount>, pause: u64, age: u64, news: Option<UsageResponse>) -> Self {
         let counts = counts.into_iter();
         let counts = counts.map(|one| (BackendName::from(one.backend), one.count));
         Self {
@@ -141,7 +141,7 @@
                 || self
                     .contact
                     .get()
-                    .is_hopeless(firshore_clock::now().into_std())
+                    .should_fail_fast(firshore_clock::now().into_std())
             {
                 return Err(unavailable(request.changes() && unknown));
             }
@@ -181,7 +181,7 @@
 
     /// Tells the leader what is under way, `sums` if a relay does so for several nodes. Learns what all
     /// others have. Asks once: what is missed is told again a moment later.
-    pub async fn tell_leader(&self, told: ToldLoad, sums: bool) -> Option<OthersLoad> {
+    pub async fn report_to_leader(&self, told: ToldLoad, sums: bool) -> Option<LoadResponse> {
         let leader = self.leader();
         let target = match leader.or_else(|| self.nodes().pop()) {
             Some(target) => target,
@@ -199,8 +199,8 @@
                 ..
             }) => {
                 *self.leader.borrow_mut() = Some(target);
-                let others = OthersLoad::new(counts, pause, 0, news);
-                Some(OthersLoad { paces, ..others })
+                let others = LoadResponse::new(counts, pause, 0, news);
+                Some(LoadResponse { paces, ..others })
             }
             Tried::Elsewhere(leader) => {
                 *self.leader.borrow_mut() = leader;
@@ -218,7 +218,7 @@
     }
 
     /// Tells a relay what this node has under way, and learns what all others have.
-    pub async fn tell_relay(&self, relay: &NodeName, told: ToldLoad) -> Option<OthersLoad> {
+    pub async fn report_to_relay(&self, relay: &NodeName, told: ToldLoad) -> Option<LoadResponse> {
         match self.tell(relay, told, false).await {
             Tried::Answered(PeerResponse::Load {
                 counts,
@@ -231,8 +231,8 @@
                 if leader.is_some() {
                     *self.leader.borrow_mut() = leader;
                 }
-                let others = OthersLoad::new(counts, pause, age, news);
-                Some(OthersLoad { paces, ..others })
+                let others = LoadResponse::new(counts, pause, age, news);
+                Some(LoadResponse { paces, ..others })
             }
             Tried::Elsewhere(Some(leader)) => {
                 *self.leader.borrow_mut() = Some(leader);
@@ -336,7 +336,7 @@
         route: Arc<Route>,
         job: JobId,
         items: Vec<JobItem>,
-    ) -> JobAnswer<'a, ()> {
+    ) -> JobFuture<'a, ()> {
         async move {
             let terms = route.jobs;
             let give_up_after =
@@ -366,7 +366,7 @@
         job: JobId,
         from: u64,
         wait: Duration,
-    ) -> JobAnswer<'a, Option<ResultPage>> {
+    ) -> JobFuture<'a, Option<ResultPage>> {
         async move {
             let request = PeerRequest::Results {
                 job: job.journal_key(),
@@ -381,7 +381,7 @@
         .boxed_local()
     }
 
-    fn body<'a>(&'a self, job: JobId, item: String) -> JobAnswer<'a, Option<Payload>> {
+    fn body<'a>(&'a self, job: JobId, item: String) -> JobFuture<'a, Option<Payload>> {
         async move {
             let job = job.journal_key();
             let request = PeerRequest::Body { job, item };
@@ -393,7 +393,7 @@
         .boxed_local()
     }
 
-    fn end<'a>(&'a self, job: JobId) -> JobAnswer<'a, bool> {
+    fn end<'a>(&'a self, job: JobId) -> JobFuture<'a, bool> {
         async move {
             let job = job.journal_key();
             match self.ask(PeerRequest::End { job }, Duration::ZERO).await? {
--- a/crates/firshore-node/src/journal/contact.rs
+++ b/crates/firshore-node/src/journal/contact.rs
@@ -33,7 +33,7 @@
 
     /// Returns whether a question is given up unasked: the contact is lost, and another question was
     /// asked a moment ago, whose answer would tell that it is back.
-    pub fn is_hopeless(&self, now: Instant) -> bool {
+    pub fn should_fail_fast(&self, now: Instant) -> bool {
         let recent = |asked_at| now.saturating_duration_since(asked_at) < PROBED_WITHIN;
         self.is_lost(now) && self.asked_at.is_some_and(recent)
     }
--- a/crates/firshore-node/src/journal/duties.rs
+++ b/crates/firshore-node/src/journal/duties.rs
@@ -6,7 +6,7 @@
 use super::retirement::Retirements;
 use crate::environment;
 use crate::observation::Terms;
-use crate::relay::asker::RelayAsker;
+use crate::relay::asker::RelayClient;
 use crate::settings::Objects;
 use crate::task::Task;
 use crate::watcher::{self, Watcher};
@@ -25,7 +25,7 @@
 const LONGEST_WAIT: Duration = Duration::from_secs(5);
 
 /// What a leader follows.
-pub struct Duties {
+pub struct LeaderTasks {
     /// Back ends and configuration.
     pub gateway: Rc<Gateway>,
     /// The journal.
@@ -39,13 +39,13 @@
     ///
     /// A leader that watched the store itself learned of a cut only when its connection was given up, 3 s
     /// later, and ran items at back ends that had left meanwhile.
-    pub asker: Option<MakeAsker>,
+    pub asker: Option<RelayClientFactory>,
 }
 
 /// Makes who asks relays, one for each kind.
-pub type MakeAsker = Rc<dyn Fn() -> RelayAsker>;
+pub type RelayClientFactory = Rc<dyn Fn() -> RelayClient>;
 
-impl Duties {
+impl LeaderTasks {
     /// Runs until the node ends.
     pub async fn run(self) {
         let mut changes = self.journal.replica.changes();
--- a/crates/firshore-node/src/journal/group_keeper.rs
+++ b/crates/firshore-node/src/journal/group_keeper.rs
@@ -1,9 +1,9 @@
 //! What the upkeep of a group's replicas does next: hand leadership over, record the voters, change the
 //! membership, go on alone. No I/O; the time and what the store lists are passed in.
 
-use super::SILENCE_SHARE;
+use super::SILENCE_FRACTION;
 use super::lost_quorum::{self, LeaderlessTime};
-use super::passed_over::PassedOver;
+use super::passed_over::ExcludedDisks;
 use super::registry::VoterRecord;
 use firshore_log::GroupStatus;
 use firshore_log::placement::{Candidate, GroupView, keeps_promises};
@@ -28,7 +28,7 @@
 
 /// What a group is to be.
 #[derive(Clone, Copy, Debug)]
-pub struct KeeperTerms {
+pub struct GroupPolicy {
     /// Voters that the group is to have.
     pub target: usize,
     /// Disks that have to hold what is promised.
@@ -54,7 +54,7 @@
 
 /// What is known at one look.
 #[derive(Clone, Copy, Debug)]
-pub struct KeeperView<'a> {
+pub struct GroupInput<'a> {
     /// This node.
     pub node: &'a NodeName,
     /// What this node's replica told last.
@@ -74,7 +74,7 @@
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeeperStep {
+pub enum GroupAction {
     /// Nothing.
     Rest,
     /// List the nodes that are to be emptied, and look again.
@@ -113,7 +113,7 @@
 }
 
 /// Whether the store names these voters, as this leader wrote them in its term.
-fn is_recorded(view: &KeeperView, voters: &BTreeSet<DiskId>) -> bool {
+fn is_recorded(view: &GroupInput, voters: &BTreeSet<DiskId>) -> bool {
     let record = view.recorded.filter(|_| !view.doubtful);
     record.is_some_and(|record| {
         record.voters == *voters && !record.settled && record.term == view.status.term
@@ -121,7 +121,7 @@
 }
 
 /// Whether a replica's disk is known never to come back: its node has another one by now.
-pub(super) fn is_superseded(view: &KeeperView, disk: DiskId) -> bool {
+pub(super) fn is_superseded(view: &GroupInput, disk: DiskId) -> bool {
     let Some(replica) = view.status.membership.replicas.get(&disk) else {
         return false;
     };
@@ -131,10 +131,10 @@
 
 /// The state of the upkeep on one node.
 #[derive(Debug)]
-pub struct GroupKeeper {
-    terms: KeeperTerms,
+pub struct GroupManager {
+    terms: GroupPolicy,
     /// Disks that were taken in and stayed silent.
-    passed_over: PassedOver,
+    passed_over: ExcludedDisks,
     /// Since when no leader is known.
     leaderless_since: Option<Instant>,
     /// The record of voters as it was seen last, and since when.
@@ -145,12 +145,12 @@
     learner: Option<(DiskId, Instant)>,
 }
 
-impl GroupKeeper {
+impl GroupManager {
     /// Returns the upkeep of a group that is to be as `terms` say.
-    pub fn new(terms: KeeperTerms) -> Self {
+    pub fn new(terms: GroupPolicy) -> Self {
         Self {
             terms,
-            passed_over: PassedOver::default(),
+            passed_over: ExcludedDisks::default(),
             leaderless_since: None,
             recorded: None,
             silent_since: BTreeMap::new(),
@@ -165,14 +165,14 @@
     }
 
     /// Takes in what is known now, and returns what to do.
-    pub fn step(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
+    pub fn step(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
         self.observe(now, view.status);
         self.note_record(now, view.recorded);
         if !view.status.holds_log {
-            return KeeperStep::Rest;
+            return GroupAction::Rest;
         }
         if let Some(history) = later_history(view) {
-            return KeeperStep::JoinHistory(history);
+            return GroupAction::JoinHistory(history);
         }
         if view.status.leads {
             return self.place(now, view);
@@ -180,12 +180,12 @@
         if view.status.leader.is_none() {
             return self.without_leader(now, view);
         }
-        KeeperStep::Rest
+        GroupAction::Rest
     }
 
     /// Returns whether nothing that was promised needs the disk of a node any more, as the leader knows
     /// it.
-    pub fn is_emptied(&self, view: &KeeperView, node: &NodeName) -> bool {
+    pub fn is_drained(&self, view: &GroupInput, node: &NodeName) -> bool {
         let membership = &view.status.membership;
         let mut replicas = membership.replicas.values();
         let holds = replicas.any(|replica| replica.node == *node);
@@ -231,10 +231,10 @@
     }
 
     /// Keeps as many replicas as are to be, on disks that are there.
-    fn place(&mut self, now: Instant, view: &KeeperView) -> KeeperStep {
+    fn place(&mut self, now: Instant, view: &GroupInput) -> GroupAction {
         // A leader that does not know yet who is to be emptied would take such a node in.
         let Some(leaving) = view.leaving else {
-            return KeeperStep::Rest;
+            return GroupAction::Rest;
         };
         let status = view.status;
         let group = self.group(now, view, leaving);
@@ -242,18 +242,18 @@
             && let Some(heir) = group.heir()
         {
             // The next leader takes this replica out of the group.
-            return KeeperStep::StepAside(heir);
+            return GroupAction::StepAside(heir);
         }
         let usable = self.usable(now, view, leaving, group.is_short());
         if !status.membership_committed {
             // Nothing is recorded that might never enter the log.
-            return KeeperStep::Rest;
+            return GroupAction::Rest;
         }
         if let Some(learner) = self.overdue_learner(now, &group)
             && !usable.is_empty()
         {
-            let pause = self.passed_over.stayed_silent(now, learner);
-            return KeeperStep::PassOver(learner, pause);
+            let pause = self.passed_over.record_timeout(now, learner);
+            return GroupAction::PassOver(learner, pause);
         }
         let change = group.next_change(&usable);
         let present = voters_of(&status.membership);
@@ -262,7 +262,7 @@
         };
         let voters = voters_after(&status.membership, &change);
         if voters != present && !is_recorded(view, &voters) {
-            return KeeperStep::Record(VoterRecord {
+            return GroupAction::Record(VoterRecord {
                 gone: gone_before(view, &voters),
                 voters,
                 settled: false,
@@ -277,13 +277,13 @@
             && !present.contains(disk)
         {
             // A learner that never answered: its node is registered, but gone.
-            let pause = self.passed_over.stayed_silent(now, *disk);
-            return KeeperStep::PassOver(*disk, pause);
+            let pause = self.passed_over.record_timeout(now, *disk);
+            return GroupAction::PassOver(*disk, pause);
         }
-        KeeperStep::Change(change)
+        GroupAction::Change(change)
     }
 
-    fn group(&self, now: Instant, view: &KeeperView, leaving: &LeavingNodes) -> GroupView {
+    fn group(&self, now: Instant, view: &GroupInput, leaving: &LeavingNodes) -> GroupView {
         let status = view.status;
         let replicas = || status.membership.replicas.iter();
         let superseded = replicas().filter(|(disk, _)| is_superseded(view, **disk));
@@ -322,7 +322,7 @@
     fn usable(
         &mut self,
         now: Instant,
-        view: &KeeperView,
+        view: &GroupInput,
         leaving: &LeavingNodes,
         short: bool,
     ) -> Vec<Candidate> {
@@ -354,9 +354,9 @@
         usable.into_iter().cloned().collect()
     }
 
-    fn without_leader(&self, now: Instant, view: &KeeperView) -> KeeperStep {
+    fn without_leader(&self, now: Instant, view: &GroupInput) -> GroupAction {
         if !self.is_listed_since(view) {
-            return KeeperStep::Rest;
+            return GroupAction::Rest;
         }
         let since = self.leaderless_since;
         let recorded = self.recorded.as_ref().map(|(_, since)| *since);
@@ -371,13 +371,13 @@
             since.is_some_and(|since| now.saturating_duration_since(since) >= least)
         };
         LeaderlessTime {
-            late: lasts(SILENCE_SHARE),
+            late: lasts(SILENCE_FRACTION),
             overdue: lasts(LONE_SHARE),
         }
     }
 
     /// Whether the store was listed since no leader is known.
-    fn is_listed_since(&self, view: &KeeperView) -> bool {
+    fn is_listed_since(&self, view: &GroupInput) -> bool {
         let since = self.leaderless_since;
         since.is_some_and(|since| view.listed_at.is_some_and(|listed| listed >= since))
     }
@@ -385,7 +385,7 @@
 
 /// Those of these voters whose disks are known to be gone before they become the voters. A record that names
 /// them already was written earlier, when more of them may have been there.
-fn gone_before(view: &KeeperView, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
+fn gone_before(view: &GroupInput, voters: &BTreeSet<DiskId>) -> BTreeSet<DiskId> {
     let recorded = view.recorded.filter(|record| record.voters == *voters);
     if let Some(record) = recorded {
         return record.gone.clone();
@@ -397,31 +397,31 @@
 /// The later history that the record names and that is to be joined: others went on in it, and whoever
 /// stays in the earlier one would write over the record and lead beside them. A disk that is to begin it
 /// does so by going on, unless it still leads.
-fn later_history(view: &KeeperView) -> Option<u64> {
+fn later_history(view: &GroupInput) -> Option<u64> {
     let record = view.recorded?;
     let begins = record.is_begun_by(view.status.disk) && !view.status.leads;
     (record.history > view.status.history && !begins).then_some(record.history)
 }
 
 /// The disk that the only voter left behind and that still holds everything promised, on record.
-fn left_behind(view: &KeeperView) -> Option<DiskId> {
+fn left_behind(view: &GroupInput) -> Option<DiskId> {
     view.recorded.and_then(|record| record.left_behind)
 }
 
 /// Records that the change to these voters is committed.
-fn settle(view: &KeeperView, voters: BTreeSet<DiskId>) -> KeeperStep {
+fn settle(view: &GroupInput, voters: BTreeSet<DiskId>) -> GroupAction {
     let Some(record) = view.recorded else {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     };
     if record.settled && record.voters == voters && !view.doubtful {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     }
     let alone = voters.len() == 1;
     let left_behind = left_behind(view).filter(|disk| alone && !voters.contains(disk));
     // Voters that the record does not name were in force before; whoever is gone by now may have been there.
     let known = record.voters == voters;
     let gone = record.gone.iter().copied().filter(|_| known);
-    KeeperStep::Record(VoterRecord {
+    GroupAction::Record(VoterRecord {
         gone: gone.collect(),
         voters,
         settled: true,
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -7,7 +7,7 @@
 //! A disk that a lone voter left behind needs no such proof. It begins a later history, and the record, which
 //! the lone voter has to write before it promises anything, shuts that one out.
 
-use super::group_keeper::{KeeperStep, KeeperView, LeavingNodes, is_superseded, voters_of};
+use super::group_keeper::{GroupAction, GroupInput, LeavingNodes, is_superseded, voters_of};
 use super::registry::VoterRecord;
 use firshore_replication::replica::Survivors;
 use firshore_replication::types::{DiskId, ReplicaInfo, ReplicaRole};
@@ -29,11 +29,11 @@
 /// Returns what a replica without a leader does. `least` disks have to hold what is promised; `unchanged`
 /// counts from the last change of the record too.
 pub fn step(
-    view: &KeeperView,
+    view: &GroupInput,
     least: usize,
     leaderless: LeaderlessTime,
     unchanged: LeaderlessTime,
-) -> KeeperStep {
+) -> GroupAction {
     let unrecorded = VoterRecord {
         voters: voters_of(&view.status.membership),
         settled: true,
@@ -49,15 +49,15 @@
     }
     if !record.possible().iter().any(|voters| voters.contains(&own)) {
         // It was removed, and asks nobody.
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     }
     let present = voters_of(&view.status.membership);
     let superseded = present.iter().any(|disk| is_superseded(view, *disk));
     if !(leaderless.late || superseded) || !record.tells_groups() {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     }
     let Some(leaving) = view.leaving else {
-        return KeeperStep::ListLeaving;
+        return GroupAction::ListLeaving;
     };
     let possible = possible_groups(view, leaving, record, least);
     let census = census(view, leaving, &possible, leaderless);
@@ -68,17 +68,17 @@
         hold_everything(left, voters, &never_held) && commit_together(&census, voters)
     });
     if !lost_quorum || !certain || !left.contains(&own) {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     }
     match survivors(view, left) {
         Some(replicas) => go_on_with(view, leaving, record, replicas, possible),
-        None => KeeperStep::Rest,
+        None => GroupAction::Rest,
     }
 }
 
 /// Returns the groups that may be in force, and that may have promised something.
 fn possible_groups(
-    view: &KeeperView,
+    view: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     least: usize,
@@ -109,7 +109,7 @@
 /// that a new disk has to catch up, or less where another disk can take their place. Meanwhile what was
 /// promised lies on too few disks, and the next loss that is allowed may take it.
 fn census(
-    view: &KeeperView,
+    view: &GroupInput,
     leaving: &LeavingNodes,
     possible: &[BTreeSet<DiskId>],
     leaderless: LeaderlessTime,
@@ -148,7 +148,7 @@
 }
 
 /// Whether a disk went with a node that was reported as empty.
-fn is_done(view: &KeeperView, leaving: &LeavingNodes, disk: DiskId) -> bool {
+fn is_done(view: &GroupInput, leaving: &LeavingNodes, disk: DiskId) -> bool {
     let mut listed = view.candidates.iter();
     listed.any(|one| one.disk == disk && leaving.done.contains(&one.node))
 }
@@ -159,10 +159,10 @@
 /// the record. Written there first, this disk needs no proof that the other one is gone: whoever stays in
 /// the earlier history is shut out.
 fn step_left_behind(
-    view: &KeeperView,
+    view: &GroupInput,
     record: &VoterRecord,
     unchanged: LeaderlessTime,
-) -> KeeperStep {
+) -> GroupAction {
     let own = view.status.disk;
     let others = record.voters.iter().copied().filter(|disk| *disk != own);
     let (gone, there): (Vec<DiskId>, Vec<DiskId>) =
@@ -171,14 +171,14 @@
         (_, []) => begin_with(view, record, BTreeSet::from([own]), Vec::new(), None),
         ([], [lone]) => {
             if !unchanged.late {
-                return KeeperStep::Rest;
+                return GroupAction::Rest;
             }
             let Some(leaving) = view.leaving else {
-                return KeeperStep::ListLeaving;
+                return GroupAction::ListLeaving;
             };
             let pair = BTreeSet::from([own, *lone]);
             if !unchanged.overdue && !has_replacement(view, leaving, &pair) {
-                return KeeperStep::Rest;
+                return GroupAction::Rest;
             }
             begin_with(view, record, BTreeSet::from([own]), Vec::new(), Some(*lone))
         }
@@ -188,20 +188,20 @@
             let before = vec![record.voters.clone()];
             begin_with(view, record, BTreeSet::from([own, *learner]), before, None)
         }
-        _ => KeeperStep::Rest,
+        _ => GroupAction::Rest,
     }
 }
 
 /// Records that these disks begin the next history. While they have not, one of them may hold what only a
 /// group `before` has committed.
 fn begin_with(
-    view: &KeeperView,
+    view: &GroupInput,
     record: &VoterRecord,
     voters: BTreeSet<DiskId>,
     before: Vec<BTreeSet<DiskId>>,
     left_behind: Option<DiskId>,
-) -> KeeperStep {
-    KeeperStep::Record(VoterRecord {
+) -> GroupAction {
+    GroupAction::Record(VoterRecord {
         voters,
         settled: false,
         term: view.status.term,
@@ -214,14 +214,14 @@
 }
 
 /// Goes on in the history that the record says this disk begins.
-fn begin_history(view: &KeeperView, record: &VoterRecord) -> KeeperStep {
+fn begin_history(view: &GroupInput, record: &VoterRecord) -> GroupAction {
     let Some(replicas) = survivors(view, &record.voters) else {
-        return KeeperStep::Rest;
+        return GroupAction::Rest;
     };
     if view.doubtful {
-        return KeeperStep::Record(record.clone());
+        return GroupAction::Record(record.clone());
     }
-    KeeperStep::ContinueWith(Survivors {
+    GroupAction::ContinueWith(Survivors {
         replicas,
         never_held: BTreeSet::new(),
         left_behind: true,
@@ -230,7 +230,7 @@
 }
 
 /// Returns where these disks are, if all are listed.
-fn survivors(view: &KeeperView, disks: &BTreeSet<DiskId>) -> Option<BTreeMap<DiskId, ReplicaInfo>> {
+fn survivors(view: &GroupInput, disks: &BTreeSet<DiskId>) -> Option<BTreeMap<DiskId, ReplicaInfo>> {
     let place = |disk: &DiskId| {
         let candidate = view.candidates.iter().find(|one| one.disk == *disk)?;
         Some((*disk, candidate.info(ReplicaRole::Voter)))
@@ -239,23 +239,23 @@
 }
 
 fn go_on_with(
-    view: &KeeperView,
+    view: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     replicas: BTreeMap<DiskId, ReplicaInfo>,
     possible: Vec<BTreeSet<DiskId>>,
-) -> KeeperStep {
+) -> GroupAction {
     let voters: BTreeSet<DiskId> = replicas.keys().copied().collect();
     let history = view.status.history;
     if record.voters == voters && !record.settled && !view.doubtful {
-        return KeeperStep::ContinueWith(Survivors {
+        return GroupAction::ContinueWith(Survivors {
             replicas,
             never_held: record.gone.clone(),
             left_behind: false,
             history,
         });
     }
-    KeeperStep::Record(VoterRecord {
+    GroupAction::Record(VoterRecord {
         left_behind: fellow_of(view, leaving, record, &voters),
         voters,
         settled: false,
@@ -270,7 +270,7 @@
 /// Returns the other disk of a pair that one goes on without. Where the pair may not be in force yet, that
 /// disk need not hold what the one promised before with another.
 fn fellow_of(
-    view: &KeeperView,
+    view: &GroupInput,
     leaving: &LeavingNodes,
     record: &VoterRecord,
     voters: &BTreeSet<DiskId>,
@@ -286,7 +286,7 @@
 
 /// Whether a disk beyond these could hold a replica: on any node that is there, as one that is to be
 /// emptied is better than none.
-fn has_replacement(view: &KeeperView, leaving: &LeavingNodes, pair: &BTreeSet<DiskId>) -> bool {
+fn has_replacement(view: &GroupInput, leaving: &LeavingNodes, pair: &BTreeSet<DiskId>) -> bool {
     let mut there = view
         .candidates
         .iter()
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -2,7 +2,7 @@
 //! old jobs.
 
 use super::Journal;
-use super::group_keeper::{GroupKeeper, KeeperStep, KeeperView};
+use super::group_keeper::{GroupManager, GroupAction, GroupInput};
 use super::registry::NodeRecord;
 use super::retirement::Retirements;
 use crate::observation::Learned;
@@ -39,7 +39,7 @@
     /// Nodes that are to be emptied.
     pub retirements: Rc<Retirements>,
     /// Decides on the replicas of the group.
-    pub keeper: RefCell<GroupKeeper>,
+    pub keeper: RefCell<GroupManager>,
 }
 
 /// Runs until the node ends.
@@ -83,14 +83,14 @@
             return;
         }
         let status = self.journal.replica.status();
-        let is_emptied = |node: &NodeName| {
+        let is_drained = |node: &NodeName| {
             let emptied =
-                |keeper: &mut GroupKeeper, view: &KeeperView| keeper.is_emptied(view, node);
+                |keeper: &mut GroupManager, view: &GroupInput| keeper.is_drained(view, node);
             status.leads && self.with_view(&status, true, emptied)
         };
         let log = &self.journal.log;
         self.retirements
-            .report(&self.adapter, log, is_emptied)
+            .report(&self.adapter, log, is_drained)
             .await;
     }
 
@@ -99,7 +99,7 @@
         // Only the leader follows the wishes to empty nodes.
         let followed = status.leads;
         let mut step = self.step(status, followed);
-        if step == KeeperStep::ListLeaving {
+        if step == GroupAction::ListLeaving {
             if !self.list_leaving().await {
                 return;
             }
@@ -107,17 +107,17 @@
         }
         let replica = &self.journal.replica;
         match step {
-            KeeperStep::Rest | KeeperStep::ListLeaving => {}
-            KeeperStep::StepAside(heir) => replica.hand_over(heir).await,
-            KeeperStep::Record(record) => self.journal.registry.record_voters(&record).await,
-            KeeperStep::Change(change) => replica.change(change),
-            KeeperStep::PassOver(disk, pause) => {
+            GroupAction::Rest | GroupAction::ListLeaving => {}
+            GroupAction::StepAside(heir) => replica.hand_over(heir).await,
+            GroupAction::Record(record) => self.journal.registry.record_voters(&record).await,
+            GroupAction::Change(change) => replica.change(change),
+            GroupAction::PassOver(disk, pause) => {
                 info!(self.journal.log, "journal: Disk passed over."; "disk" => %disk,
                     "pause_ms" => pause.as_millis() as u64);
                 replica.change(MembershipChange::Remove(disk));
             }
-            KeeperStep::ContinueWith(survivors) => replica.continue_with(survivors),
-            KeeperStep::JoinHistory(history) => {
+            GroupAction::ContinueWith(survivors) => replica.continue_with(survivors),
+            GroupAction::JoinHistory(history) => {
                 warn!(self.journal.log, "journal: Joins a later history."; "history" => history,
                     "former" => status.history, "led" => status.leads);
                 replica.join_history(history);
@@ -125,7 +125,7 @@
         }
     }
 
-    fn step(&self, status: &GroupStatus, knows_leaving: bool) -> KeeperStep {
+    fn step(&self, status: &GroupStatus, knows_leaving: bool) -> GroupAction {
         let now = Instant::now();
         self.with_view(status, knows_leaving, |keeper, view| keeper.step(now, view))
     }
@@ -135,13 +135,13 @@
         &self,
         status: &GroupStatus,
         knows_leaving: bool,
-        decide: impl FnOnce(&mut GroupKeeper, &KeeperView) -> T,
+        decide: impl FnOnce(&mut GroupManager, &GroupInput) -> T,
     ) -> T {
         let registry = &self.journal.registry;
         let candidates = registry.candidates();
         let leaving = self.retirements.leaving().filter(|_| knows_leaving);
         let recorded = registry.recorded_voters();
-        let view = KeeperView {
+        let view = GroupInput {
             node: &self.node,
             status,
             candidates: &candidates,
--- a/crates/firshore-node/src/journal/messages.rs
+++ b/crates/firshore-node/src/journal/messages.rs
@@ -8,10 +8,10 @@
 use crate::runner::progress_keeper::Leadership;
 use firshore_adapter::jobs::{JobItem, ResultPage};
 use firshore_adapter::objects::Revision;
-use firshore_crashes::sync::{CrashAnswer, CrashQuestion};
+use firshore_crashes::sync::{CrashSyncResponse, CrashSyncRequest};
 use firshore_gateway::pressure::ServicePressure;
 use firshore_jobs::command::JobHeader;
-use firshore_limits::report::{UsageNews, UseReport};
+use firshore_limits::report::{UsageResponse, UsageReport};
 use firshore_log::refusal::JournalRefusal;
 use firshore_replication::message::Envelope;
 use firshore_replication::types::GroupId;
@@ -118,7 +118,7 @@
     },
     /// Back ends that ended, as the sender knows, and a question for what the peer knows.
     #[serde(rename = "x")]
-    Crashes(CrashQuestion),
+    Crashes(CrashSyncRequest),
     /// What the sender has under way at back ends.
     #[serde(rename = "l")]
     Load {
@@ -139,7 +139,7 @@
         pressures: Vec<ServicePressure>,
         /// What tenants have asked the sender, where some have limits.
         #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-        uses: Option<UseReport>,
+        uses: Option<UsageReport>,
         /// What back ends told the sender of their pace since it told last.
         #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
         paces: Vec<BackendPace>,
@@ -184,7 +184,7 @@
         leader: Option<NodeName>,
         /// What tenants may still ask, for a node that told what they have.
         #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-        news: Option<UsageNews>,
+        news: Option<UsageResponse>,
         /// What back ends told others of their pace since the node asked last.
         #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
         paces: Vec<BackendPace>,
@@ -197,7 +197,7 @@
     Changes(RelayedChanges),
     /// Back ends that ended, as the peer knows.
     #[serde(rename = "x")]
-    Crashes(CrashAnswer),
+    Crashes(CrashSyncResponse),
     /// What changed since then is not kept: list anew.
     #[serde(rename = "h")]
     HistoryGone,
--- a/crates/firshore-node/src/journal/mod.rs
+++ b/crates/firshore-node/src/journal/mod.rs
@@ -20,7 +20,7 @@
 use crate::memory::{LOG_SHARE, MemoryBudget, MemoryLedger, MemoryUse};
 use crate::relay::Relay;
 use crate::relay::loads::LoadRelay;
-use crate::runner::progress_keeper::ProgressKeeper;
+use crate::runner::progress_keeper::ProgressStore;
 use crate::settings::{Settings, Storage};
 use crate::task::Task;
 use client::JournalClient;
@@ -34,14 +34,14 @@
 use firshore_replication::replica::Timing;
 use firshore_replication::types::GroupId;
 use firshore_types::ids::NodeName;
-use group_keeper::KeeperTerms;
+use group_keeper::GroupPolicy;
 use messages::{PeerRequest, PeerResponse};
 use missing_results::MissingResults;
 use pending_submissions::PendingSubmissions;
 use registry::Registry;
 use service::{Loads, Service};
 use slog::Logger;
-use standing::{StandingFacts, StandingWatch};
+use standing::{StatusFacts, StatusTracker};
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
 
 /// Part of the time in which a new disk has to hold everything that a replica may be silent before
 /// another disk takes its place: the rest is for learning and for the changes of the group.
-pub const SILENCE_SHARE: f64 = 0.3;
+pub const SILENCE_FRACTION: f64 = 0.3;
 
 /// Silence of a leader after which an election starts, in milliseconds. Jobs are to be accepted
 /// within some hundred milliseconds, also when a leader is lost.
@@ -83,7 +83,7 @@
     (part as usize).clamp(LEAST_LOG_BYTES, MOST_LOG_BYTES)
 }
 
-fn may_promise(replica: &Replica, least: usize) -> bool {
+fn is_durable(replica: &Replica, least: usize) -> bool {
     placement::keeps_promises(&replica.status().membership, least)
 }
 
@@ -106,17 +106,17 @@
     /// What nodes have under way at back ends.
     pub loads: Rc<Loads>,
     /// What items have produced, as leaders told.
-    pub progress: Rc<RefCell<ProgressKeeper>>,
+    pub progress: Rc<RefCell<ProgressStore>>,
     /// Nodes and founders as the store lists them.
     pub registry: Rc<Registry>,
     /// What the group is to be.
-    pub terms: KeeperTerms,
+    pub terms: GroupPolicy,
     /// What is held for peers that wait.
     pub ledger: MemoryLedger,
     /// How the node's memory is divided.
     pub budget: MemoryBudget,
     /// What the journal does for its callers, as this node sees it.
-    pub standing: RefCell<StandingWatch>,
+    pub standing: RefCell<StatusTracker>,
     peers: PeerClient,
     listening: actix_rt::task::JoinHandle<()>,
     _relaying: Task,
@@ -145,7 +145,7 @@
             peers.clone(),
         );
         let lost_disks = settings.cluster.tolerated_disk_losses;
-        let terms = KeeperTerms {
+        let terms = GroupPolicy {
             target: placement::voters_for(lost_disks),
             least: lost_disks as usize + 1,
             catch_up: settings.cluster.catch_up(),
@@ -158,7 +158,7 @@
                 ..Timing::default()
             },
             least: terms.least,
-            replace_after: settings.cluster.catch_up().mul_f64(SILENCE_SHARE),
+            replace_after: settings.cluster.catch_up().mul_f64(SILENCE_FRACTION),
             reserve_bytes: RESERVE_BYTES,
             snapshot_after_bytes: 2 * log_bytes,
             cache_bytes: log_bytes,
@@ -166,7 +166,7 @@
         replica.start(log, replica_settings, transport);
         let listener = TcpListener::bind(settings.listen.peers).await?;
         let loads = Rc::new(Loads::new(settings.tenants.rate_span()));
-        let progress = ProgressKeeper::open(&storage.data_folder)?;
+        let progress = ProgressStore::open(&storage.data_folder)?;
         let progress = Rc::new(RefCell::new(progress));
         let ledger = MemoryLedger::default();
         let budget = settings.limits.memory_budget();
@@ -200,7 +200,7 @@
             terms,
             ledger,
             budget,
-            standing: RefCell::new(StandingWatch::new(Instant::now())),
+            standing: RefCell::new(StatusTracker::new(Instant::now())),
             listening,
             _relaying: Task::spawn(relaying),
             log: log.clone(),
@@ -215,20 +215,20 @@
     }
 
     /// Whether what is committed lies on as many disks as promises need.
-    pub fn may_promise(&self) -> bool {
-        may_promise(&self.replica, self.terms.least)
+    pub fn is_durable(&self) -> bool {
+        is_durable(&self.replica, self.terms.least)
     }
 
     /// What the standing is read from. Whether this node has caught up as a leader, and whether its
     /// items wait for memory, its runner knows.
-    pub fn standing_facts(&self) -> StandingFacts {
+    pub fn status_facts(&self) -> StatusFacts {
         let status = self.replica.status();
         let refused = self.ledger.refused.take();
-        StandingFacts {
+        StatusFacts {
             is_replica: status.membership.replicas.contains_key(&status.disk),
             leads: status.leads,
             knows_leader: status.leader.is_some(),
-            enough_disks: self.may_promise(),
+            enough_disks: self.is_durable(),
             caught_up: false,
             disk_full: status.full,
             memory_full: refused || !self.budget.admits_job(&self.memory_use(), 0),
--- a/crates/firshore-node/src/journal/passed_over.rs
+++ b/crates/firshore-node/src/journal/passed_over.rs
@@ -23,13 +23,13 @@
 
 /// Disks that stayed silent, and until when each is passed over.
 #[derive(Debug, Default)]
-pub struct PassedOver {
+pub struct ExcludedDisks {
     disks: BTreeMap<DiskId, Silence>,
 }
 
-impl PassedOver {
+impl ExcludedDisks {
     /// Takes in that a disk was tried and stayed silent. Returns for how long it is passed over.
-    pub fn stayed_silent(&mut self, now: Instant, disk: DiskId) -> Duration {
+    pub fn record_timeout(&mut self, now: Instant, disk: DiskId) -> Duration {
         let before = self.disks.get(&disk).map(|silence| silence.pause);
         let pause = before.map_or(FIRST_PAUSE, |pause| (pause * 2).min(LONGEST_PAUSE));
         let until = now + pause;
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -236,7 +236,7 @@
     /// Takes in where a node that writes to this one listens, as the store lists it at `revision`. It
     /// is to be answered there, also while the store cannot be asked, or was asked before the node
     /// came to be or moved. What is older than the listing known here is late and says nothing.
-    pub fn heard_from(&self, node: &NodeName, address: SocketAddr, revision: Revision) {
+    pub fn update_address(&self, node: &NodeName, address: SocketAddr, revision: Revision) {
         if self.addresses.read().get(node) == Some(&address) {
             return;
         }
--- a/crates/firshore-node/src/journal/retirement.rs
+++ b/crates/firshore-node/src/journal/retirement.rs
@@ -134,14 +134,14 @@
         &self,
         adapter: &Adapter,
         log: &Logger,
-        is_emptied: impl Fn(&NodeName) -> bool,
+        is_drained: impl Fn(&NodeName) -> bool,
     ) {
         let wishes = self.wishes.borrow().clone();
         for (node, wish) in wishes
             .iter()
             .filter(|(_, wish)| wish.readable && !wish.retirement.done)
         {
-            let progress = match is_emptied(node) {
+            let progress = match is_drained(node) {
                 true => RetirementProgress::Done,
                 false => RetirementProgress::Running,
             };
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -12,16 +12,16 @@
 use crate::relay::Relay;
 use crate::relay::loads::LoadRelay;
 use crate::runner::handover::ProgressDelta;
-use crate::runner::progress_keeper::{Leadership, ProgressKeeper};
+use crate::runner::progress_keeper::{Leadership, ProgressStore};
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::jobs::{JobItem, caller_id};
 use firshore_gateway::crash_monitor::CrashMonitor;
-use firshore_gateway::pressure::PressureCount;
+use firshore_gateway::pressure::PressureCounter;
 use firshore_jobs::command::{Action, JobHeader, Outcome};
 use firshore_jobs::listing::ListedPage;
 use firshore_jobs::table::JobTable;
 use firshore_limits::ledger::UsageLedger;
-use firshore_limits::report::{UsageNews, UseReport};
+use firshore_limits::report::{UsageResponse, UsageReport};
 use firshore_link::listener::Handler;
 use firshore_log::machine::SharedState;
 use firshore_log::placement::may_show;
@@ -64,7 +64,7 @@
 pub(super) struct Service {
     pub(super) replica: Rc<Replica>,
     pub(super) loads: Rc<Loads>,
-    pub(super) progress: Rc<RefCell<ProgressKeeper>>,
+    pub(super) progress: Rc<RefCell<ProgressStore>>,
     pub(super) registry: Rc<Registry>,
     /// Replicas without which nothing is promised.
     pub(super) least: usize,
@@ -92,7 +92,7 @@
     /// What back ends told them of their pace.
     paces: RefCell<PaceTable>,
     /// How online requests of all nodes pressed, until the runner of items takes it.
-    pub pressure: RefCell<PressureCount>,
+    pub pressure: RefCell<PressureCounter>,
     /// Woken when a node has told.
     pub told: Notify,
     /// Woken when a node's requests have found no free slot.
@@ -160,8 +160,8 @@
         now: std::time::Instant,
         term: u64,
         node: &NodeName,
-        uses: &UseReport,
-    ) -> UsageNews {
+        uses: &UsageReport,
+    ) -> UsageResponse {
         let mut kept = self.ledger.borrow_mut();
         let current = kept.take().filter(|one| one.term == term);
         let one = kept.insert(current.unwrap_or_else(|| TermLedger {
@@ -264,7 +264,7 @@
                 revision,
                 envelope,
             } => {
-                self.registry.heard_from(&node, address, revision);
+                self.registry.update_address(&node, address, revision);
                 self.replica.received(node, envelope);
             }
             PeerRequest::Changed { kind, revision } => {
@@ -324,7 +324,7 @@
             }
             _ => {}
         }
-        if request.changes() && !super::may_promise(&replica, self.least) {
+        if request.changes() && !super::is_durable(&replica, self.least) {
             // Too few disks to keep a promise on; others may have them soon.
             let refusal = JournalRefusal::NotLeader { leader: None };
             return std::future::ready(PeerResponse::Refused(refusal)).boxed_local();
--- a/crates/firshore-node/src/journal/standing.rs
+++ b/crates/firshore-node/src/journal/standing.rs
@@ -11,7 +11,7 @@
 
 /// What a standing is read from.
 #[derive(Clone, Copy, Debug)]
-pub struct StandingFacts {
+pub struct StatusFacts {
     /// Whether this node's disk holds a replica.
     pub is_replica: bool,
     /// Whether this replica leads.
@@ -30,7 +30,7 @@
 
 /// What a journal does for its callers, as one node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JournalStanding {
+pub enum JournalStatus {
     /// It leads, takes jobs in and runs their items.
     Serves,
     /// Another node leads.
@@ -49,7 +49,7 @@
     MemoryFull,
 }
 
-impl JournalStanding {
+impl JournalStatus {
     /// Every standing.
     pub const ALL: [Self; 8] = [
         Self::Serves,
@@ -63,7 +63,7 @@
     ];
 
     /// Reads the standing from facts; of several reasons the one that holds back the most.
-    pub fn of(facts: &StandingFacts) -> Self {
+    pub fn of(facts: &StatusFacts) -> Self {
         if !facts.is_replica {
             return Self::Outside;
         }
@@ -103,43 +103,43 @@
     }
 
     /// Returns whether work waits because of it.
-    pub fn holds_back(self) -> bool {
+    pub fn blocks_work(self) -> bool {
         !matches!(self, Self::Serves | Self::Follows | Self::Outside)
     }
 }
 
 /// What the log is to say about a standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StandingReport {
+pub struct StatusReport {
     /// The standing.
-    pub standing: JournalStanding,
+    pub standing: JournalStatus,
     /// How long it has lasted.
     pub lasted: Duration,
 }
 
 /// Follows the standing, and says when the log is to tell it.
 #[derive(Debug)]
-pub struct StandingWatch {
-    standing: JournalStanding,
+pub struct StatusTracker {
+    standing: JournalStatus,
     since: Instant,
-    reported: JournalStanding,
+    reported: JournalStatus,
     reported_at: Option<Instant>,
 }
 
-impl StandingWatch {
+impl StatusTracker {
     /// Starts outside the group.
     pub fn new(now: Instant) -> Self {
         Self {
-            standing: JournalStanding::Outside,
+            standing: JournalStatus::Outside,
             since: now,
-            reported: JournalStanding::Outside,
+            reported: JournalStatus::Outside,
             reported_at: None,
         }
     }
 
     /// Returns the standing as last seen, and how long it has lasted.
-    pub fn current(&self, now: Instant) -> StandingReport {
-        StandingReport {
+    pub fn current(&self, now: Instant) -> StatusReport {
+        StatusReport {
             standing: self.standing,
             lasted: now.saturating_duration_since(self.since),
         }
@@ -147,14 +147,14 @@
 
     /// Takes in the standing as seen now. Returns what the log is to say: each change, and one that
     /// holds work back again and again.
-    pub fn step(&mut self, now: Instant, standing: JournalStanding) -> Option<StandingReport> {
+    pub fn step(&mut self, now: Instant, standing: JournalStatus) -> Option<StatusReport> {
         if standing != self.standing {
             self.standing = standing;
             self.since = now;
         }
         let pause = match standing == self.reported {
             false => REPORT_PAUSE,
-            true if standing.holds_back() => REPEAT_INTERVAL,
+            true if standing.blocks_work() => REPEAT_INTERVAL,
             true => return None,
         };
         let last = self.reported_at.unwrap_or(self.since);
--- a/crates/firshore-node/src/load_exchange.rs
+++ b/crates/firshore-node/src/load_exchange.rs
@@ -1,12 +1,12 @@
 //! Reports this node's requests in flight at back ends to a relay of its zone, and receives the counts of all
 //! other nodes in response. Without a usable relay, the node reports to the journal's leader.
 
-use crate::journal::client::{JournalClient, OthersLoad};
+use crate::journal::client::{JournalClient, LoadResponse};
 use crate::load_table::{BackendCount, ToldLoad, as_counts};
 use crate::pace_table::{as_named, as_paces};
 use crate::relay::ranking;
 use firshore_gateway::gateway::Gateway;
-use firshore_limits::report::UseReport;
+use firshore_limits::report::UsageReport;
 use firshore_types::ids::{NodeName, ZoneName};
 use slog::info;
 use std::cell::{Cell, RefCell};
@@ -82,9 +82,9 @@
                 let view_interval = busy_interval + others.age;
                 let paces = as_named(others.paces);
                 let mut fleet = self.gateway.fleet.borrow_mut();
-                fleet.learned_paces(Instant::now(), paces);
+                fleet.apply_remote_paces(Instant::now(), paces);
                 drop(fleet);
-                self.gateway.learned_others(&others.counts, view_interval);
+                self.gateway.apply_remote_load(&others.counts, view_interval);
             }
             was_busy = busy;
             let interval = match busy {
@@ -107,28 +107,28 @@
     }
 
     /// Reports requests in flight and use of tenants' limits, and applies the limits in the response.
-    async fn report(&self, counts: Vec<BackendCount>, urgent: bool) -> Option<OthersLoad> {
+    async fn report(&self, counts: Vec<BackendCount>, urgent: bool) -> Option<LoadResponse> {
         let sent_at = firshore_clock::now().into_std();
         let report = ToldLoad {
             counts,
             urgent,
             pressures: self.gateway.pressure.borrow_mut().take(),
-            uses: self.gateway.report_uses(sent_at),
-            paces: as_paces(self.gateway.fleet.borrow_mut().take_untold_paces()),
+            uses: self.gateway.take_usage_report(sent_at),
+            paces: as_paces(self.gateway.fleet.borrow_mut().take_unreported_paces()),
         };
         let others = self.exchange(report).await;
         let news = others.as_ref().and_then(|others| {
             let at = sent_at.checked_sub(others.age).unwrap_or(sent_at);
             others.news.as_ref().map(|news| (at, news))
         });
-        self.gateway.learned_uses(news);
+        self.gateway.apply_usage_report(news);
         others
     }
 
-    async fn exchange(&self, report: ToldLoad) -> Option<OthersLoad> {
+    async fn exchange(&self, report: ToldLoad) -> Option<LoadResponse> {
         let relay = self.relay().filter(|_| self.crowded_leader.get());
         if let Some(relay) = relay {
-            if let Some(others) = self.journal.tell_relay(&relay, report.clone()).await {
+            if let Some(others) = self.journal.report_to_relay(&relay, report.clone()).await {
                 self.set_recipient(Some(relay), &report);
                 return Some(others);
             }
@@ -137,7 +137,7 @@
             let until = Instant::now() + RELAY_EXCLUSION;
             self.excluded_relays.borrow_mut().insert(relay, until);
         }
-        let others = self.journal.tell_leader(report.clone(), false).await?;
+        let others = self.journal.report_to_leader(report.clone(), false).await?;
         self.set_recipient(self.journal.leader(), &report);
         // With few nodes, the leader's counts are fresher than those through a relay.
         self.crowded_leader.set(others.pause > MIN_BUSY_INTERVAL);
@@ -152,7 +152,7 @@
             return;
         };
         let retraction = ToldLoad {
-            uses: report.uses.as_ref().map(UseReport::retraction),
+            uses: report.uses.as_ref().map(UsageReport::retraction),
             ..ToldLoad::default()
         };
         let journal = self.journal.clone();
--- a/crates/firshore-node/src/load_table.rs
+++ b/crates/firshore-node/src/load_table.rs
@@ -9,7 +9,7 @@
 use crate::pace_table::BackendPace;
 use firshore_adapter::incarnation::BackendName;
 use firshore_gateway::pressure::ServicePressure;
-use firshore_limits::report::UseReport;
+use firshore_limits::report::UsageReport;
 use firshore_types::ids::NodeName;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
     /// Pressure of online requests on services since the last report.
     pub pressures: Vec<ServicePressure>,
     /// Use of tenants' limits; `None` if no tenant has a limit.
-    pub uses: Option<UseReport>,
+    pub uses: Option<UsageReport>,
     /// Paces that back ends reported since the last report.
     pub paces: Vec<BackendPace>,
 }
--- a/crates/firshore-node/src/metrics.rs
+++ b/crates/firshore-node/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of a node and their text response.
 
 use crate::journal::Journal;
-use crate::journal::standing::JournalStanding;
+use crate::journal::standing::JournalStatus;
 use crate::memory;
 use crate::runner::Runner;
 use crate::runner::progress::RunEnd;
@@ -142,7 +142,7 @@
         }
         let report = node.journal.standing.borrow().current(Instant::now());
         self.standing_age.set(report.lasted.as_millis() as i64);
-        for status in JournalStanding::ALL {
+        for status in JournalStatus::ALL {
             let standing = status.name();
             let gauge = self.standing.get_or_create(&StandingLabels { standing });
             gauge.set((status == report.standing).into());
