--- a/crates/firshore-node/src/node.rs
+++ b/crates/firshore-node/src/node.rs
@@ -3,8 +3,8 @@
 use crate::crash_exchange::CrashExchange;
 use crate::environment::{self, FollowedKinds};
 use crate::journal::client::JournalClient;
-use crate::journal::duties::{Duties, MakeAsker};
-use crate::journal::group_keeper::GroupKeeper;
+use crate::journal::duties::{LeaderTasks, RelayClientFactory};
+use crate::journal::group_keeper::GroupManager;
 use crate::journal::maintenance::{self, Upkeep};
 use crate::journal::messages::PeerRequest;
 use crate::journal::registry::{NodeRecord, Registry};
@@ -13,14 +13,14 @@
 use crate::load_exchange::LoadExchange;
 use crate::metrics::{JournalNode, NodeMetrics, RunnerMetrics};
 use crate::readiness;
-use crate::relay::asker::{RelayAsker, RelayHeard};
+use crate::relay::asker::{RelayClient, ContactListener};
 use crate::relay::loads::LoadRelay;
 use crate::relay::{Announce, Relay, ranking};
 use crate::runner::Runner;
 use crate::settings::{Settings, Storage};
 use crate::status_listener;
 use firshore_adapter::Adapter;
-use firshore_crashes::print::PrintKey;
+use firshore_crashes::print::FingerprintKey;
 use firshore_gateway::gateway::Gateway;
 use firshore_gateway::serve;
 use firshore_link::client;
@@ -96,9 +96,9 @@
         random,
         &mut builder,
     );
-    let print_key = PrintKey::new(settings.cluster.secret.as_bytes());
+    let fingerprint_key = FingerprintKey::new(settings.cluster.secret.as_bytes());
     let remember = settings.crashes.remember();
-    let gateway = Rc::new(gateway.with_crash_memory(print_key, remember));
+    let gateway = Rc::new(gateway.with_crash_memory(fingerprint_key, remember));
     gateway.overload.enable(settings.overload.refuse_late);
     let crashes = CrashExchange::new(
         settings.name.clone(),
@@ -199,7 +199,7 @@
     registry: Rc<Registry>,
     jobs: Rc<JournalClient>,
     peers: PeerClient,
-    asker: MakeAsker,
+    asker: RelayClientFactory,
 }
 
 fn make_asker(
@@ -208,12 +208,12 @@
     peers: &PeerClient,
     crashes: &Rc<CrashExchange>,
     log: &Logger,
-) -> MakeAsker {
+) -> RelayClientFactory {
     let (node, zone) = (settings.name.clone(), settings.zone.clone());
     let (registry, peers, log) = (registry.clone(), peers.clone(), log.clone());
     let crashes = crashes.clone();
-    let heard: RelayHeard = Rc::new(move |relay, contact| crashes.heard(relay, contact.crashes));
-    Rc::new(move || RelayAsker {
+    let heard: ContactListener = Rc::new(move |relay, contact| crashes.heard(relay, contact.crashes));
+    Rc::new(move || RelayClient {
         node: node.clone(),
         zone: zone.clone(),
         registry: registry.clone(),
@@ -253,7 +253,7 @@
     };
     let journal = Journal::start(settings, storage, registry, relays, &peers, &gateway.log).await?;
     let retirements = Rc::new(Retirements::default());
-    let duties = Duties {
+    let duties = LeaderTasks {
         gateway: gateway.clone(),
         journal: journal.clone(),
         retirements: retirements.clone(),
@@ -271,7 +271,7 @@
             disk: journal.replica.status().disk,
         },
         retirements,
-        keeper: RefCell::new(GroupKeeper::new(journal.terms)),
+        keeper: RefCell::new(GroupManager::new(journal.terms)),
     };
     actix_rt::spawn(maintenance::run(upkeep));
     let runner = Runner::new(gateway.clone(), journal.clone(), metrics);
--- a/crates/firshore-node/src/pace_table.rs
+++ b/crates/firshore-node/src/pace_table.rs
@@ -5,7 +5,7 @@
 
 use firshore_adapter::backend::Pace;
 use firshore_adapter::incarnation::BackendName;
-use firshore_gateway::fleet::NamedPace;
+use firshore_gateway::fleet::PaceReport;
 use firshore_types::ids::NodeName;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -108,7 +108,7 @@
 }
 
 /// Converts paces into their wire form.
-pub fn as_paces(named: Vec<NamedPace>) -> Vec<BackendPace> {
+pub fn as_paces(named: Vec<PaceReport>) -> Vec<BackendPace> {
     let paces = named.into_iter().map(|one| BackendPace {
         backend: one.backend.as_str().to_owned(),
         hundredths: one.pace.hundredths(),
@@ -117,9 +117,9 @@
 }
 
 /// Converts paces from their wire form, without invalid values.
-pub fn as_named(paces: Vec<BackendPace>) -> Vec<NamedPace> {
+pub fn as_named(paces: Vec<BackendPace>) -> Vec<PaceReport> {
     let named = paces.into_iter().filter_map(|one| {
-        Some(NamedPace {
+        Some(PaceReport {
             backend: BackendName::from(one.backend),
             pace: Pace::from_hundredths(one.hundredths)?,
         })
--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/asker.rs
@@ -6,7 +6,7 @@
 use crate::journal::PeerClient;
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use crate::journal::registry::Registry;
-use firshore_gateway::belief::BeliefSource;
+use firshore_gateway::belief::FreshnessSource;
 use firshore_types::ids::{NodeName, ZoneName};
 use slog::{Logger, info};
 use std::cell::RefCell;
@@ -16,10 +16,10 @@
 use tokio::time::{Instant, timeout};
 
 /// Told what a relay's answer says of the relay itself.
-pub type RelayHeard = Rc<dyn Fn(&NodeName, &RelayContact)>;
+pub type ContactListener = Rc<dyn Fn(&NodeName, &RelayContact)>;
 
 /// Who asks relays, and whom it would ask.
-pub struct RelayAsker {
+pub struct RelayClient {
     /// The node that asks.
     pub node: NodeName,
     /// Its zone.
@@ -31,7 +31,7 @@
     /// Log.
     pub log: Logger,
     /// Told what a relay's answer says of the relay itself.
-    pub heard: RelayHeard,
+    pub heard: ContactListener,
     /// Relays that were of no use since they answered last, and until when they are passed over.
     pub passed_over: RefCell<HashMap<NodeName, RelayPause>>,
 }
@@ -75,8 +75,8 @@
     }
 
     /// Returns whom to name as the source of what it told.
-    pub fn source(&self) -> BeliefSource {
-        BeliefSource::Relay(self.relay.clone())
+    pub fn source(&self) -> FreshnessSource {
+        FreshnessSource::Relay(self.relay.clone())
     }
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-impl RelayAsker {
+impl RelayClient {
     /// Asks relays in turn, each for `limit` at most. Once one was silent, the others are to answer at once,
     /// so that what is known grows no older by two waits.
     pub async fn ask(
--- a/crates/firshore-node/src/relay/budget.rs
+++ b/crates/firshore-node/src/relay/budget.rs
@@ -3,7 +3,7 @@
 //!
 //! Waits that are each short add up: three silent relays, asked one after the other, and a pause before
 //! the store itself is asked once took 5 s of a bound of 2 s. So no wait has a length of its own: each is
-//! a share of the bound, and the store is asked itself once [`StoreTurn::due`] is reached, whatever the
+//! a share of the bound, and the store is asked itself once [`StoreSchedule::due`] is reached, whatever the
 //! relays do meanwhile.
 
 use std::time::Duration;
@@ -179,7 +179,7 @@
 
 /// When a node asks the store itself about one kind.
 #[derive(Debug)]
-pub struct StoreTurn {
+pub struct StoreSchedule {
     budget: FreshnessBudget,
     begun: Instant,
     /// Where between the bounds of a patience this node stands, from 0 to 1.
@@ -192,7 +192,7 @@
     range.start + (range.end - range.start) * drawn
 }
 
-impl StoreTurn {
+impl StoreSchedule {
     /// Nothing is known at `now`; `drawn` is a random number from 0 to 1.
     pub fn new(budget: FreshnessBudget, now: Instant, drawn: f64) -> Self {
         Self {
--- a/crates/firshore-node/src/relay/loads.rs
+++ b/crates/firshore-node/src/relay/loads.rs
@@ -4,13 +4,13 @@
 //! So what the leader does grows with the number of relays, not with the number of nodes, and a node's
 //! picture is as old as two short exchanges.
 
-use crate::journal::client::{JournalClient, OthersLoad};
+use crate::journal::client::{JournalClient, LoadResponse};
 use crate::load_table::{BackendCount, LoadTable, ToldLoad, as_counts};
 use crate::pace_table::{BackendPace, PaceSource, PaceTable};
 use firshore_adapter::incarnation::BackendName;
-use firshore_gateway::pressure::PressureCount;
+use firshore_gateway::pressure::PressureCounter;
 use firshore_limits::relay::UsageRelay;
-use firshore_limits::report::UsageNews;
+use firshore_limits::report::UsageResponse;
 use firshore_types::ids::NodeName;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -37,7 +37,7 @@
     /// Nodes that tell this relay.
     pub nodes: usize,
     /// What tenants may still ask, for a node that told what they have.
-    pub news: Option<UsageNews>,
+    pub news: Option<UsageResponse>,
     /// What back ends told others of their pace since the node asked last.
     pub paces: Vec<BackendPace>,
 }
@@ -56,7 +56,7 @@
     /// What back ends told these nodes, and all others, of their pace.
     paces: RefCell<PaceTable>,
     /// How online requests of these nodes pressed, until the leader is told.
-    pressure: RefCell<PressureCount>,
+    pressure: RefCell<PressureCounter>,
     /// What tenants have asked these nodes, and may still ask.
     uses: RefCell<UsageRelay>,
     /// Whether a node told that tenants have limits.
@@ -127,7 +127,7 @@
 
     /// Returns what is to be told to the leader, if any node told a moment ago. How requests press is not told
     /// again.
-    pub fn sums_to_tell(&self, now: Instant, urgent: bool) -> Option<ToldLoad> {
+    pub fn sums_to_report(&self, now: Instant, urgent: bool) -> Option<ToldLoad> {
         let counts = self.sums(now);
         let mut uses = self.uses.borrow_mut();
         // Shares of nodes that tell no more are told until nothing of them is left.
@@ -144,7 +144,7 @@
     }
 
     /// Takes in the leader's answer to what was told at a moment, or that there was none.
-    fn answered(&self, asked_at: Instant, told: Option<OthersLoad>) {
+    fn answered(&self, asked_at: Instant, told: Option<LoadResponse>) {
         let mut uses = self.uses.borrow_mut();
         let Some(others) = told else {
             uses.unanswered();
@@ -181,13 +181,13 @@
             let asked_at = firshore_clock::now().into_std();
             let sums = match leads() {
                 true => None,
-                false => self.sums_to_tell(asked_at, urgent),
+                false => self.sums_to_report(asked_at, urgent),
             };
             let Some(sums) = sums else {
                 self.told.notified().await;
                 continue;
             };
-            let told = journal.tell_leader(sums, true).await;
+            let told = journal.report_to_leader(sums, true).await;
             let interval = match told {
                 Some(_) => LEADER_INTERVAL,
                 None => URGENT_INTERVAL,
--- a/crates/firshore-node/src/relay/store.rs
+++ b/crates/firshore-node/src/relay/store.rs
@@ -1,13 +1,13 @@
 //! The store as a node sees it that asks relays first.
 
-use super::asker::{Asked, RelayAnswer, RelayAsker};
-use super::budget::{FreshnessBudget, StoreTurn};
+use super::asker::{Asked, RelayAnswer, RelayClient};
+use super::budget::{FreshnessBudget, StoreSchedule};
 use super::cache::{RelayedChanges, RelayedObject, RelayedPage};
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use firshore_adapter::objects::{
     Answer, Change, Changes, Object, ObjectError, ObjectStore, Page, Revision,
 };
-use firshore_gateway::belief::{Belief, BeliefSource};
+use firshore_gateway::belief::{Freshness, FreshnessSource};
 use futures_util::FutureExt;
 use serde_json::Value;
 use slog::{info, warn};
@@ -20,20 +20,20 @@
 ///
 /// Relays and the store are asked side by side, so that no wait for one of them delays the other.
 pub struct RelayedStore {
-    asker: RelayAsker,
+    asker: RelayClient,
     direct: Rc<dyn ObjectStore>,
     budget: FreshnessBudget,
     /// Revision up to which the store is known: older answers are refused.
     known: Cell<Revision>,
     /// When the store itself is asked.
-    turn: RefCell<StoreTurn>,
+    turn: RefCell<StoreSchedule>,
     /// Rounds of questions that no relay has answered.
     idle_rounds: Cell<u32>,
     /// The last round of questions ended with relays that are out of contact with the store.
     doubted: Cell<bool>,
     asks_store: Cell<bool>,
     /// As of when the kind is known.
-    belief: Rc<Belief>,
+    belief: Rc<Freshness>,
     /// As of when the first page of the listing under way was.
     listed_as_of: Cell<Option<Instant>>,
 }
@@ -88,12 +88,12 @@
     /// Asks relays through `asker`, and `direct` in time for `budget`. Tells `belief` as of when the kind
     /// is known.
     pub fn new(
-        asker: RelayAsker,
+        asker: RelayClient,
         direct: Rc<dyn ObjectStore>,
         budget: FreshnessBudget,
-        belief: Rc<Belief>,
+        belief: Rc<Freshness>,
     ) -> Rc<Self> {
-        let turn = StoreTurn::new(budget, firshore_clock::now(), rand::random());
+        let turn = StoreSchedule::new(budget, firshore_clock::now(), rand::random());
         Rc::new(Self {
             asker,
             direct,
@@ -157,7 +157,7 @@
         question: impl Fn() -> Answer<'a, T>,
     ) -> StoreAnswer<T> {
         loop {
-            actix_rt::time::sleep_until(firshore_clock::as_timer(self.store_due())).await;
+            actix_rt::time::sleep_until(firshore_clock::timer_deadline(self.store_due())).await;
             self.note_direct(kind);
             if !self.reaches_store().await {
                 self.turn.borrow_mut().failed(firshore_clock::now());
@@ -225,7 +225,7 @@
     }
 
     /// Takes in a page: the listing tells the store as of its first one.
-    fn confirm_page(&self, page: &Page, after: Option<&str>, as_of: Instant, source: BeliefSource) {
+    fn confirm_page(&self, page: &Page, after: Option<&str>, as_of: Instant, source: FreshnessSource) {
         if after.is_none() {
             self.listed_as_of.set(Some(as_of));
         }
@@ -258,7 +258,7 @@
                     self.relayed(as_of);
                     (page(relayed), as_of, answer.source())
                 }
-                Learnt::FromStore(answer) => (answer.told, answer.asked_at, BeliefSource::Store),
+                Learnt::FromStore(answer) => (answer.told, answer.asked_at, FreshnessSource::Store),
             };
             self.know(page.revision)?;
             self.confirm_page(&page, after, as_of, source);
@@ -279,7 +279,7 @@
                 wait: wait.as_millis() as u64,
             };
             let asking = self.ask_relays(kind, request, wait);
-            let Ok(answer) = timeout_at(firshore_clock::as_timer(self.store_due()), asking).await
+            let Ok(answer) = timeout_at(firshore_clock::timer_deadline(self.store_due()), asking).await
             else {
                 return Err(ObjectError::HistoryGone);
             };
--- a/crates/firshore-node/src/runner/give_way.rs
+++ b/crates/firshore-node/src/runner/give_way.rs
@@ -8,7 +8,7 @@
 
 use super::ItemKey;
 use super::urgency::ItemUrgency;
-use super::work_ahead::ItemOutlook;
+use super::work_ahead::DeadlineRisk;
 use firshore_gateway::pressure::ServicePressure;
 use firshore_types::ids::ServiceName;
 use std::cmp::Reverse;
@@ -66,13 +66,13 @@
 
 /// A run that may be preempted.
 #[derive(Clone, Debug)]
-pub struct HeldRun {
+pub struct PreemptibleRun {
     /// Key of the item.
     pub key: ItemKey,
     /// Load of its back end, in requests per slot.
     pub load: f32,
     /// Risk that the item misses its deadline.
-    pub outlook: ItemOutlook,
+    pub outlook: DeadlineRisk,
     /// Urgency of the item.
     pub urgency: ItemUrgency,
     /// Number of held events.
@@ -174,11 +174,11 @@
 
 /// Pressure of online requests on services, and the choice of runs to preempt.
 #[derive(Debug, Default)]
-pub struct GiveWay {
+pub struct PreemptionPolicy {
     services: HashMap<ServiceName, PressureState>,
 }
 
-impl GiveWay {
+impl PreemptionPolicy {
     /// Records a report of pressure on a service with the given usage.
     pub fn told(&mut self, now: Instant, usage: ServiceRoom, pressure: &ServicePressure) {
         let state = self
@@ -227,12 +227,12 @@
         service: &ServiceName,
         slots: u32,
         running: usize,
-        risk: ItemOutlook,
+        risk: DeadlineRisk,
     ) -> bool {
         if !self.is_pressed(service) {
             return true;
         }
-        risk == ItemOutlook::LastChance && running < reserved_slots(slots)
+        risk == DeadlineRisk::LastChance && running < reserved_slots(slots)
     }
 
     /// Returns the runs of a service to preempt now: at most one for each pressing request since the last call.
@@ -242,8 +242,8 @@
         &mut self,
         service: &ServiceName,
         usage: ServiceRoom,
-        mut runs: Vec<HeldRun>,
-    ) -> Vec<HeldRun> {
+        mut runs: Vec<PreemptibleRun>,
+    ) -> Vec<PreemptibleRun> {
         let Some(state) = self.services.get_mut(service).filter(|state| state.pressed) else {
             return Vec::new();
         };
@@ -252,7 +252,7 @@
         runs.sort_by_key(|run| (Reverse(run.outlook), run.urgency, Reverse(run.produced)));
         let critical = runs
             .iter()
-            .take_while(|run| run.outlook == ItemOutlook::LastChance);
+            .take_while(|run| run.outlook == DeadlineRisk::LastChance);
         let reserved = critical.count().min(reserved_slots(usage.slots));
         let mut others = runs.split_off(reserved);
         let idle_load = IDLE_LOAD_FRACTION * usage.online as f32 / usage.slots.max(1) as f32;
--- a/crates/firshore-node/src/runner/handover.rs
+++ b/crates/firshore-node/src/runner/handover.rs
@@ -38,7 +38,7 @@
 
 /// End of a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToldThrough {
+pub struct DeltaEnd {
     /// Key of the item.
     pub key: ItemKey,
     /// Number of events that a node holds after it applied the delta.
@@ -47,8 +47,8 @@
 
 impl ProgressDelta {
     /// Returns the end of this delta.
-    pub fn through(&self) -> ToldThrough {
-        ToldThrough {
+    pub fn through(&self) -> DeltaEnd {
+        DeltaEnd {
             key: (self.job.clone(), self.index),
             events: self.offset + self.events.len(),
         }
@@ -166,7 +166,7 @@
     }
 
     /// Records the node's response: it holds the sent events, except those of items with gaps.
-    pub fn answered(&mut self, sent: Vec<ToldThrough>, gaps: Vec<ItemKey>) {
+    pub fn answered(&mut self, sent: Vec<DeltaEnd>, gaps: Vec<ItemKey>) {
         for end in sent {
             self.lengths.insert(end.key, end.events);
         }
--- a/crates/firshore-node/src/runner/item.rs
+++ b/crates/firshore-node/src/runner/item.rs
@@ -8,10 +8,10 @@
 use bytes::Bytes;
 use firshore_adapter::backend::{Backend, Ran, SendTerms};
 use firshore_adapter::jobs::{ItemOutcome, JobItem, caller_id};
-use firshore_crashes::print::{AskedRequest, RequestPrint};
+use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
 use firshore_crashes::report::LostRun;
 use firshore_exchange::exchange::{self, Exchange, Reuse};
-use firshore_gateway::fleet::{Impression, endpoint};
+use firshore_gateway::fleet::{BackendOutcome, endpoint};
 use firshore_gateway::gateway::{Gateway, InFlight};
 use firshore_jobs::command::{Action, Completion};
 use rand::RngExt;
@@ -144,9 +144,9 @@
     }
 
     /// Returns the item's fingerprint, which is the same on all nodes and for all jobs with this item.
-    fn fingerprint(&self) -> RequestPrint {
+    fn fingerprint(&self) -> RequestFingerprint {
         let Work { header, item, .. } = &self.work;
-        self.gateway.print_key.print(&AskedRequest {
+        self.gateway.fingerprint_key.print(&FingerprintInput {
             tenant: header.tenant.as_ref(),
             host: &header.host,
             method: Method::POST.as_str(),
@@ -158,7 +158,7 @@
     /// Records that the run broke off: the back end may have crashed.
     fn record_lost_run(&self) {
         self.gateway
-            .observed(&self.backend.incarnation, Impression::Broke);
+            .observed(&self.backend.incarnation, BackendOutcome::Broke);
         let run = LostRun {
             print: self.fingerprint(),
             reached: self.progress.borrow().held_bytes() as u64,
@@ -167,7 +167,7 @@
     }
 
     async fn send(&self) -> RunEnd {
-        if let Some(wait) = self.gateway.held_back_for(|| self.fingerprint()) {
+        if let Some(wait) = self.gateway.quarantined_for(|| self.fingerprint()) {
             info!(self.gateway.log, "runner: Item quarantined."; "job" => caller_id(&self.work.header.job),
                 "item" => &self.work.item.id, "print" => %self.fingerprint(), "wait_s" => wait.as_secs());
             return RunEnd::HeldBack;
@@ -177,7 +177,7 @@
         };
         let incarnation = &self.backend.incarnation;
         let Ok(connection) = exchange::connect(endpoint(&self.backend), Reuse::Idle).await else {
-            self.gateway.observed(incarnation, Impression::Unreachable);
+            self.gateway.observed(incarnation, BackendOutcome::Unreachable);
             return RunEnd::NotRun;
         };
         let dialect = self.gateway.adapter.backend.clone();
@@ -207,8 +207,8 @@
         }
         if response.ran == Ran::No {
             let outcome = match response.misdirected {
-                true => Impression::Unreachable,
-                false => Impression::Full,
+                true => BackendOutcome::Unreachable,
+                false => BackendOutcome::Full,
             };
             self.gateway.observed(incarnation, outcome);
             return RunEnd::NotRun;
@@ -241,13 +241,13 @@
                     // every few seconds for another reason, long items would be quarantined.
                     match self.progress.borrow().held_bytes() == held {
                         true => self.record_lost_run(),
-                        false => self.gateway.observed(incarnation, Impression::Broke),
+                        false => self.gateway.observed(incarnation, BackendOutcome::Broke),
                     }
                     return RunEnd::Broken;
                 }
             }
         }
-        self.gateway.observed(incarnation, Impression::Answered);
+        self.gateway.observed(incarnation, BackendOutcome::Answered);
         if self.progress.borrow().holds_part() {
             return RunEnd::Broken;
         }
--- a/crates/firshore-node/src/runner/mod.rs
+++ b/crates/firshore-node/src/runner/mod.rs
@@ -19,7 +19,7 @@
 pub mod work_ahead;
 
 use crate::journal::service::Loads;
-use crate::journal::standing::{JournalStanding, StandingFacts, StandingReport};
+use crate::journal::standing::{JournalStatus, StatusFacts, StatusReport};
 use crate::journal::{Journal, Replica};
 use crate::memory::{self, MemoryUse};
 use crate::metrics::RunnerMetrics;
@@ -29,7 +29,7 @@
 use firshore_gateway::gateway::Gateway;
 use firshore_jobs::command::{ItemIndex, JobHeader};
 use firshore_types::ids::ServiceName;
-use give_way::GiveWay;
+use give_way::PreemptionPolicy;
 use progress::ItemProgress;
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -40,7 +40,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, timeout_at};
 use urgency::{DueTable, DueTime, ItemUrgency};
-use work_ahead::WorkAhead;
+use work_ahead::BacklogEstimate;
 
 /// Load in requests per slot below which items start: it leaves one slot in ten free for online requests.
 const MAX_ITEM_LOAD: f32 = 0.9;
@@ -105,9 +105,9 @@
     leading: Cell<bool>,
     due_times: RefCell<DueTable>,
     /// Services under pressure of online requests.
-    preemption: RefCell<GiveWay>,
+    preemption: RefCell<PreemptionPolicy>,
     /// Remaining work of items, and the free slots for it.
-    backlog: RefCell<WorkAhead>,
+    backlog: RefCell<BacklogEstimate>,
     /// Wakes the scheduler when a run ended.
     run_ended: Notify,
 }
@@ -187,7 +187,7 @@
     /// Returns whether this replica leads and has applied all entries committed before its term.
     async fn leads(&self, confirmed_term: &mut Option<u64>) -> bool {
         let status = self.replica.status();
-        if !status.leads || !self.journal.may_promise() {
+        if !status.leads || !self.journal.is_durable() {
             *confirmed_term = None;
             return false;
         }
@@ -242,7 +242,7 @@
     async fn watch_status(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(STATUS_INTERVAL).await;
-            let status = JournalStanding::of(&self.standing_facts());
+            let status = JournalStatus::of(&self.status_facts());
             let report = self
                 .journal
                 .standing
@@ -254,25 +254,25 @@
         }
     }
 
-    fn standing_facts(&self) -> StandingFacts {
-        let facts = self.journal.standing_facts();
+    fn status_facts(&self) -> StatusFacts {
+        let facts = self.journal.status_facts();
         if !facts.leads {
             return facts;
         }
         let progress = self.progress_bytes();
-        StandingFacts {
+        StatusFacts {
             caught_up: self.leading.get(),
             memory_full: facts.memory_full || !self.journal.budget.admits_new_run(progress),
             ..facts
         }
     }
 
-    fn log_status(&self, report: StandingReport) {
+    fn log_status(&self, report: StatusReport) {
         let status = self.replica.status();
         let (standing, lasted_ms) = (report.standing.name(), report.lasted.as_millis() as u64);
         let (term, voters) = (status.term, status.membership.voters().count());
         let log = &self.gateway.log;
-        match report.standing.holds_back() {
+        match report.standing.blocks_work() {
             true => warn!(log, "journal: Work is blocked."; "standing" => standing,
                 "lasted_ms" => lasted_ms, "term" => term, "voters" => voters),
             false => info!(log, "journal: Work resumed."; "standing" => standing,
@@ -316,7 +316,7 @@
         let online = table.sums();
         let mut fleet = self.gateway.fleet.borrow_mut();
         let mut random = self.gateway.random.borrow_mut();
-        fleet.learned_others(now, online, &mut *random);
+        fleet.apply_remote_load(now, online, &mut *random);
         drop(random);
         *self.loads.own.borrow_mut() = fleet.in_flight().filter(|(_, count)| *count > 0).collect();
         let excess: HashMap<Incarnation, usize> = online
--- a/crates/firshore-node/src/runner/pressure.rs
+++ b/crates/firshore-node/src/runner/pressure.rs
@@ -1,7 +1,7 @@
 //! Applies the preemption policy to the running items.
 
-use super::give_way::{HeldRun, ServiceRoom};
-use super::work_ahead::ItemOutlook;
+use super::give_way::{PreemptibleRun, ServiceRoom};
+use super::work_ahead::DeadlineRisk;
 use super::{ItemKey, Run, Runner};
 use firshore_adapter::jobs::caller_id;
 use firshore_gateway::fleet::Fleet;
@@ -79,7 +79,7 @@
         }
     }
 
-    fn stop_runs(&self, preempted: &[HeldRun]) {
+    fn stop_runs(&self, preempted: &[PreemptibleRun]) {
         let mut running = self.running.borrow_mut();
         for preemptible in preempted {
             let Some(run) = running.remove(&preemptible.key) else {
@@ -94,7 +94,7 @@
     }
 
     /// Returns the runs of a service as candidates for preemption.
-    fn preemptible_runs(&self, now: Instant, service: &ServiceName) -> Vec<HeldRun> {
+    fn preemptible_runs(&self, now: Instant, service: &ServiceName) -> Vec<PreemptibleRun> {
         let calm_fraction = self.preemption.borrow().calm_share(service);
         let fleet = self.gateway.fleet.borrow();
         let running = self.running.borrow();
@@ -111,10 +111,10 @@
         key: &ItemKey,
         run: &Run,
         calm_fraction: f32,
-    ) -> HeldRun {
+    ) -> PreemptibleRun {
         let produced = self.produced(key);
         let backlog = self.backlog.borrow();
-        HeldRun {
+        PreemptibleRun {
             key: key.clone(),
             load: fleet.load(now, &run.backend).unwrap_or(0.0),
             outlook: backlog.outlook(now, &run.service, &run.due, produced, calm_fraction),
@@ -138,12 +138,12 @@
         service: &ServiceName,
         waiting: &super::schedule::WaitingItem<'_>,
         overloaded: bool,
-    ) -> ItemOutlook {
+    ) -> DeadlineRisk {
         let calm_fraction = self.preemption.borrow().calm_share(service);
         let backlog = self.backlog.borrow();
         let risk = backlog.outlook(now, service, &waiting.due, waiting.produced, calm_fraction);
         match overloaded {
-            true => risk.max(ItemOutlook::Pressed),
+            true => risk.max(DeadlineRisk::Pressed),
             false => risk,
         }
     }
--- a/crates/firshore-node/src/runner/progress.rs
+++ b/crates/firshore-node/src/runner/progress.rs
@@ -2,7 +2,7 @@
 
 use super::handover::{HeldProgress, event_bytes};
 use firshore_adapter::jobs::ItemOutcome;
-use firshore_gateway::events::{EventFault, EventStream, data_of};
+use firshore_gateway::events::{EventError, EventStream, data_of};
 use std::time::{Duration, Instant};
 
 /// Backoff before an item runs again; doubled with each run that was not started or broke off.
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// Fails if the chunk contains an invalid event.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<(), EventFault> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<(), EventError> {
         let events = self.stream.feed(bytes)?;
         self.produced.extend(data_of(&events));
         Ok(())
--- a/crates/firshore-node/src/runner/progress_keeper.rs
+++ b/crates/firshore-node/src/runner/progress_keeper.rs
@@ -21,13 +21,13 @@
 }
 
 /// Events reported by leaders, including this node.
-pub struct ProgressKeeper {
+pub struct ProgressStore {
     held: HeldItems,
     file: ProgressFile,
     latest: Leadership,
 }
 
-impl ProgressKeeper {
+impl ProgressStore {
     /// Opens the progress file in the data folder and reads it.
     ///
     /// # Errors
--- a/crates/firshore-node/src/runner/progress_sender.rs
+++ b/crates/firshore-node/src/runner/progress_sender.rs
@@ -1,7 +1,7 @@
 //! Sends the events of items to the nodes of the other replicas, so that the next leader resumes the items
 //! after their last event.
 
-use super::handover::{ProgressDelta, Told, ToldThrough};
+use super::handover::{ProgressDelta, Told, DeltaEnd};
 use super::progress::ItemProgress;
 use super::progress_keeper::Leadership;
 use super::{ItemKey, Runner};
@@ -64,7 +64,7 @@
     /// Stores the events of items on this node, for the case that all processes stop.
     fn store_progress(&self, leadership: Leadership, stored: &mut Told) {
         let deltas = self.unsent(stored, usize::MAX);
-        let ends: Vec<ToldThrough> = deltas.iter().map(ProgressDelta::through).collect();
+        let ends: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::through).collect();
         let mut store = self.journal.progress.borrow_mut();
         let gaps = store.told(leadership, deltas);
         stored.answered(ends, gaps);
@@ -84,7 +84,7 @@
             if deltas.is_empty() {
                 break;
             }
-            let ends: Vec<ToldThrough> = deltas.iter().map(ProgressDelta::through).collect();
+            let ends: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::through).collect();
             let request = PeerRequest::Progress { leadership, deltas };
             let call = self.journal.ask(&node, request);
             match timeout(SEND_TIMEOUT, call).await {
--- a/crates/firshore-node/src/runner/schedule.rs
+++ b/crates/firshore-node/src/runner/schedule.rs
@@ -3,7 +3,7 @@
 use super::item::{self, ItemRun};
 use super::progress::{ItemProgress, RunEnd};
 use super::urgency::{DueTime, ItemUrgency};
-use super::work_ahead::ItemOutlook;
+use super::work_ahead::DeadlineRisk;
 use super::{ItemKey, MAX_AT_RISK_ITEM_LOAD, MAX_ITEM_LOAD, Run, Runner, Work};
 use crate::task::Task;
 use firshore_adapter::backend::Backend;
@@ -11,7 +11,7 @@
 use firshore_adapter::route::Route;
 use firshore_gateway::attempts::Attempts;
 use firshore_gateway::choice::affinity_key;
-use firshore_gateway::fleet::Wanted;
+use firshore_gateway::fleet::BackendRequirements;
 use firshore_jobs::table::OpenItem;
 use firshore_types::ids::ServiceName;
 use slog::info;
@@ -162,7 +162,7 @@
         let preemption = self.preemption.borrow();
         let may_start =
             preemption.may_start(service, service_pass.slots, service_pass.running, risk);
-        may_start.then_some(risk > ItemOutlook::Easy)
+        may_start.then_some(risk > DeadlineRisk::Easy)
     }
 
     /// Returns the open jobs, the most urgent first.
@@ -301,7 +301,7 @@
             false => MAX_ITEM_LOAD,
         };
         let fleet = self.gateway.fleet.borrow();
-        let wanted = Wanted {
+        let wanted = BackendRequirements {
             service: &service,
             attempts: &attempts,
             affinity: affinity_key(&terms.prompt),
--- a/crates/firshore-node/src/runner/work_ahead.rs
+++ b/crates/firshore-node/src/runner/work_ahead.rs
@@ -28,7 +28,7 @@
 
 /// Risk that an item misses its deadline, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ItemOutlook {
+pub enum DeadlineRisk {
     /// The item has enough time, no deadline, or can't meet its deadline any more.
     Easy,
     /// The item needs most of the capacity until its deadline.
@@ -53,12 +53,12 @@
 
 /// Mean item and mean free slots of each service.
 #[derive(Debug, Default)]
-pub struct WorkAhead {
+pub struct BacklogEstimate {
     mean_items: HashMap<ServiceName, MeanItem>,
     free_slots: HashMap<ServiceName, MeanFreeSlots>,
 }
 
-impl WorkAhead {
+impl BacklogEstimate {
     /// Records a finished item with `events` in total, of which its last run generated `new_events` within
     /// `duration`.
     pub fn finished(
@@ -124,27 +124,27 @@
         due: &DueTime,
         produced: usize,
         calm_fraction: f32,
-    ) -> ItemOutlook {
+    ) -> DeadlineRisk {
         let Some(deadline) = due.wanted.filter(|deadline| now <= *deadline) else {
-            return ItemOutlook::Easy;
+            return DeadlineRisk::Easy;
         };
         let Some(remaining) = self.left(service, produced) else {
             return match due.is_pressed(now) {
-                true => ItemOutlook::Pressed,
-                false => ItemOutlook::Easy,
+                true => DeadlineRisk::Pressed,
+                false => DeadlineRisk::Easy,
             };
         };
         let time = deadline.duration_since(now).as_secs_f64();
         let remaining = remaining.as_secs_f64();
         if remaining > time * INFEASIBLE_FACTOR {
-            return ItemOutlook::Easy;
+            return DeadlineRisk::Easy;
         }
         if remaining * SAFETY_FACTOR > time {
-            return ItemOutlook::LastChance;
+            return DeadlineRisk::LastChance;
         }
         if due.is_pressed(now) || remaining * SAFETY_FACTOR > time * f64::from(calm_fraction) {
-            return ItemOutlook::Pressed;
+            return DeadlineRisk::Pressed;
         }
-        ItemOutlook::Easy
+        DeadlineRisk::Easy
     }
 }
--- a/crates/firshore-node/tests/budget.rs
+++ b/crates/firshore-node/tests/budget.rs
@@ -1,6 +1,6 @@
 //! How the time within which a change must be known is divided.
 
-use firshore_node::relay::budget::{FreshnessBudget, StoreTurn};
+use firshore_node::relay::budget::{FreshnessBudget, StoreSchedule};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -23,7 +23,7 @@
         let oldest = budget.relay_spacing() + budget.probe_interval() + budget.relay_wait();
         for drawn in [0.0, 1.0] {
             let now = Instant::now();
-            let due = StoreTurn::new(budget, now, drawn).due(Some(now), false);
+            let due = StoreSchedule::new(budget, now, drawn).due(Some(now), false);
             assert!(oldest < due - now, "{budget:?}: {oldest:?}");
         }
     }
@@ -33,7 +33,7 @@
 fn the_store_is_due_early_enough_to_answer_within_the_bound() {
     for budget in budgets() {
         let now = Instant::now();
-        let due = StoreTurn::new(budget, now, 1.0).due(Some(now), false);
+        let due = StoreSchedule::new(budget, now, 1.0).due(Some(now), false);
         let known = due - now + budget.bound().mul_f64(ANSWER);
         assert!(known < budget.bound(), "{budget:?}: {known:?}");
     }
@@ -43,7 +43,7 @@
 fn a_look_that_comes_first_leaves_time_for_the_answer() {
     for budget in budgets() {
         let now = Instant::now();
-        let turn = StoreTurn::new(budget, now, 1.0);
+        let turn = StoreSchedule::new(budget, now, 1.0);
         let due = turn.due(Some(now), true);
         let known = due - now + budget.probe_timeout() + turn.timeout();
         assert!(known < budget.bound(), "{budget:?}: {known:?}");
@@ -54,7 +54,7 @@
 fn failures_that_lie_before_what_relays_told_are_past() {
     let budget = FreshnessBudget::new(Duration::from_secs(2));
     let now = Instant::now();
-    let mut turn = StoreTurn::new(budget, now, 1.0);
+    let mut turn = StoreSchedule::new(budget, now, 1.0);
     let patient = turn.timeout();
     (0..5).for_each(|_| turn.failed(now));
     assert!(turn.timeout() > patient, "a large listing has time to come");
@@ -72,7 +72,7 @@
         let found = budget.probe_interval() + budget.probe_timeout();
         assert!(found < budget.relay_age(), "{budget:?}");
         let now = Instant::now();
-        let due = StoreTurn::new(budget, now, 0.0).due(Some(now), false);
+        let due = StoreSchedule::new(budget, now, 0.0).due(Some(now), false);
         assert!(budget.relay_age() < due - now, "{budget:?}");
     }
 }
@@ -81,7 +81,7 @@
 fn a_store_that_fails_is_asked_less_and_less_often_and_at_once_when_it_has_answered() {
     for budget in budgets() {
         let now = Instant::now();
-        let mut turn = StoreTurn::new(budget, now, 1.0);
+        let mut turn = StoreSchedule::new(budget, now, 1.0);
         let old = Some(now - budget.bound());
         assert!(turn.due(old, true) <= now);
         let mut pauses = Vec::new();
@@ -103,7 +103,7 @@
 fn a_node_that_knows_nothing_waits_longer_for_relays() {
     for budget in budgets() {
         let now = Instant::now();
-        let turn = StoreTurn::new(budget, now, 1.0);
+        let turn = StoreSchedule::new(budget, now, 1.0);
         assert!(
             turn.due(None, false) > turn.due(Some(now), false),
             "{budget:?}"
--- a/crates/firshore-node/tests/client.rs
+++ b/crates/firshore-node/tests/client.rs
@@ -102,7 +102,7 @@
         start_peer(&store, "new", Leader).await;
         let told = async {
             while client
-                .tell_leader(ToldLoad::default(), false)
+                .report_to_leader(ToldLoad::default(), false)
                 .await
                 .is_none()
             {
@@ -142,13 +142,13 @@
         let client = JournalClient::new("caller".into(), registry, peers(), log());
         // Without a leader, but in contact.
         for _ in 0..60 {
-            client.tell_leader(ToldLoad::default(), false).await;
+            client.report_to_leader(ToldLoad::default(), false).await;
             cluster::pause().await;
             assert!(client.is_reachable());
         }
         silent.set(true);
         for _ in 0..3 {
-            client.tell_leader(ToldLoad::default(), false).await;
+            client.report_to_leader(ToldLoad::default(), false).await;
         }
         assert!(!client.is_reachable());
         let started = std::time::Instant::now();
@@ -157,7 +157,7 @@
         assert_eq!(error.execution, Execution::None);
         assert!(started.elapsed() < Duration::from_millis(50));
         silent.set(false);
-        client.tell_leader(ToldLoad::default(), false).await;
+        client.report_to_leader(ToldLoad::default(), false).await;
         assert!(client.is_reachable());
     });
 }
--- a/crates/firshore-node/tests/cluster/mod.rs
+++ b/crates/firshore-node/tests/cluster/mod.rs
@@ -10,15 +10,15 @@
 use firshore_link::handshake::ClusterSecret;
 use firshore_metrics::Builder;
 use firshore_node::journal::client::JournalClient;
-use firshore_node::journal::duties::{Duties, MakeAsker};
-use firshore_node::journal::group_keeper::GroupKeeper;
+use firshore_node::journal::duties::{LeaderTasks, RelayClientFactory};
+use firshore_node::journal::group_keeper::GroupManager;
 use firshore_node::journal::maintenance::{self, Upkeep};
 use firshore_node::journal::registry::{KIND, NodeRecord, Registry};
 use firshore_node::journal::retirement::Retirements;
 use firshore_node::journal::{Journal, NodeRelays, PeerClient};
 use firshore_node::metrics::RunnerMetrics;
 use firshore_node::observation::Terms;
-use firshore_node::relay::asker::RelayAsker;
+use firshore_node::relay::asker::RelayClient;
 use firshore_node::relay::budget::FreshnessBudget;
 use firshore_node::relay::loads::LoadRelay;
 use firshore_node::relay::{Relay, RelayedKind};
@@ -114,9 +114,9 @@
 }
 
 /// Makes who asks relays for a node of a test.
-fn asker(number: usize, registry: &Rc<Registry>) -> MakeAsker {
+fn asker(number: usize, registry: &Rc<Registry>) -> RelayClientFactory {
     let registry = registry.clone();
-    Rc::new(move || RelayAsker {
+    Rc::new(move || RelayClient {
         node: format!("n{number}").as_str().into(),
         zone: format!("z{number}").as_str().into(),
         registry: registry.clone(),
@@ -172,7 +172,7 @@
     let journal = Journal::start(&settings, &storage, registry, relays, &peers(), &log()).await;
     let journal = journal.expect("the port and the folder are free");
     let retirements = Rc::new(Retirements::default());
-    let duties = Duties {
+    let duties = LeaderTasks {
         gateway: gateway.clone(),
         journal: journal.clone(),
         retirements: retirements.clone(),
@@ -189,7 +189,7 @@
             disk: journal.replica.status().disk,
         },
         retirements,
-        keeper: RefCell::new(GroupKeeper::new(journal.terms)),
+        keeper: RefCell::new(GroupManager::new(journal.terms)),
     };
     let metrics = RunnerMetrics::new(&mut Builder::default());
     let runner = Runner::new(gateway.clone(), journal.clone(), metrics);
--- a/crates/firshore-node/tests/contact.rs
+++ b/crates/firshore-node/tests/contact.rs
@@ -37,10 +37,10 @@
     let now = Instant::now();
     let mut contact = PeerContact::default();
     contact.asked(now, now);
-    assert!(contact.is_hopeless(now + milliseconds(1_400)));
-    assert!(!contact.is_hopeless(now + milliseconds(1_500)));
+    assert!(contact.should_fail_fast(now + milliseconds(1_400)));
+    assert!(!contact.should_fail_fast(now + milliseconds(1_500)));
     contact.asked(now + milliseconds(1_500), now + milliseconds(1_500));
-    assert!(contact.is_hopeless(now + milliseconds(1_600)));
+    assert!(contact.should_fail_fast(now + milliseconds(1_600)));
     contact.heard();
-    assert!(!contact.is_hopeless(now + milliseconds(1_600)));
+    assert!(!contact.should_fail_fast(now + milliseconds(1_600)));
 }
--- a/crates/firshore-node/tests/copies_world/machine.rs
+++ b/crates/firshore-node/tests/copies_world/machine.rs
@@ -2,8 +2,8 @@
 
 use firshore_log::GroupStatus;
 use firshore_log::placement::{Candidate, keeps_promises};
-use firshore_node::journal::SILENCE_SHARE;
-use firshore_node::journal::group_keeper::{GroupKeeper, KeeperTerms, KeeperView, LeavingNodes};
+use firshore_node::journal::SILENCE_FRACTION;
+use firshore_node::journal::group_keeper::{GroupManager, GroupPolicy, GroupInput, LeavingNodes};
 use firshore_node::journal::registry::VoterRecord;
 use firshore_replication::message::Envelope;
 use firshore_replication::replica::{Replica, Timing};
@@ -104,8 +104,8 @@
     pub disk: Disk,
     /// Its replica, while its process is there.
     pub replica: Option<Replica>,
-    pub keeper: GroupKeeper,
-    pub terms: KeeperTerms,
+    pub keeper: GroupManager,
+    pub terms: GroupPolicy,
     /// What its replica told last.
     pub status: GroupStatus,
     pub known: KnownStore,
@@ -127,7 +127,7 @@
 }
 
 impl Machine {
-    pub fn new(number: usize, zone: usize, disk: Disk, terms: KeeperTerms, now: u64) -> Self {
+    pub fn new(number: usize, zone: usize, disk: Disk, terms: GroupPolicy, now: u64) -> Self {
         let replica = Replica::restore(now, disk.id, TIMING, disk.stored.clone(), disk.id.0);
         Self {
             name: format!("node-{number:02}").as_str().into(),
@@ -136,7 +136,7 @@
             status: GroupStatus::of(&replica, replace_after(&terms)),
             disk,
             replica: Some(replica),
-            keeper: GroupKeeper::new(terms),
+            keeper: GroupManager::new(terms),
             terms,
             known: KnownStore::default(),
             cut_until: 0,
@@ -175,7 +175,7 @@
     /// Starts the process with what the disk holds.
     pub fn start(&mut self, now: u64, seed: u64) {
         self.restore(now, seed);
-        self.keeper = GroupKeeper::new(self.terms);
+        self.keeper = GroupManager::new(self.terms);
         self.known = KnownStore::default();
         self.condition = Condition::Runs;
         self.next_look = now;
@@ -199,9 +199,9 @@
     }
 
     /// What the upkeep is shown.
-    pub fn view<'a>(&'a self, start: Instant, leaving: Option<&'a LeavingNodes>) -> KeeperView<'a> {
+    pub fn view<'a>(&'a self, start: Instant, leaving: Option<&'a LeavingNodes>) -> GroupInput<'a> {
         let listed = self.known.read_at.map(Duration::from_millis);
-        KeeperView {
+        GroupInput {
             listed_at: listed.map(|at| start + at),
             node: &self.name,
             status: &self.status,
@@ -238,6 +238,6 @@
     }
 }
 
-fn replace_after(terms: &KeeperTerms) -> u64 {
-    terms.catch_up.mul_f64(SILENCE_SHARE).as_millis() as u64
+fn replace_after(terms: &GroupPolicy) -> u64 {
+    terms.catch_up.mul_f64(SILENCE_FRACTION).as_millis() as u64
 }
--- a/crates/firshore-node/tests/copies_world/mod.rs
+++ b/crates/firshore-node/tests/copies_world/mod.rs
@@ -7,7 +7,7 @@
 mod store;
 
 use firshore_log::placement::{self, Candidate, keeps_promises};
-use firshore_node::journal::group_keeper::{KeeperStep, KeeperTerms};
+use firshore_node::journal::group_keeper::{GroupAction, GroupPolicy};
 use firshore_replication::message::Envelope;
 use firshore_replication::replica::{Output, ReadToken};
 use firshore_replication::storage::StoredState;
@@ -76,7 +76,7 @@
 /// A played deployment.
 pub struct World {
     sheet: Sheet,
-    terms: KeeperTerms,
+    terms: GroupPolicy,
     random: ChaCha8Rng,
     start: Instant,
     now: u64,
@@ -108,7 +108,7 @@
     /// A group founded on the first machines.
     pub fn new(sheet: Sheet, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let terms = KeeperTerms {
+        let terms = GroupPolicy {
             target: placement::voters_for(sheet.losses),
             least: sheet.losses as usize + 1,
             catch_up: Duration::from_millis(CATCH_UP),
@@ -646,7 +646,7 @@
         let knows_wishes = self.machines[index].status.leads;
         let step = self.step(index, knows_wishes);
         let step = match step {
-            KeeperStep::ListLeaving if self.reaches_store(index) => {
+            GroupAction::ListLeaving if self.reaches_store(index) => {
                 self.machines[index].known.wishes = Some(self.store.wishes.clone());
                 self.step(index, true)
             }
@@ -697,22 +697,22 @@
         true
     }
 
-    fn step(&mut self, index: usize, knows_wishes: bool) -> KeeperStep {
+    fn step(&mut self, index: usize, knows_wishes: bool) -> GroupAction {
         let now = self.start + Duration::from_millis(self.now);
         let machine = &mut self.machines[index];
         let leaving = machine.leaving().filter(|_| knows_wishes);
         let mut keeper = std::mem::replace(
             &mut machine.keeper,
-            firshore_node::journal::group_keeper::GroupKeeper::new(machine.terms),
+            firshore_node::journal::group_keeper::GroupManager::new(machine.terms),
         );
         let step = keeper.step(now, &machine.view(self.start, leaving.as_ref()));
         machine.keeper = keeper;
         step
     }
 
-    fn carry_out_step(&mut self, index: usize, step: KeeperStep) {
+    fn carry_out_step(&mut self, index: usize, step: GroupAction) {
         let name = self.machines[index].name.clone();
-        if step != KeeperStep::Rest {
+        if step != GroupAction::Rest {
             self.line(format!("{name}: {step:?}"));
         }
         let late = self.random.random_bool(0.05);
@@ -723,11 +723,11 @@
             return;
         };
         match step {
-            KeeperStep::Rest | KeeperStep::ListLeaving => {}
-            KeeperStep::StepAside(heir) => {
+            GroupAction::Rest | GroupAction::ListLeaving => {}
+            GroupAction::StepAside(heir) => {
                 let _ = replica.transfer_leadership(heir);
             }
-            KeeperStep::Record(record) => {
+            GroupAction::Record(record) => {
                 if machine.known.unsettled || !reaches {
                     return;
                 }
@@ -741,18 +741,18 @@
                     self.store.record(known, record);
                 }
             }
-            KeeperStep::Change(change) => {
+            GroupAction::Change(change) => {
                 let _ = replica.change_membership(&change);
             }
-            KeeperStep::PassOver(disk, _) => {
+            GroupAction::PassOver(disk, _) => {
                 let _ = replica.change_membership(&MembershipChange::Remove(disk));
             }
-            KeeperStep::ContinueWith(survivors) => {
+            GroupAction::ContinueWith(survivors) => {
                 if replica.continue_with(&survivors).is_ok() {
                     machine.open.clear();
                 }
             }
-            KeeperStep::JoinHistory(history) => replica.join_history(history),
+            GroupAction::JoinHistory(history) => replica.join_history(history),
         }
         self.settle(index);
     }
@@ -769,7 +769,7 @@
         let emptied: Vec<NodeName> = leaving
             .open
             .iter()
-            .filter(|node| machine.keeper.is_emptied(&view, node))
+            .filter(|node| machine.keeper.is_drained(&view, node))
             .cloned()
             .collect();
         for node in emptied {
--- a/crates/firshore-node/tests/crash_world/callers.rs
+++ b/crates/firshore-node/tests/crash_world/callers.rs
@@ -4,7 +4,7 @@
 use super::backends::Life;
 use super::nodes::SimNode;
 use super::{World, spawn};
-use firshore_crashes::print::{AskedRequest, PrintKey, RequestPrint};
+use firshore_crashes::print::{FingerprintInput, FingerprintKey, RequestFingerprint};
 use firshore_crashes::report::LostRun;
 use firshore_gateway::crash_monitor::CrashMonitor;
 use std::rc::Rc;
@@ -47,8 +47,8 @@
     NotSent,
 }
 
-fn print(name: &str) -> RequestPrint {
-    PrintKey::new(b"secret").print(&AskedRequest {
+fn print(name: &str) -> RequestFingerprint {
+    FingerprintKey::new(b"secret").print(&FingerprintInput {
         tenant: None,
         host: "a.example",
         method: "POST",
@@ -88,11 +88,11 @@
     }
 }
 
-async fn fatal_try(world: Rc<World>, node: Rc<SimNode>, print: RequestPrint, fatal: usize) {
+async fn fatal_try(world: Rc<World>, node: Rc<SimNode>, print: RequestFingerprint, fatal: usize) {
     let Some(monitor) = running_monitor(&node) else {
         return;
     };
-    if monitor.held_back_for(&print).is_some() {
+    if monitor.quarantined_for(&print).is_some() {
         return;
     }
     let Some(life) = drawn_backend(&world) else {
@@ -166,7 +166,7 @@
     };
     let print = print(name);
     world.tries.set(world.tries.get() + 1);
-    if monitor.held_back_for(&print).is_some() {
+    if monitor.quarantined_for(&print).is_some() {
         world.condemned.borrow_mut().insert(name.to_owned());
         return TryEnd::HeldBack;
     }
--- a/crates/firshore-node/tests/give_way.rs
+++ b/crates/firshore-node/tests/give_way.rs
@@ -1,9 +1,9 @@
 //! Where items give way to online requests, and what they still need until they are due.
 
-use firshore_gateway::pressure::{PressureFigure, ServicePressure};
-use firshore_node::runner::give_way::{GiveWay, HeldRun, ServiceRoom};
+use firshore_gateway::pressure::{PressureCounts, ServicePressure};
+use firshore_node::runner::give_way::{PreemptionPolicy, PreemptibleRun, ServiceRoom};
 use firshore_node::runner::urgency::{DueTable, DueTime, ItemUrgency};
-use firshore_node::runner::work_ahead::{ItemOutlook, WorkAhead};
+use firshore_node::runner::work_ahead::{DeadlineRisk, BacklogEstimate};
 use firshore_types::ids::ServiceName;
 use std::time::{Duration, Instant};
 
@@ -28,15 +28,15 @@
 fn late(count: u32) -> ServicePressure {
     ServicePressure {
         service: service(),
-        figure: PressureFigure {
+        figure: PressureCounts {
             late: count,
-            ..PressureFigure::default()
+            ..PressureCounts::default()
         },
     }
 }
 
-fn held(now: Instant, index: u64, load: f32, outlook: ItemOutlook) -> HeldRun {
-    HeldRun {
+fn held(now: Instant, index: u64, load: f32, outlook: DeadlineRisk) -> PreemptibleRun {
+    PreemptibleRun {
         key: ("job".to_owned(), index as _),
         load,
         outlook,
@@ -45,27 +45,27 @@
     }
 }
 
-fn keys(runs: &[HeldRun]) -> Vec<u64> {
+fn keys(runs: &[PreemptibleRun]) -> Vec<u64> {
     runs.iter().map(|run| run.key.1 as u64).collect()
 }
 
 #[test]
 fn a_few_late_requests_in_many_slots_hold_nothing_back() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     way.told(now, room(500), &late(5));
     assert!(!way.is_pressed(&service()));
-    assert!(way.may_start(&service(), SLOTS, 100, ItemOutlook::Easy));
+    assert!(way.may_start(&service(), SLOTS, 100, DeadlineRisk::Easy));
     way.told(now + millis(20), room(500), &late(5));
     assert!(way.is_pressed(&service()));
-    assert!(!way.may_start(&service(), SLOTS, 100, ItemOutlook::Pressed));
+    assert!(!way.may_start(&service(), SLOTS, 100, DeadlineRisk::Pressed));
     assert!(!way.is_pressed(&"desk".into()), "another service");
 }
 
 #[test]
 fn items_go_on_once_online_requests_leave_room() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     way.told(now, room(600), &late(200));
     way.pass(now + millis(300), |_| room(400));
     assert!(way.is_pressed(&service()), "a moment ago they were late");
@@ -76,7 +76,7 @@
 #[test]
 fn items_that_stepped_aside_do_not_start_again_into_the_same_wave() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     way.told(now, room(600), &late(200));
     way.pass(now + millis(1_500), |_| room(590));
     assert!(way.is_pressed(&service()));
@@ -87,7 +87,7 @@
 #[test]
 fn what_comes_late_after_a_wave_holds_nothing_back() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     way.told(now, room(600), &late(200));
     way.told(now + millis(200), room(290), &late(50));
     assert!(!way.is_pressed(&service()));
@@ -100,7 +100,7 @@
 #[test]
 fn items_are_not_held_back_for_ever() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     way.told(now, room(600), &late(200));
     way.pass(now + millis(100), |_| room(600));
     way.pass(now + millis(4_000), |_| room(600));
@@ -110,10 +110,10 @@
 #[test]
 fn as_many_runs_step_aside_as_requests_pressed_the_least_urgent_first() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     way.told(now, room(600), &late(8));
     let runs = |range: std::ops::Range<u64>| {
-        let runs = range.map(|index| held(now, index, 1.0, ItemOutlook::Easy));
+        let runs = range.map(|index| held(now, index, 1.0, DeadlineRisk::Easy));
         runs.collect::<Vec<_>>()
     };
     let stopped = way.step_aside(&service(), room(600), runs(0..20));
@@ -128,11 +128,11 @@
 #[test]
 fn runs_with_room_beside_them_are_in_nobodys_way() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     way.told(now, room(600), &late(100));
     let runs = vec![
-        held(now, 0, 0.3, ItemOutlook::Easy),
-        held(now, 1, 1.0, ItemOutlook::Easy),
+        held(now, 0, 0.3, DeadlineRisk::Easy),
+        held(now, 1, 1.0, DeadlineRisk::Easy),
     ];
     assert_eq!(keys(&way.step_aside(&service(), room(600), runs)), [1]);
 }
@@ -140,14 +140,14 @@
 #[test]
 fn items_that_would_be_late_keep_a_small_part_of_the_slots() {
     let now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     way.told(now, room(600), &late(1_000));
-    let runs = (0..100).map(|index| held(now, index, 1.0, ItemOutlook::LastChance));
+    let runs = (0..100).map(|index| held(now, index, 1.0, DeadlineRisk::LastChance));
     let stopped = way.step_aside(&service(), room(600), runs.collect());
     let kept = 100 - stopped.len();
     assert!((1..=SLOTS as usize / 20).contains(&kept), "{kept} kept");
     assert!(stopped.iter().all(|run| run.key.1 as usize >= kept));
-    let last = ItemOutlook::LastChance;
+    let last = DeadlineRisk::LastChance;
     assert!(way.may_start(&service(), SLOTS, kept - 1, last));
     assert!(!way.may_start(&service(), SLOTS, kept, last));
 }
@@ -155,7 +155,7 @@
 #[test]
 fn the_part_of_calm_time_is_learned() {
     let mut now = Instant::now();
-    let mut way = GiveWay::default();
+    let mut way = PreemptionPolicy::default();
     for _ in 0..10 {
         for step in 0..60 {
             now += millis(100);
@@ -176,8 +176,8 @@
     DueTable::default().due(now, "job", age, Some(DUE_AFTER))
 }
 
-fn learned() -> WorkAhead {
-    let mut work = WorkAhead::default();
+fn learned() -> BacklogEstimate {
+    let mut work = BacklogEstimate::default();
     for _ in 0..20 {
         work.finished(&service(), 130, 130, millis(5_200));
     }
@@ -200,7 +200,7 @@
 
 #[test]
 fn a_run_that_made_nothing_teaches_nothing() {
-    let mut work = WorkAhead::default();
+    let mut work = BacklogEstimate::default();
     work.finished(&service(), 130, 0, millis(10));
     assert_eq!(work.left(&service(), 0), None);
 }
@@ -213,16 +213,16 @@
         let due = due(now, millis(age));
         work.outlook(now, &service(), &due, produced, calm)
     };
-    assert_eq!(outlook(2_000, 0, 1.0), ItemOutlook::Easy);
-    assert_eq!(outlook(2_000, 0, 0.4), ItemOutlook::Pressed);
-    assert_eq!(outlook(2_000, 100, 0.4), ItemOutlook::Easy);
-    assert_eq!(outlook(12_000, 0, 1.0), ItemOutlook::LastChance);
+    assert_eq!(outlook(2_000, 0, 1.0), DeadlineRisk::Easy);
+    assert_eq!(outlook(2_000, 0, 0.4), DeadlineRisk::Pressed);
+    assert_eq!(outlook(2_000, 100, 0.4), DeadlineRisk::Easy);
+    assert_eq!(outlook(12_000, 0, 1.0), DeadlineRisk::LastChance);
     assert_eq!(
         outlook(17_500, 0, 1.0),
-        ItemOutlook::Easy,
+        DeadlineRisk::Easy,
         "late whatever is done"
     );
-    assert_eq!(outlook(19_000, 0, 1.0), ItemOutlook::Easy, "late already");
+    assert_eq!(outlook(19_000, 0, 1.0), DeadlineRisk::Easy, "late already");
 }
 
 #[test]
@@ -276,8 +276,8 @@
 /// worth more than usual. Of online requests a part is seen.
 fn replay(rule: &Rule, seen: f64, items_per_second: f64) -> ReplayEnd {
     let start = Instant::now();
-    let mut way = GiveWay::default();
-    let mut work = WorkAhead::default();
+    let mut way = PreemptionPolicy::default();
+    let mut work = BacklogEstimate::default();
     let mut items: Vec<ReplayItem> = Vec::new();
     let mut pressures = vec![0.0; TOLD_AFTER];
     let mut end = ReplayEnd::default();
@@ -312,16 +312,16 @@
         let seen_load = (f64::from(seen_online) + running as f64) / f64::from(SLOTS);
         let pressure = ServicePressure {
             service: service(),
-            figure: PressureFigure {
+            figure: PressureCounts {
                 waiting: told,
-                ..PressureFigure::default()
+                ..PressureCounts::default()
             },
         };
         way.told(now, room(seen_online), &pressure);
         way.pass(now, |_| room(seen_online));
         work.saw_room(now, &service(), SLOTS - seen_online);
         let calm = way.calm_share(&service());
-        let outlook = |item: &ReplayItem, work: &WorkAhead| {
+        let outlook = |item: &ReplayItem, work: &BacklogEstimate| {
             let produced = 130 - (item.left.as_millis() / 40) as usize;
             work.outlook(now, &service(), &item.due, produced, calm)
         };
@@ -347,7 +347,7 @@
         match rule {
             Rule::Pressure => {
                 let runs = items.iter().enumerate().filter(|(_, item)| item.runs);
-                let runs = runs.map(|(index, item)| HeldRun {
+                let runs = runs.map(|(index, item)| PreemptibleRun {
                     key: ("job".to_owned(), index as _),
                     load: seen_load as f32,
                     outlook: outlook(item, &work),
--- a/crates/firshore-node/tests/group_keeper.rs
+++ b/crates/firshore-node/tests/group_keeper.rs
@@ -3,7 +3,7 @@
 use firshore_log::GroupStatus;
 use firshore_log::placement::Candidate;
 use firshore_node::journal::group_keeper::{
-    GroupKeeper, KeeperStep, KeeperTerms, KeeperView, LeavingNodes,
+    GroupManager, GroupAction, GroupPolicy, GroupInput, LeavingNodes,
 };
 use firshore_node::journal::registry::VoterRecord;
 use firshore_replication::replica::{Replica, Timing};
@@ -40,7 +40,7 @@
 /// What is known on node 1, whose replica is on disk 1.
 struct Scene {
     start: Instant,
-    keeper: GroupKeeper,
+    keeper: GroupManager,
     status: GroupStatus,
     candidates: Vec<Candidate>,
     leaving: Option<LeavingNodes>,
@@ -57,7 +57,7 @@
         let replica = Replica::restore(0, DiskId(1), Timing::default(), stored, 1);
         Self {
             start: Instant::now(),
-            keeper: GroupKeeper::new(KeeperTerms {
+            keeper: GroupManager::new(GroupPolicy {
                 target: 2 * losses + 1,
                 least: losses + 1,
                 catch_up: CATCH_UP,
@@ -101,11 +101,11 @@
     }
 
     /// What to do after this part of the time in which a disk has to catch up.
-    fn step(&mut self, share: f64) -> KeeperStep {
+    fn step(&mut self, share: f64) -> GroupAction {
         self.keeper.observe(self.start, &self.status);
         let now = self.start + CATCH_UP.mul_f64(share);
         let node = NodeName::from("node-1");
-        let view = KeeperView {
+        let view = GroupInput {
             node: &node,
             status: &self.status,
             candidates: &self.candidates,
@@ -117,9 +117,9 @@
         self.keeper.step(now, &view)
     }
 
-    fn is_emptied(&mut self, node: &str) -> bool {
+    fn is_drained(&mut self, node: &str) -> bool {
         let own = NodeName::from("node-1");
-        let view = KeeperView {
+        let view = GroupInput {
             node: &own,
             status: &self.status,
             candidates: &self.candidates,
@@ -128,20 +128,20 @@
             doubtful: self.doubtful,
             listed_at: None,
         };
-        self.keeper.is_emptied(&view, &NodeName::from(node))
+        self.keeper.is_drained(&view, &NodeName::from(node))
     }
 }
 
 /// The voters that a step records.
-fn recorded(step: KeeperStep) -> Option<BTreeSet<DiskId>> {
+fn recorded(step: GroupAction) -> Option<BTreeSet<DiskId>> {
     match step {
-        KeeperStep::Record(record) => Some(record.voters),
+        GroupAction::Record(record) => Some(record.voters),
         _ => None,
     }
 }
 
-fn is_survivor(step: &KeeperStep) -> bool {
-    matches!(step, KeeperStep::ContinueWith(_))
+fn is_survivor(step: &GroupAction) -> bool {
+    matches!(step, GroupAction::ContinueWith(_))
 }
 
 fn unsettled(voters: &[u64], before: &[&[u64]]) -> VoterRecord {
@@ -171,10 +171,10 @@
 fn nobody_goes_on_by_what_was_listed_before_the_leader_was_lost() {
     let mut scene = Scene::leaderless(&[1, 2], 1).wiped(2);
     scene.listed = false;
-    assert_eq!(scene.step(2.0), KeeperStep::Rest);
+    assert_eq!(scene.step(2.0), GroupAction::Rest);
     scene.listed = true;
     scene.leaving = None;
-    assert_eq!(scene.step(2.0), KeeperStep::ListLeaving);
+    assert_eq!(scene.step(2.0), GroupAction::ListLeaving);
 }
 
 #[test]
@@ -190,26 +190,26 @@
         .find(|one| one.disk == DiskId(3));
     gone.unwrap().node = "elsewhere".into();
     scene.candidates.retain(|one| one.disk != DiskId(3));
-    assert_eq!(scene.step(0.2), KeeperStep::Rest);
+    assert_eq!(scene.step(0.2), GroupAction::Rest);
     let mut old = scene.recorded(VoterRecord {
         term: 0,
         ..unsettled(&[1, 2], &[])
     });
-    assert_eq!(old.step(2.0), KeeperStep::Rest, "it names no groups");
+    assert_eq!(old.step(2.0), GroupAction::Rest, "it names no groups");
 }
 
 #[test]
 fn silent_voters_are_left_out_only_by_as_many_as_commit_together() {
     let mut pair = Scene::leaderless(&[1, 2], 1);
-    assert_eq!(pair.step(0.1), KeeperStep::Rest);
+    assert_eq!(pair.step(0.1), GroupAction::Rest);
     assert_eq!(recorded(pair.step(1.0)), Some(disks(&[1])));
     let mut three = Scene::leaderless(&[1, 2, 3], 1);
-    assert_eq!(three.step(2.0), KeeperStep::Rest, "two might have more");
+    assert_eq!(three.step(2.0), GroupAction::Rest, "two might have more");
     let mut five = Scene::leaderless(&[1, 2, 3, 4, 5, 6], 2);
     five.status.heard = disks(&[2, 3]);
     assert_eq!(
         five.step(2.0),
-        KeeperStep::Rest,
+        GroupAction::Rest,
         "three do not commit together"
     );
 }
@@ -219,7 +219,7 @@
     let mut scene = Scene::leaderless(&[1, 2, 3, 4], 2).wiped(3).wiped(4);
     assert_eq!(recorded(scene.step(0.1)), Some(disks(&[1, 2])));
     let mut too_few = Scene::leaderless(&[1, 2, 3], 1).wiped(2).wiped(3);
-    assert_eq!(too_few.step(2.0), KeeperStep::Rest);
+    assert_eq!(too_few.step(2.0), GroupAction::Rest);
 }
 
 #[test]
@@ -229,14 +229,14 @@
         ..unsettled(&[2], &[&[1, 2]])
     };
     let mut scene = Scene::leaderless(&[1, 2], 1).recorded(left.clone());
-    assert_eq!(scene.step(2.0), KeeperStep::Rest);
+    assert_eq!(scene.step(2.0), GroupAction::Rest);
     let mut scene = scene.wiped(2);
     assert_eq!(recorded(scene.step(2.0)), Some(disks(&[1])));
     let other = VoterRecord {
         left_behind: Some(DiskId(9)),
         ..left
     };
-    assert_eq!(scene.recorded(other).step(2.0), KeeperStep::Rest);
+    assert_eq!(scene.recorded(other).step(2.0), GroupAction::Rest);
 }
 
 #[test]
@@ -250,20 +250,20 @@
     scene.status.heard = disks(&[2, 5]);
     assert_eq!(recorded(scene.step(1.0)), Some(disks(&[1, 2, 5])));
     scene.status.heard = disks(&[2]);
-    assert_eq!(scene.step(1.0), KeeperStep::Rest, "three of five are out");
+    assert_eq!(scene.step(1.0), GroupAction::Rest, "three of five are out");
 }
 
 #[test]
 fn the_short_wait_is_for_any_group_whose_place_another_disk_could_take() {
     let mut scene = Scene::leaderless(&[1, 2, 3, 4], 2).wiped(3);
     scene.status.heard = disks(&[2]);
-    assert_eq!(scene.step(0.2), KeeperStep::Rest);
+    assert_eq!(scene.step(0.2), GroupAction::Rest);
     assert_eq!(recorded(scene.step(0.4)), Some(disks(&[1, 2])));
     scene.candidates.retain(|one| one.disk != DiskId(103));
     scene.candidates.push(candidate(3, 3));
     assert_eq!(
         scene.step(0.4),
-        KeeperStep::Rest,
+        GroupAction::Rest,
         "nothing could replace it"
     );
 }
@@ -285,13 +285,13 @@
         gone: BTreeSet::new(),
         ..record.clone()
     });
-    assert_eq!(scene.step(0.2), KeeperStep::Rest, "it may have been there");
+    assert_eq!(scene.step(0.2), GroupAction::Rest, "it may have been there");
     // In the group before, it was.
     let mut scene = scene.recorded(VoterRecord {
         before: vec![disks(&[1, 3, 4])],
         ..record
     });
-    assert_eq!(scene.step(0.3), KeeperStep::Rest);
+    assert_eq!(scene.step(0.3), GroupAction::Rest);
 }
 
 /// What is recorded of a lone voter on disk 2 that went on without disk 1.
@@ -312,9 +312,9 @@
     };
     for voters in [&[2][..], &[1, 2]] {
         let mut scene = scene().recorded(lone(voters));
-        assert_eq!(scene.step(0.0), KeeperStep::Rest, "it may go on itself");
-        assert_eq!(scene.step(0.9), KeeperStep::Rest);
-        let KeeperStep::Record(begun) = scene.step(1.1) else {
+        assert_eq!(scene.step(0.0), GroupAction::Rest, "it may go on itself");
+        assert_eq!(scene.step(0.9), GroupAction::Rest);
+        let GroupAction::Record(begun) = scene.step(1.1) else {
             panic!("it waited for the whole time");
         };
         assert_eq!((begun.voters.clone(), begun.history), (disks(&[1]), 5));
@@ -325,13 +325,13 @@
     }
     let mut replaced = scene().recorded(lone(&[2]));
     replaced.candidates.push(candidate(3, 3));
-    assert_eq!(replaced.step(0.0), KeeperStep::Rest);
+    assert_eq!(replaced.step(0.0), GroupAction::Rest);
     assert_eq!(recorded(replaced.step(0.4)), Some(disks(&[1])));
     // What the lone voter promises together with another disk is not here.
     let mut joined = scene().recorded(lone(&[2, 3]));
     joined.candidates.push(candidate(3, 3));
-    assert_eq!(joined.step(0.0), KeeperStep::Rest);
-    assert_eq!(joined.step(2.0), KeeperStep::Rest);
+    assert_eq!(joined.step(0.0), GroupAction::Rest);
+    assert_eq!(joined.step(2.0), GroupAction::Rest);
     // Once that voter's disk is gone, what is not here is on the disk that it took in.
     let mut joined = joined.wiped(2);
     assert_eq!(recorded(joined.step(2.1)), Some(disks(&[1, 3])));
@@ -340,7 +340,7 @@
     let mut other = other.wiped(3);
     assert_eq!(
         other.step(2.0),
-        KeeperStep::Rest,
+        GroupAction::Rest,
         "the lone one may hold it"
     );
 }
@@ -353,9 +353,9 @@
         ..unsettled(&[2], &[])
     };
     let mut led = Scene::leading(&[1], 1).recorded(later.clone());
-    assert_eq!(led.step(0.1), KeeperStep::JoinHistory(1));
+    assert_eq!(led.step(0.1), GroupAction::JoinHistory(1));
     let mut left = Scene::leaderless(&[1, 2], 1).recorded(later.clone());
-    assert_eq!(left.step(0.1), KeeperStep::JoinHistory(1));
+    assert_eq!(left.step(0.1), GroupAction::JoinHistory(1));
     let own = VoterRecord {
         voters: disks(&[1]),
         ..later
@@ -363,7 +363,7 @@
     let mut begins = Scene::leaderless(&[1, 2], 1).recorded(own.clone());
     assert!(is_survivor(&begins.step(0.1)));
     let mut leads = Scene::leading(&[1, 2], 1).recorded(own);
-    assert_eq!(leads.step(0.1), KeeperStep::JoinHistory(1));
+    assert_eq!(leads.step(0.1), GroupAction::JoinHistory(1));
 }
 
 #[test]
@@ -373,7 +373,7 @@
         let in_force: &[u64] = if committed { &[1, 2] } else { &[1] };
         scene.status.committed_membership = membership(in_force);
         match scene.step(1.0) {
-            KeeperStep::Record(record) => record.left_behind,
+            GroupAction::Record(record) => record.left_behind,
             step => panic!("{step:?}"),
         }
     };
@@ -390,7 +390,7 @@
 fn a_replica_that_was_removed_asks_the_store_nothing() {
     let mut scene = Scene::leaderless(&[1, 2, 3], 1).recorded(unsettled(&[2, 3], &[&[2, 3, 4]]));
     scene.leaving = None;
-    assert_eq!(scene.step(2.0), KeeperStep::Rest);
+    assert_eq!(scene.step(2.0), GroupAction::Rest);
 }
 
 #[test]
@@ -414,13 +414,13 @@
     scene.status.caught_up = disks(&[1, 2]);
     scene.step(0.0);
     assert!(
-        !matches!(scene.step(3.0), KeeperStep::PassOver(..)),
+        !matches!(scene.step(3.0), GroupAction::PassOver(..)),
         "no other is there"
     );
     scene.candidates.push(candidate(4, 4));
     assert!(matches!(
         scene.step(3.0),
-        KeeperStep::PassOver(DiskId(103), _)
+        GroupAction::PassOver(DiskId(103), _)
     ));
 }
 
@@ -431,13 +431,13 @@
         scene.recorded_step(record)
     };
     let own = unsettled(&[1, 2], &[&[1, 2, 3]]);
-    assert!(matches!(change(own.clone()), KeeperStep::Change(_)));
+    assert!(matches!(change(own.clone()), GroupAction::Change(_)));
     let earlier = VoterRecord { term: 0, ..own };
-    assert!(matches!(change(earlier), KeeperStep::Record(_)));
+    assert!(matches!(change(earlier), GroupAction::Record(_)));
 }
 
 impl Scene {
-    fn recorded_step(&mut self, record: VoterRecord) -> KeeperStep {
+    fn recorded_step(&mut self, record: VoterRecord) -> GroupAction {
         self.record = Some(record);
         self.status.term = 1;
         self.step(0.1)
@@ -448,20 +448,20 @@
 fn a_leader_that_does_not_know_who_leaves_changes_nothing() {
     let mut scene = Scene::leading(&[1, 2, 3], 1).wiped(3);
     scene.leaving = None;
-    assert_eq!(scene.step(0.1), KeeperStep::Rest);
+    assert_eq!(scene.step(0.1), GroupAction::Rest);
 }
 
 #[test]
 fn a_node_is_empty_once_a_committed_group_without_it_keeps_promises() {
     let mut pair = Scene::leading(&[1, 2], 1);
-    assert!(pair.is_emptied("node-3"));
-    assert!(!pair.is_emptied("node-2"));
+    assert!(pair.is_drained("node-3"));
+    assert!(!pair.is_drained("node-2"));
     pair.status.membership_committed = false;
-    assert!(!pair.is_emptied("node-3"));
+    assert!(!pair.is_drained("node-3"));
     let mut lone = Scene::leading(&[1], 1);
-    assert!(!lone.is_emptied("node-3"), "its disk may be needed");
+    assert!(!lone.is_drained("node-3"), "its disk may be needed");
     let mut three = Scene::leading(&[1, 2, 3], 2);
-    assert!(!three.is_emptied("node-4"), "two of three commit");
+    assert!(!three.is_drained("node-4"), "two of three commit");
 }
 
 #[test]
@@ -472,9 +472,9 @@
     };
     let mut scene = Scene::leading(&[1, 2], 1);
     scene.leaving = Some(leaving(&["node-1"]));
-    assert_eq!(scene.step(0.1), KeeperStep::StepAside(DiskId(2)));
+    assert_eq!(scene.step(0.1), GroupAction::StepAside(DiskId(2)));
     scene.leaving = Some(leaving(&["node-1", "node-2"]));
-    assert!(!matches!(scene.step(0.1), KeeperStep::StepAside(_)));
+    assert!(!matches!(scene.step(0.1), GroupAction::StepAside(_)));
 }
 
 #[test]
@@ -486,13 +486,13 @@
     let mut scene = Scene::leading(&[1], 1);
     scene.candidates.push(candidate(2, 2));
     scene.leaving = Some(leaving.clone());
-    assert!(matches!(scene.step(0.1), KeeperStep::Change(_)));
+    assert!(matches!(scene.step(0.1), GroupAction::Change(_)));
     scene.leaving = Some(LeavingNodes {
         done: leaving.open,
         ..LeavingNodes::default()
     });
     assert!(
-        !matches!(scene.step(0.2), KeeperStep::Change(_)),
+        !matches!(scene.step(0.2), GroupAction::Change(_)),
         "it is gone"
     );
 }
@@ -506,7 +506,7 @@
     let mut tried = Vec::new();
     for turn in 0..8 {
         let at = 2.0 * f64::from(turn);
-        let KeeperStep::Change(MembershipChange::AddLearner(disk, info)) = scene.step(at) else {
+        let GroupAction::Change(MembershipChange::AddLearner(disk, info)) = scene.step(at) else {
             panic!("a disk is wanted");
         };
         tried.push(disk);
@@ -521,7 +521,7 @@
         );
         scene.status.membership = group;
         scene.status.silent = BTreeSet::from([disk]);
-        assert!(matches!(scene.step(at + 0.1), KeeperStep::PassOver(..)));
+        assert!(matches!(scene.step(at + 0.1), GroupAction::PassOver(..)));
         scene.status.membership = membership(&[1]);
         scene.status.silent = BTreeSet::new();
     }
--- a/crates/firshore-node/tests/journal.rs
+++ b/crates/firshore-node/tests/journal.rs
@@ -4,9 +4,9 @@
 mod cluster;
 
 use firshore_adapter::jobs::{ItemOutcome, JobId};
-use firshore_crashes::print::AskedRequest;
-use firshore_crashes::report::{CrashReport, LostRun, ReportedEnd};
-use firshore_crashes::sync::CrashQuestion;
+use firshore_crashes::print::FingerprintInput;
+use firshore_crashes::report::{CrashReport, LostRun, ReportedExit};
+use firshore_crashes::sync::CrashSyncRequest;
 use firshore_gateway::gateway::JobService;
 use firshore_node::journal::GROUP;
 use firshore_node::journal::messages::PeerRequest;
@@ -347,7 +347,7 @@
             };
             node.journal
                 .registry
-                .heard_from(&"moved".into(), address, revision);
+                .update_address(&"moved".into(), address, revision);
             assert_eq!(addresses.read().get(&"moved".into()), Some(&expected));
             peers().notify(node.address, notice);
             pause().await;
@@ -430,28 +430,28 @@
         // Other nodes saw three back ends end under the first item, as a part of whatever job.
         let fatal = &items(1)[0];
         for node in cluster.nodes.iter().flatten() {
-            let print = node.gateway.print_key.print(&AskedRequest {
+            let print = node.gateway.fingerprint_key.print(&FingerprintInput {
                 tenant: None,
                 host: HOST,
                 method: "POST",
                 target: &fatal.path,
                 body: &fatal.body.0,
             });
-            let end = |idx: u64| ReportedEnd {
+            let end = |idx: u64| ReportedExit {
                 backend: format!("gone{idx}"),
                 started: None,
                 age: 1_000 * idx,
                 lost: vec![LostRun { print, reached: 0 }],
             };
             let ends = (1..=3).map(end).collect();
-            node.gateway.crashes.answer(&CrashQuestion {
+            node.gateway.crashes.answer(&CrashSyncRequest {
                 known: None,
                 report: CrashReport {
                     ends,
                     ..CrashReport::default()
                 },
             });
-            assert!(node.gateway.crashes.holds_any_back());
+            assert!(node.gateway.crashes.has_quarantined());
         }
         for job in ["one", "other"] {
             cluster.submit(job, 3).await;
--- a/crates/firshore-node/tests/passed_over.rs
+++ b/crates/firshore-node/tests/passed_over.rs
@@ -1,6 +1,6 @@
 //! Disks that stay silent are tried again, after pauses that grow to a bound.
 
-use firshore_node::journal::passed_over::PassedOver;
+use firshore_node::journal::passed_over::ExcludedDisks;
 use firshore_replication::types::DiskId;
 use std::time::{Duration, Instant};
 
@@ -8,12 +8,12 @@
 
 #[test]
 fn a_silent_disk_is_tried_again_after_bounded_pauses() {
-    let mut passed_over = PassedOver::default();
+    let mut passed_over = ExcludedDisks::default();
     let mut now = Instant::now();
     assert!(!passed_over.holds(now, DISK));
     let mut before = Duration::ZERO;
     for _ in 0..10 {
-        let pause = passed_over.stayed_silent(now, DISK);
+        let pause = passed_over.record_timeout(now, DISK);
         assert!(
             pause >= before && pause <= Duration::from_secs(8),
             "{pause:?}"
@@ -28,13 +28,13 @@
 
 #[test]
 fn a_disk_that_answered_starts_over() {
-    let mut passed_over = PassedOver::default();
+    let mut passed_over = ExcludedDisks::default();
     let now = Instant::now();
-    let first = passed_over.stayed_silent(now, DISK);
-    passed_over.stayed_silent(now, DISK);
+    let first = passed_over.record_timeout(now, DISK);
+    passed_over.record_timeout(now, DISK);
     passed_over.forget(|disk| disk == DiskId(8));
     assert!(passed_over.holds(now, DISK));
     passed_over.forget(|disk| disk == DISK);
     assert!(!passed_over.holds(now, DISK));
-    assert_eq!(passed_over.stayed_silent(now, DISK), first);
+    assert_eq!(passed_over.record_timeout(now, DISK), first);
 }
--- a/crates/firshore-node/tests/progress_file.rs
+++ b/crates/firshore-node/tests/progress_file.rs
@@ -2,7 +2,7 @@
 
 use firshore_node::runner::ItemKey;
 use firshore_node::runner::handover::ProgressDelta;
-use firshore_node::runner::progress_keeper::{Leadership, ProgressKeeper};
+use firshore_node::runner::progress_keeper::{Leadership, ProgressStore};
 use std::fs::OpenOptions;
 use std::io::{ErrorKind, Write};
 use std::path::Path;
@@ -31,7 +31,7 @@
     Leadership { term, turn }
 }
 
-fn events(keeper: &ProgressKeeper, index: u32) -> Vec<String> {
+fn events(keeper: &ProgressStore, index: u32) -> Vec<String> {
     let held = keeper.held();
     held.get(&key(index))
         .map_or(Vec::new(), |one| one.events.clone())
@@ -44,16 +44,16 @@
     if let Err(error) = std::fs::copy(folder.join(FILE), copy.path().join(FILE)) {
         assert_eq!(error.kind(), ErrorKind::NotFound, "{error}");
     }
-    events(&ProgressKeeper::open(copy.path()).unwrap(), index)
+    events(&ProgressStore::open(copy.path()).unwrap(), index)
 }
 
 /// Opens the folder once its file holds as many events of an item.
-fn reopened(folder: &Path, index: u32, count: usize) -> ProgressKeeper {
+fn reopened(folder: &Path, index: u32, count: usize) -> ProgressStore {
     let started = Instant::now();
     loop {
         let held = held_now(folder, index);
         if held.len() == count {
-            return ProgressKeeper::open(folder).unwrap();
+            return ProgressStore::open(folder).unwrap();
         }
         assert!(started.elapsed() < WRITTEN_WITHIN, "{held:?}");
         std::thread::sleep(Duration::from_millis(20));
@@ -63,7 +63,7 @@
 #[test]
 fn what_was_told_is_there_after_the_end_of_a_process() {
     let folder = tempfile::tempdir().unwrap();
-    let mut keeper = ProgressKeeper::open(folder.path()).unwrap();
+    let mut keeper = ProgressStore::open(folder.path()).unwrap();
     keeper.told(leadership(1, 1), vec![delta(0, 0, &["a", "b"])]);
     keeper.told(
         leadership(1, 1),
@@ -78,7 +78,7 @@
 #[test]
 fn a_torn_end_costs_only_itself() {
     let folder = tempfile::tempdir().unwrap();
-    let mut keeper = ProgressKeeper::open(folder.path()).unwrap();
+    let mut keeper = ProgressStore::open(folder.path()).unwrap();
     keeper.told(leadership(1, 1), vec![delta(0, 0, &["a"])]);
     drop(keeper);
     drop(reopened(folder.path(), 0, 1));
@@ -88,7 +88,7 @@
         std::fs::write(&path, &whole).unwrap();
         let mut file = OpenOptions::new().append(true).open(&path).unwrap();
         file.write_all(&whole[..torn]).unwrap();
-        let keeper = ProgressKeeper::open(folder.path()).unwrap();
+        let keeper = ProgressStore::open(folder.path()).unwrap();
         assert_eq!(events(&keeper, 0), ["a"], "{torn} bytes of the next frame");
         assert_eq!(std::fs::read(&path).unwrap(), whole, "{torn} bytes");
     }
@@ -103,7 +103,7 @@
         &[0; 40],
     ] {
         std::fs::write(folder.path().join(FILE), bytes).unwrap();
-        let keeper = ProgressKeeper::open(folder.path()).unwrap();
+        let keeper = ProgressStore::open(folder.path()).unwrap();
         assert!(keeper.held().is_empty(), "{bytes:?}");
     }
 }
@@ -111,7 +111,7 @@
 #[test]
 fn what_an_earlier_leader_tells_late_counts_for_nothing() {
     let folder = tempfile::tempdir().unwrap();
-    let mut keeper = ProgressKeeper::open(folder.path()).unwrap();
+    let mut keeper = ProgressStore::open(folder.path()).unwrap();
     keeper.told(leadership(2, 1), vec![delta(0, 0, &["b1", "b2", "b3"])]);
     let late = vec![delta(0, 1, &["a2", "a3", "a4"])];
     let gaps = keeper.told(leadership(1, 9), late);
@@ -130,7 +130,7 @@
     const EVENT: usize = 16 * 1024;
     const ROUNDS: usize = 600;
     let folder = tempfile::tempdir().unwrap();
-    let mut keeper = ProgressKeeper::open(folder.path()).unwrap();
+    let mut keeper = ProgressStore::open(folder.path()).unwrap();
     let event = "e".repeat(EVENT);
     for round in 0..ROUNDS {
         let deltas = vec![delta(round as u32, 0, &[event.as_str()])];
--- a/crates/firshore-node/tests/relay.rs
+++ b/crates/firshore-node/tests/relay.rs
@@ -7,13 +7,13 @@
 use firshore_adapter::objects::{
     Answer, Change, Changes, Object, ObjectError, ObjectStore, Page, Revision,
 };
-use firshore_gateway::belief::Belief;
+use firshore_gateway::belief::Freshness;
 use firshore_link::handshake::ClusterSecret;
 use firshore_link::listener::{self, Handler};
 use firshore_node::journal::messages::{PeerRequest, PeerResponse};
 use firshore_node::journal::registry::{KIND, NodeRecord, Registry};
 use firshore_node::observation::Learned;
-use firshore_node::relay::asker::RelayAsker;
+use firshore_node::relay::asker::RelayClient;
 use firshore_node::relay::store::RelayedStore;
 use firshore_node::relay::{Announce, Relay};
 use firshore_replication::types::DiskId;
@@ -254,7 +254,7 @@
 struct Follower {
     own: Rc<OwnStore>,
     known: Rc<RefCell<Vec<String>>>,
-    belief: Rc<Belief>,
+    belief: Rc<Freshness>,
     _following: actix_rt::task::JoinHandle<()>,
 }
 
@@ -281,7 +281,7 @@
 impl Follower {
     fn start(number: usize, store: &Rc<MemoryStore>) -> Self {
         let own = OwnStore::new(store);
-        let asker = RelayAsker {
+        let asker = RelayClient {
             node: format!("follower-{number}").as_str().into(),
             zone: "z1".into(),
             registry: Rc::new(Registry::new(store.clone(), log())),
@@ -290,7 +290,7 @@
             heard: Rc::new(|_, _| {}),
             passed_over: RefCell::default(),
         };
-        let belief = Rc::<Belief>::default();
+        let belief = Rc::<Freshness>::default();
         let relayed = RelayedStore::new(asker, own.clone(), budget(), belief.clone());
         let known = Rc::new(RefCell::new(Vec::new()));
         let learning = known.clone();
--- a/crates/firshore-node/tests/relay_loads.rs
+++ b/crates/firshore-node/tests/relay_loads.rs
@@ -5,7 +5,7 @@
 use cluster::*;
 use firshore_adapter::incarnation::BackendName;
 use firshore_gateway::gateway::Gateway;
-use firshore_gateway::pressure::{PressureFigure, ServicePressure};
+use firshore_gateway::pressure::{PressureCounts, ServicePressure};
 use firshore_link::frame;
 use firshore_link::handshake::ClusterSecret;
 use firshore_link::listener::{self, Handler};
@@ -124,14 +124,14 @@
         let names: Vec<NodeName> = names.collect();
         let (one, other) = (node("one", &cluster.store), node("other", &cluster.store));
         // Any question makes them list the nodes.
-        one.tell_leader(ToldLoad::default(), false).await;
-        other.tell_leader(ToldLoad::default(), false).await;
+        one.report_to_leader(ToldLoad::default(), false).await;
+        other.report_to_leader(ToldLoad::default(), false).await;
         loop {
-            let at_one = one.tell_relay(&names[0], counts(&[("a", 2)]).into());
-            let at_other = other.tell_relay(&names[1], counts(&[("b", 3)]).into());
+            let at_one = one.report_to_relay(&names[0], counts(&[("a", 2)]).into());
+            let at_other = other.report_to_relay(&names[1], counts(&[("b", 3)]).into());
             let (at_one, at_other) = (at_one.await, at_other.await);
             let knows = |told: Option<_>, expected: &[(&str, u32)]| {
-                told.is_some_and(|told: firshore_node::journal::client::OthersLoad| {
+                told.is_some_and(|told: firshore_node::journal::client::LoadResponse| {
                     told.counts == picture(expected)
                 })
             };
@@ -211,7 +211,7 @@
             };
             start_peer(&store, "relay", "home", relay).await;
             let jobs = Rc::new(node("n", &store));
-            while jobs.tell_leader(ToldLoad::default(), false).await.is_none() {
+            while jobs.report_to_leader(ToldLoad::default(), false).await.is_none() {
                 cluster::pause().await;
             }
             *refers_to.borrow_mut() = None;
@@ -238,9 +238,9 @@
 }
 
 fn pressed(service: &str, late: u32) -> ToldLoad {
-    let figure = PressureFigure {
+    let figure = PressureCounts {
         late,
-        ..PressureFigure::default()
+        ..PressureCounts::default()
     };
     ToldLoad {
         pressures: vec![ServicePressure {
@@ -261,13 +261,13 @@
     relay.exchange(now, "n1".into(), pressed("chat", 2));
     relay.exchange(now, "n2".into(), pressed("chat", 3));
     relay.exchange(now, "n2".into(), pressed("desk", 1));
-    let told = relay.sums_to_tell(now, false).unwrap().pressures;
+    let told = relay.sums_to_report(now, false).unwrap().pressures;
     let sums: Vec<(&str, u32)> = told
         .iter()
         .map(|one| (one.service.as_str(), one.figure.late))
         .collect();
     assert_eq!(sums, [("chat", 5), ("desk", 1)]);
-    let next = relay.sums_to_tell(now, false).unwrap();
+    let next = relay.sums_to_report(now, false).unwrap();
     assert!(next.pressures.is_empty());
 }
 
--- a/crates/firshore-node/tests/stale_world/followers.rs
+++ b/crates/firshore-node/tests/stale_world/followers.rs
@@ -8,7 +8,7 @@
 use firshore_node::journal::PeerClient;
 use firshore_node::journal::registry::Registry;
 use firshore_node::observation::Learned;
-use firshore_node::relay::asker::RelayAsker;
+use firshore_node::relay::asker::RelayClient;
 use firshore_node::relay::budget::FreshnessBudget;
 use firshore_node::relay::store::RelayedStore;
 use firshore_node::watcher::{self, Watcher};
@@ -122,7 +122,7 @@
         let registry = Rc::new(Registry::new(own.clone(), log()));
         let knowledge = Rc::new(RefCell::new(Knowledge::new(removed)));
         let following = KINDS.map(|kind| {
-            let asker = RelayAsker {
+            let asker = RelayClient {
                 node: name.as_str().into(),
                 zone: format!("z{zone}").as_str().into(),
                 registry: registry.clone(),
