--- a/crates/firshore-admission/src/admission.rs
+++ b/crates/firshore-admission/src/admission.rs
@@ -41,7 +41,7 @@
     /// Time since it arrived.
     pub age: Duration,
     /// Whether its caller is within its share.
-    pub standing: ShareStatus,
+    pub share_status: ShareStatus,
     /// Whether others wait at the node that go before it.
     pub behind_others: bool,
     /// Whether the node is on its way out: what waits in a line may not end before the node does.
@@ -50,13 +50,13 @@
 
 impl AdmissionRequest {
     /// Returns whether its caller has spent part of its time before: it was refused and came back.
-    pub fn has_returned(&self) -> bool {
+    pub fn is_retry(&self) -> bool {
         self.time_left < self.timeout.mul_f64(RETURNED_TIME_LEFT)
     }
 
     /// Returns the time within which it must be expected to begin from now on.
     pub fn begin_within(&self) -> Duration {
-        let share = match self.has_returned() {
+        let share = match self.is_retry() {
             true => RETURNED_BEGIN_SHARE,
             false => BEGIN_SHARE,
         };
@@ -95,7 +95,7 @@
 
 /// Decides about a request.
 pub fn decide(ask: &AdmissionRequest, outlook: &CapacityOutlook) -> Admission {
-    let beyond_share = outlook.is_scarce && ask.standing == ShareStatus::Beyond;
+    let beyond_share = outlook.is_scarce && ask.share_status == ShareStatus::Beyond;
     let may_be_cut = outlook.is_scarce && ask.node_is_draining;
     if outlook.has_slot && !ask.behind_others && !beyond_share && !may_be_cut {
         return Admission::Send;
--- a/crates/firshore-admission/src/returns.rs
+++ b/crates/firshore-admission/src/retry.rs
@@ -37,7 +37,7 @@
     /// Time that the caller has left.
     pub time_left: Duration,
     /// Requests a second that this node's part of the service's room can begin; `None`: not known.
-    pub room: Option<f64>,
+    pub capacity: Option<f64>,
 }
 
 /// Time after which a caller is to come back.
@@ -110,7 +110,7 @@
         self.advance(now);
         let reach = ask.time_left.mul_f64(SPENT_PART);
         let reach = reach.clamp(SHORTEST_WAIT, LONGEST_WAIT);
-        let Some(room) = ask.room else {
+        let Some(room) = ask.capacity else {
             let wait = spread(SHORTEST_WAIT, reach, random);
             self.book(now, wait);
             return RetryTime::Contended(wait);
--- a/crates/firshore-admission/tests/admission.rs
+++ b/crates/firshore-admission/tests/admission.rs
@@ -1,6 +1,8 @@
 //! Whether a request is sent, waits at the node, or is refused.
 
-use firshore_admission::admission::{Admission, AdmissionRequest, CapacityOutlook, ShareStatus, decide};
+use firshore_admission::admission::{
+    Admission, AdmissionRequest, CapacityOutlook, ShareStatus, decide,
+};
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
@@ -12,7 +14,7 @@
         timeout: TIMEOUT,
         time_left: TIMEOUT,
         age: Duration::ZERO,
-        standing: ShareStatus::Within,
+        share_status: ShareStatus::Within,
         behind_others: false,
         node_is_draining: false,
     }
@@ -49,7 +51,7 @@
 #[test]
 fn a_caller_beyond_its_share_gets_no_scarce_place() {
     let beyond = AdmissionRequest {
-        standing: ShareStatus::Beyond,
+        share_status: ShareStatus::Beyond,
         ..ask()
     };
     assert_eq!(decide(&beyond, &outlook(true, true)), Admission::Refuse);
@@ -80,12 +82,12 @@
 
 #[test]
 fn who_was_refused_before_is_known_by_the_time_it_has_left() {
-    assert!(!ask().has_returned());
+    assert!(!ask().is_retry());
     let returned = AdmissionRequest {
         time_left: TIMEOUT - Duration::from_millis(1_500),
         ..ask()
     };
-    assert!(returned.has_returned());
+    assert!(returned.is_retry());
     assert!(returned.begin_within() > ask().begin_within());
     assert!(returned.begin_within() < OBJECTIVE);
 }
--- a/crates/firshore-admission/tests/shares.rs
+++ b/crates/firshore-admission/tests/shares.rs
@@ -152,7 +152,7 @@
             tenant: TenantDigest(tenant as u64),
             per_second: *per_second,
         });
-        self.table.told(self.now, told);
+        self.table.update_demand(self.now, told);
     }
 
     fn pass(&mut self, time: Duration) {
@@ -166,8 +166,8 @@
             tenant: TenantDigest(tenant),
             rank: CallerRank::new(Some(priority), 0),
         };
-        self.table.arrived(self.now, &ask);
-        self.table.standing(self.now, &ask, room)
+        self.table.record_arrival(self.now, &ask);
+        self.table.status(self.now, &ask, room)
     }
 
     /// Part of each tenant's requests that is within its share, where requests come in turn.
--- a/crates/firshore-crashes/src/print.rs
+++ b/crates/firshore-crashes/src/fingerprint.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns what stands for a request.
-    pub fn print(&self, asked: &FingerprintInput<'_>) -> RequestFingerprint {
+    pub fn fingerprint(&self, asked: &FingerprintInput<'_>) -> RequestFingerprint {
         let caller = match asked.tenant {
             Some(tenant) => [b"tenant", tenant.as_str().as_bytes()],
             None => [b"nobody", asked.host.as_bytes()],
--- a/crates/firshore-crashes/src/table.rs
+++ b/crates/firshore-crashes/src/table.rs
@@ -4,7 +4,7 @@
 //! them are innocent. A request that has run to a good end anywhere since it was suspected is not judged by
 //! ends any more.
 
-use crate::print::RequestFingerprint;
+use crate::fingerprint::RequestFingerprint;
 use crate::report::{CrashReport, LostRun, ReportedCompletion, ReportedExit, TableCursor};
 use crate::verdict;
 use firshore_adapter::incarnation::Incarnation;
@@ -40,7 +40,7 @@
 
 /// Back ends that ended under a request that is held back.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Quarantine {
     /// Back ends, in the order in which they ended.
     pub backends: Vec<Incarnation>,
     /// When the last of them ended.
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Suspicion {
     /// Back ends, less those beyond which another run of it got.
-    pub ends: usize,
+    pub exits: usize,
     /// Occasions on which they ended: several at the same moment are one.
     pub occasions: usize,
 }
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableChange {
     /// The request is held back from now on.
-    Condemned(RequestFingerprint, Verdict),
+    Quarantined(RequestFingerprint, Quarantine),
     /// It is not held back any more.
-    Lifted(RequestFingerprint),
+    Released(RequestFingerprint),
     /// Another node saw that a back end has ended.
     BackendExited(Incarnation),
 }
@@ -78,7 +78,7 @@
     completions: HashMap<RequestFingerprint, Completion>,
     /// Requests that were lost at any of these back ends, without a good end since.
     suspects: BTreeMap<RequestFingerprint, Suspicion>,
-    verdicts: BTreeMap<RequestFingerprint, Verdict>,
+    verdicts: BTreeMap<RequestFingerprint, Quarantine>,
 }
 
 impl CrashTable {
@@ -96,7 +96,7 @@
     }
 
     /// Sets for how long an end is kept.
-    pub fn remember_for(&mut self, remember: Duration) {
+    pub fn set_retention(&mut self, remember: Duration) {
         self.remember = remember;
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Returns the verdict on a request, if there is one.
-    pub fn verdict(&self, print: &RequestFingerprint) -> Option<&Verdict> {
+    pub fn quarantine(&self, print: &RequestFingerprint) -> Option<&Quarantine> {
         self.verdicts.get(print)
     }
 
@@ -129,23 +129,23 @@
     }
 
     /// Returns the number of requests that were lost at a back end that ended, and not cleared since.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
     /// Returns the number of requests that are held back.
-    pub fn verdicts(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.verdicts.len()
     }
 
     /// Returns for how long a verdict still holds.
-    pub fn time_left(&self, now: Instant, verdict: &Verdict) -> Duration {
+    pub fn time_left(&self, now: Instant, verdict: &Quarantine) -> Duration {
         let age = now.saturating_duration_since(verdict.last_end);
         self.remember.saturating_sub(age)
     }
 
     /// Takes in that a back end has ended, and which requests of this node were lost there.
-    pub fn ended(
+    pub fn record_exit(
         &mut self,
         now: Instant,
         backend: &Incarnation,
@@ -156,7 +156,11 @@
     }
 
     /// Takes in that a request has run to a good end. Says something of requests only that are suspected.
-    pub fn completed(&mut self, now: Instant, print: RequestFingerprint) -> Vec<TableChange> {
+    pub fn record_completion(
+        &mut self,
+        now: Instant,
+        print: RequestFingerprint,
+    ) -> Vec<TableChange> {
         if !self.suspects.contains_key(&print) {
             return Vec::new();
         }
@@ -190,7 +194,7 @@
     }
 
     /// Forgets what is older than it is to be kept. Ends of verdicts go too: then the request is tried again.
-    pub fn forget_old(&mut self, now: Instant) -> Vec<TableChange> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<TableChange> {
         let known = self.ends.len();
         let remember = self.remember;
         let is_kept = |at: Instant| now.saturating_duration_since(at) < remember;
@@ -259,11 +263,11 @@
         // The first to see it tells best when it was.
         end.at = end.at.min(at);
         for run in lost {
-            let is_known = end.lost.contains_key(&run.print);
+            let is_known = end.lost.contains_key(&run.fingerprint);
             if !is_known && end.lost.len() >= MOST_LOST {
                 continue;
             }
-            let reached = end.lost.entry(run.print).or_insert(run.reached);
+            let reached = end.lost.entry(run.fingerprint).or_insert(run.reached);
             changed |= !is_known || *reached < run.reached;
             *reached = (*reached).max(run.reached);
         }
@@ -327,10 +331,10 @@
             .keys()
             .filter(|print| !self.verdicts.contains_key(print));
         let mut changes: Vec<TableChange> =
-            lifted.map(|print| TableChange::Lifted(*print)).collect();
+            lifted.map(|print| TableChange::Released(*print)).collect();
         for (print, verdict) in &self.verdicts {
             if !before.contains_key(print) {
-                changes.push(TableChange::Condemned(*print, verdict.clone()));
+                changes.push(TableChange::Quarantined(*print, verdict.clone()));
             }
         }
         changes
@@ -353,7 +357,7 @@
         age: age(now, end.at),
         lost: lost
             .map(|(print, reached)| LostRun {
-                print: *print,
+                fingerprint: *print,
                 reached: *reached,
             })
             .collect(),
--- a/crates/firshore-gateway/src/caller_connection.rs
+++ b/crates/firshore-gateway/src/caller_connection.rs
@@ -79,7 +79,7 @@
     /// Takes over an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         // A connection that cannot be set up fails at its first use.
-        let _ = keep_alive::set_up(&stream);
+        let _ = keep_alive::configure(&stream);
         Self {
             stream,
             input: BytesMut::new(),
@@ -194,7 +194,7 @@
     }
 
     /// Resolves once the caller has closed its connection.
-    pub async fn left(&mut self) {
+    pub async fn disconnected(&mut self) {
         while self.read_some().await.is_ok() {
             if self.input.len() > READ_AHEAD_BYTES {
                 // What it sends ahead is not read further, so a close is not seen either.
@@ -258,7 +258,11 @@
             true => Interest::WRITABLE,
             false => Interest::READABLE | Interest::WRITABLE,
         };
-        let ready = self.stream.ready(interest).await.map_err(|_| CallerDisconnected)?;
+        let ready = self
+            .stream
+            .ready(interest)
+            .await
+            .map_err(|_| CallerDisconnected)?;
         if ready.is_readable() && !full {
             // Readiness may be stale: a second wait for bytes here would miss the room.
             self.try_read().map_err(|_| CallerDisconnected)?;
--- a/crates/firshore-gateway/src/forward/admit.rs
+++ b/crates/firshore-gateway/src/forward/admit.rs
@@ -7,8 +7,10 @@
 use crate::overload::LinePlace;
 use crate::refusal::Refusal;
 use firshore_adapter::backend::Backend;
-use firshore_admission::admission::{self, Admission, AdmissionRequest, CapacityOutlook, ShareStatus};
-use firshore_admission::returns::RetryTime;
+use firshore_admission::admission::{
+    self, Admission, AdmissionRequest, CapacityOutlook, ShareStatus,
+};
+use firshore_admission::retry::RetryTime;
 use firshore_admission::shares::{CallerRank, ShareRequest};
 use firshore_limits::report::TenantDigest;
 use firshore_types::error::ErrorCode;
@@ -40,12 +42,12 @@
         }
         let control = &self.gateway.overload;
         if self.attempts.sends() == 0 {
-            let has_returned = self.ask(false).has_returned();
+            let is_retry = self.ask(false).is_retry();
             let mut random = self.gateway.random.borrow_mut();
-            control.asked(Instant::now(), &self.service, has_returned, &mut *random);
+            control.asked(Instant::now(), &self.service, is_retry, &mut *random);
             self.note_arrival();
         }
-        let rank = control.rank(self.priority(), self.ask(false).has_returned());
+        let rank = control.rank(self.priority(), self.ask(false).is_retry());
         let mut place: Option<LinePlace<'_>> = None;
         loop {
             let changed = control.changed();
@@ -100,7 +102,7 @@
             timeout,
             time_left: self.terms.deadline.unwrap_or(timeout),
             age: self.request.arrived.elapsed(),
-            standing: self.standing.get().unwrap_or(ShareStatus::Within),
+            share_status: self.standing.get().unwrap_or(ShareStatus::Within),
             behind_others,
             node_is_draining: self.gateway.leaving.is_leaving(),
         }
@@ -118,7 +120,7 @@
     fn note_arrival(&self) {
         if let Some(ask) = self.share_ask() {
             let mut shares = self.gateway.shares.borrow_mut();
-            shares.arrived(Instant::now(), &ask);
+            shares.record_arrival(Instant::now(), &ask);
         }
     }
 
@@ -133,7 +135,7 @@
         };
         let room = self.gateway.fleet.borrow().begin_rate(now, &self.wanted());
         let mut shares = self.gateway.shares.borrow_mut();
-        self.standing.set(Some(shares.standing(now, &ask, room)));
+        self.standing.set(Some(shares.status(now, &ask, room)));
     }
 
     fn wanted(&self) -> BackendRequirements<'_> {
@@ -176,7 +178,7 @@
             "service" => %self.service, "begin_delay_ms" => outlook.begin_delay.as_millis() as u64,
             "begin_within_ms" => ask.begin_within().as_millis() as u64,
             "picture_age_ms" => outlook.age.map(|age| age.as_millis() as u64),
-            "returned" => ask.has_returned(), "standing" => ?ask.standing,
+            "returned" => ask.is_retry(), "standing" => ?ask.share_status,
             "told" => ?told, "wait_ms" => wait.as_millis() as u64);
         let message = format!("'{}' has no room for the request in time.", self.service);
         let refusal = Refusal::not_run(ErrorCode::Overloaded, message, wait);
@@ -189,7 +191,7 @@
     fn return_time(&self) -> RetryTime {
         let (now, time_left) = (Instant::now(), self.remaining());
         let last = RetryTime::Beyond(time_left.mul_f64(RETURN_SHARE));
-        if self.ask(false).has_returned() {
+        if self.ask(false).is_retry() {
             return last;
         }
         let control = &self.gateway.overload;
--- a/crates/firshore-gateway/tests/room.rs
+++ b/crates/firshore-gateway/tests/room.rs
@@ -6,7 +6,7 @@
 use firshore_adapter::route::Repetition;
 use firshore_admission::admission::CapacityOutlook;
 use firshore_gateway::attempts::Attempts;
-use firshore_gateway::fleet::{Fleet, BackendRequirements};
+use firshore_gateway::fleet::{BackendRequirements, Fleet};
 use firshore_types::ids::ServiceName;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -86,7 +86,7 @@
         slots: SLOTS,
         pace: None,
     };
-    fleet.reported(now, &incarnation(number), load);
+    fleet.record_load(now, &incarnation(number), load);
 }
 
 /// Where pictures are current they tell how long a request waits.
@@ -190,10 +190,7 @@
     fleet.started(now, &incarnation(1));
     fleet.ended(now, &incarnation(1));
     let at = outlook(&fleet, now);
-    assert!(
-        at.has_slot,
-        "the one of the second back end is still there"
-    );
+    assert!(at.has_slot, "the one of the second back end is still there");
 }
 
 #[test]
@@ -317,7 +314,7 @@
             slots: SLOTS,
             pace: None,
         };
-        fleet.reported(now, &incarnation(0), load);
+        fleet.record_load(now, &incarnation(0), load);
     }
     let unseen = fleet.unseen(now, &service);
     assert!((0.45..=0.5).contains(&unseen), "4 of 8 slots: {unseen}");
--- a/crates/firshore-limits/src/ledger.rs
+++ b/crates/firshore-limits/src/ledger.rs
@@ -1,7 +1,7 @@
 //! What all tenants were admitted of late, on the node that all others tell, directly or through relays.
 
 use crate::demand::DemandTable;
-use crate::report::{Quota, TenantDigest, TenantView, TenantUsage, UsageResponse, UsageReport};
+use crate::report::{Quota, TenantDigest, TenantUsage, TenantView, UsageReport, UsageResponse};
 use crate::window::AdmittedWindow;
 use crate::{SHARE_RESERVATION, SILENT_GROWTH};
 use firshore_adapter::tenant::RateLimit;
@@ -231,7 +231,12 @@
     }
 
     /// Takes in what a node or relay tells. Returns what it is told.
-    pub fn told(&mut self, now: Instant, node: &NodeName, report: &UsageReport) -> UsageResponse {
+    pub fn apply_report(
+        &mut self,
+        now: Instant,
+        node: &NodeName,
+        report: &UsageReport,
+    ) -> UsageResponse {
         self.heard_of_former |= report.ledger != 0 && report.ledger != self.id;
         let is_first = report.ledger != self.id && self.heard.insert(node.clone());
         let tenants = report.tenants.iter();
@@ -318,7 +323,7 @@
     }
 
     /// Forgets nodes and tenants that nobody has told of for long.
-    pub fn forget_old(&mut self, now: Instant) {
+    pub fn remove_stale(&mut self, now: Instant) {
         for account in self.tenants.values_mut() {
             account.demand.forget_old(now);
         }
--- a/crates/firshore-node/src/crash_exchange.rs
+++ b/crates/firshore-node/src/crash_exchange.rs
@@ -83,7 +83,7 @@
     }
 
     /// Updates the cursor of a relay's table from one of its responses.
-    pub fn heard(&self, relay: &NodeName, cursor: Option<TableCursor>) {
+    pub fn update_cursor(&self, relay: &NodeName, cursor: Option<TableCursor>) {
         let table = self.crashes.table();
         if self.sync.borrow().differs(relay, cursor, &table) {
             self.differing_relays.borrow_mut().insert(relay.clone());
@@ -102,7 +102,7 @@
                 (false, false) => CLEANUP_INTERVAL,
             };
             tokio::select! {
-                () = self.crashes.news.notified() => {}
+                () = self.crashes.table_changed.notified() => {}
                 () = self.relay_differs.notified() => {}
                 () = actix_rt::time::sleep(wait) => {}
             }
@@ -144,7 +144,7 @@
         }
         let sync = self.sync.borrow();
         let mut relays = relays.iter();
-        relays.any(|relay| sync.has_to_tell(relay, &table))
+        relays.any(|relay| sync.has_unreported(relay, &table))
     }
 
     /// Exchanges with relays whose tables differ and with those that lack entries.
@@ -169,7 +169,7 @@
         let sync = self.sync.borrow();
         let relays = self.other_relays().into_iter();
         relays
-            .filter(|relay| sync.has_to_tell(relay, &table))
+            .filter(|relay| sync.has_unreported(relay, &table))
             .collect()
     }
 
@@ -208,16 +208,17 @@
         let query = self
             .sync
             .borrow()
-            .question(now, relay, &self.crashes.table());
+            .request(now, relay, &self.crashes.table());
         let position = query.report.position;
         let call = self.peers.call(address, PeerRequest::Crashes(query));
         let Ok(Ok(PeerResponse::Crashes(response))) = timeout(RESPONSE_TIMEOUT, call).await else {
             return None;
         };
         let mut sync = self.sync.borrow_mut();
-        self.crashes.answered(&mut sync, relay, position, &response);
+        self.crashes
+            .apply_response(&mut sync, relay, position, &response);
         let table = self.crashes.table();
-        let is_sent = !sync.has_to_tell(relay, &table);
+        let is_sent = !sync.has_unreported(relay, &table);
         if is_sent {
             self.sent_position.set(table.cursor().position);
         }
--- a/crates/firshore-node/src/environment.rs
+++ b/crates/firshore-node/src/environment.rs
@@ -1,10 +1,10 @@
 //! Applies the environment's objects to a node: back ends and the configuration.
 
-use crate::observation::{CALM_WAIT, Learned, Terms};
+use crate::list_watch::{IDLE_WAIT, ObjectUpdate, WatchOptions};
 use crate::refusals::RefusalLog;
 use crate::relay::RelayedKind;
-use crate::relay::asker::RelayClient;
 use crate::relay::budget::FreshnessBudget;
+use crate::relay::client::RelayClient;
 use crate::relay::store::RelayedStore;
 use crate::settings::Objects;
 use crate::task::Task;
@@ -12,7 +12,7 @@
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::objects::{Change, Object};
-use firshore_gateway::belief::Freshness;
+use firshore_gateway::freshness::Freshness;
 use firshore_gateway::gateway::Gateway;
 use slog::{info, warn};
 use std::cell::RefCell;
@@ -20,22 +20,22 @@
 use std::time::Duration;
 
 /// Returns the options with which a kind is watched.
-pub fn terms(objects: &Objects, spacing: Duration) -> Terms {
-    Terms {
+pub fn watch_options(objects: &Objects, spacing: Duration) -> WatchOptions {
+    WatchOptions {
         history: Duration::from_secs_f64(objects.history_seconds),
         spacing,
         creation_spacing: spacing * 2,
-        longest_wait: CALM_WAIT,
+        max_wait: IDLE_WAIT,
     }
 }
 
 /// Returns the options for a relay. Its copy must stay fresh while all objects are being created, and its watch
 /// has to return within the freshness budget.
-fn relay_options(objects: &Objects, budget: FreshnessBudget, spacing: Duration) -> Terms {
-    Terms {
+fn relay_options(objects: &Objects, budget: FreshnessBudget, spacing: Duration) -> WatchOptions {
+    WatchOptions {
         creation_spacing: spacing,
-        longest_wait: budget.watch_wait(),
-        ..terms(objects, spacing)
+        max_wait: budget.watch_wait(),
+        ..watch_options(objects, spacing)
     }
 }
 
@@ -80,26 +80,29 @@
     asker: impl Fn() -> RelayClient,
 ) -> [Task; 2] {
     let kinds = FollowedKinds::new(gateway, objects);
-    let watcher = |kind: RelayedKind, belief: &Rc<Freshness>| {
-        belief.limit_age(kind.budget.bound());
+    let watcher = |kind: RelayedKind, freshness: &Rc<Freshness>| {
+        freshness.limit_age(kind.budget.bound());
         let direct = gateway.adapter.objects.clone();
         Watcher {
             log: gateway.log.clone(),
-            store: RelayedStore::new(asker(), direct, kind.budget, belief.clone()),
+            store: RelayedStore::new(asker(), direct, kind.budget, freshness.clone()),
             kind: kind.name,
             // Relays already delay and combine changes.
-            terms: terms(objects, Duration::ZERO),
+            options: watch_options(objects, Duration::ZERO),
             renewal: Rc::default(),
         }
     };
-    let beliefs = &gateway.beliefs;
+    let freshness = &gateway.freshness;
     let backend_applier = UpdateApplier::new(gateway);
-    let backends = watcher::follow(watcher(kinds.backends, &beliefs.backends), move |update| {
-        backend_applier.apply_backends(update);
-    });
+    let backends = watcher::follow(
+        watcher(kinds.backends, &freshness.backends),
+        move |update| {
+            backend_applier.apply_backends(update);
+        },
+    );
     let configuration_applier = UpdateApplier::new(gateway);
     let configuration = watcher::follow(
-        watcher(kinds.configuration, &beliefs.configuration),
+        watcher(kinds.configuration, &freshness.configuration),
         move |update| configuration_applier.apply_configuration(update),
     );
     [Task::spawn(backends), Task::spawn(configuration)]
@@ -119,9 +122,9 @@
         }
     }
 
-    fn apply_backends(&self, update: Learned) {
+    fn apply_backends(&self, update: ObjectUpdate) {
         match update {
-            Learned::All(objects) => {
+            ObjectUpdate::All(objects) => {
                 let backends: Vec<Backend> = objects
                     .iter()
                     .filter_map(|object| self.decode_backend(object))
@@ -129,7 +132,7 @@
                 info!(self.gateway.log, "fleet: Back ends listed."; "count" => backends.len());
                 self.gateway.replace_backends(backends);
             }
-            Learned::Changed(changes) => {
+            ObjectUpdate::Changed(changes) => {
                 for change in changes {
                     self.apply_backend(change);
                 }
@@ -185,10 +188,10 @@
         refusals.admit(now, &object.name, object.revision)
     }
 
-    fn apply_configuration(&self, update: Learned) {
+    fn apply_configuration(&self, update: ObjectUpdate) {
         let written: Vec<Object> = match update {
-            Learned::All(objects) => objects,
-            Learned::Changed(changes) => changes
+            ObjectUpdate::All(objects) => objects,
+            ObjectUpdate::Changed(changes) => changes
                 .into_iter()
                 .filter_map(|change| match change {
                     Change::Written(object) => Some(object),
--- a/crates/firshore-node/src/observation.rs
+++ b/crates/firshore-node/src/list_watch.rs
@@ -29,7 +29,7 @@
 const RENEWAL_FRACTION: f64 = 0.9;
 
 /// Maximum timeout of a watch, used if the store's revision didn't change during the last watch.
-pub const CALM_WAIT: Duration = Duration::from_secs(30);
+pub const IDLE_WAIT: Duration = Duration::from_secs(30);
 
 /// Timeout of a watch after an interrupted one: changes that the store already has are fetched at once.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1);
@@ -39,7 +39,7 @@
 
 /// Options of a watch.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct WatchOptions {
     /// Age at which the store may drop changes from its history.
     pub history: Duration,
     /// Delay after a change, so that changes in quick succession are fetched together.
@@ -47,12 +47,12 @@
     /// The same while the objects are being created.
     pub creation_spacing: Duration,
     /// Maximum timeout of a watch. An unresponsive store drops watches, which is detected after this time.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// Query to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum StoreQuery {
     /// The page of objects after a name; the first page for `None`.
     List(Option<String>),
     /// The changes after a revision.
@@ -61,7 +61,7 @@
 
 /// Update of the objects of a kind.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Learned {
+pub enum ObjectUpdate {
     /// All existing objects.
     All(Vec<Object>),
     /// Changes since the last update.
@@ -100,8 +100,8 @@
 
 /// State of the list and watch cycle for one kind.
 #[derive(Debug)]
-pub struct Observation {
-    terms: Terms,
+pub struct ListWatch {
+    options: WatchOptions,
     phase: Phase,
     seen: HashMap<String, Revision>,
     /// Highest revision seen.
@@ -133,11 +133,11 @@
     NoCursor,
 }
 
-impl Observation {
+impl ListWatch {
     /// Creates the initial state, which starts with a listing.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(options: WatchOptions) -> Self {
         Self {
-            terms,
+            options,
             phase: Phase::listing(),
             seen: HashMap::new(),
             max_revision: 0,
@@ -153,10 +153,10 @@
     }
 
     /// Returns the next query.
-    pub fn question(&self) -> Question {
+    pub fn next_query(&self) -> StoreQuery {
         match &self.phase {
-            Phase::Listing { after, .. } => Question::List(after.clone()),
-            Phase::Watching(revision) => Question::Watch(*revision),
+            Phase::Listing { after, .. } => StoreQuery::List(after.clone()),
+            Phase::Watching(revision) => StoreQuery::Watch(*revision),
         }
     }
 
@@ -166,29 +166,33 @@
     }
 
     /// Returns the timeout of the next watch.
-    pub fn wait(&self) -> Duration {
+    pub fn watch_timeout(&self) -> Duration {
         if self.renewed {
             return RENEWAL_TIMEOUT;
         }
-        if !self.pause().is_zero() {
+        if !self.delay().is_zero() {
             return PROBE_TIMEOUT;
         }
         let wait = match self.idle {
-            true => CALM_WAIT,
-            false => self.terms.history.mul_f64(RENEWAL_FRACTION).min(CALM_WAIT),
+            true => IDLE_WAIT,
+            false => self
+                .options
+                .history
+                .mul_f64(RENEWAL_FRACTION)
+                .min(IDLE_WAIT),
         };
-        wait.min(self.terms.longest_wait)
+        wait.min(self.options.max_wait)
     }
 
     /// Returns the delay before the next query.
-    pub fn pause(&self) -> Duration {
+    pub fn delay(&self) -> Duration {
         if self.renewed {
             return Duration::ZERO;
         }
         match self.failures {
-            0 if self.unnamed_change => self.terms.spacing.max(MIN_BACKOFF),
-            0 if self.changed && self.creating => self.terms.creation_spacing,
-            0 if self.changed => self.terms.spacing,
+            0 if self.unnamed_change => self.options.spacing.max(MIN_BACKOFF),
+            0 if self.changed && self.creating => self.options.creation_spacing,
+            0 if self.changed => self.options.spacing,
             0 => Duration::ZERO,
             failures => {
                 let doubled = MIN_BACKOFF * 2_u32.saturating_pow(failures.min(10) - 1);
@@ -232,7 +236,7 @@
     }
 
     /// Handles the response to a listing query. Returns an update once the last page is complete.
-    pub fn listed(&mut self, page: Result<Page, ObjectError>) -> Option<Learned> {
+    pub fn handle_page(&mut self, page: Result<Page, ObjectError>) -> Option<ObjectUpdate> {
         self.unnamed = 0;
         self.refusal = None;
         let mut page = match page {
@@ -277,7 +281,7 @@
         let objects = std::mem::take(listed);
         self.creating = objects.is_empty();
         self.phase = Phase::Watching(first);
-        Some(Learned::All(self.newest(objects)))
+        Some(ObjectUpdate::All(self.newest(objects)))
     }
 
     /// Returns whether the listing can continue after a page. Without this check, a page without readable names
@@ -309,7 +313,10 @@
     }
 
     /// Handles the response to a watch.
-    pub fn watched(&mut self, changes: Result<Changes, ObjectError>) -> Option<Learned> {
+    pub fn handle_changes(
+        &mut self,
+        changes: Result<Changes, ObjectError>,
+    ) -> Option<ObjectUpdate> {
         self.renewed = false;
         self.unnamed = 0;
         let mut changes = match changes {
@@ -342,7 +349,7 @@
         for change in &fresh {
             self.remember(change);
         }
-        (!fresh.is_empty()).then_some(Learned::Changed(fresh))
+        (!fresh.is_empty()).then_some(ObjectUpdate::Changed(fresh))
     }
 
     fn is_fresh(&self, change: &Change) -> bool {
--- a/crates/firshore-node/src/load_exchange.rs
+++ b/crates/firshore-node/src/load_exchange.rs
@@ -2,7 +2,7 @@
 //! other nodes in response. Without a usable relay, the node reports to the journal's leader.
 
 use crate::journal::client::{JournalClient, LoadResponse};
-use crate::load_table::{BackendCount, ToldLoad, as_counts};
+use crate::load_table::{BackendCount, NodeLoadReport, as_counts};
 use crate::pace_table::{as_named, as_paces};
 use crate::relay::ranking;
 use firshore_gateway::gateway::Gateway;
@@ -73,18 +73,19 @@
             let counts = as_counts(self.gateway.fleet.borrow().in_flight());
             let busy = !counts.is_empty();
             // An idle node reports that once, then stops. Isolated nodes and nodes with tenant limits continue.
-            let isolated = self.journal.is_cut_off();
+            let isolated = self.journal.is_isolated();
             let limits = self.gateway.has_limits();
             let reports =
                 busy || was_busy || self.gateway.requests_open() > 0 || isolated || limits;
             if reports && let Some(others) = self.report(counts, urgent).await {
-                busy_interval = others.pause.clamp(MIN_BUSY_INTERVAL, MAX_BUSY_INTERVAL);
+                busy_interval = others.interval.clamp(MIN_BUSY_INTERVAL, MAX_BUSY_INTERVAL);
                 let view_interval = busy_interval + others.age;
                 let paces = as_named(others.paces);
                 let mut fleet = self.gateway.fleet.borrow_mut();
                 fleet.apply_remote_paces(Instant::now(), paces);
                 drop(fleet);
-                self.gateway.apply_remote_load(&others.counts, view_interval);
+                self.gateway
+                    .apply_remote_load(&others.counts, view_interval);
             }
             was_busy = busy;
             let interval = match busy {
@@ -109,7 +110,7 @@
     /// Reports requests in flight and use of tenants' limits, and applies the limits in the response.
     async fn report(&self, counts: Vec<BackendCount>, urgent: bool) -> Option<LoadResponse> {
         let sent_at = firshore_clock::now().into_std();
-        let report = ToldLoad {
+        let report = NodeLoadReport {
             counts,
             urgent,
             pressures: self.gateway.pressure.borrow_mut().take(),
@@ -117,15 +118,15 @@
             paces: as_paces(self.gateway.fleet.borrow_mut().take_unreported_paces()),
         };
         let others = self.exchange(report).await;
-        let news = others.as_ref().and_then(|others| {
+        let usage = others.as_ref().and_then(|others| {
             let at = sent_at.checked_sub(others.age).unwrap_or(sent_at);
-            others.news.as_ref().map(|news| (at, news))
+            others.usage.as_ref().map(|usage| (at, usage))
         });
-        self.gateway.apply_usage_report(news);
+        self.gateway.apply_usage_report(usage);
         others
     }
 
-    async fn exchange(&self, report: ToldLoad) -> Option<LoadResponse> {
+    async fn exchange(&self, report: NodeLoadReport) -> Option<LoadResponse> {
         let relay = self.relay().filter(|_| self.crowded_leader.get());
         if let Some(relay) = relay {
             if let Some(others) = self.journal.report_to_relay(&relay, report.clone()).await {
@@ -140,20 +141,20 @@
         let others = self.journal.report_to_leader(report.clone(), false).await?;
         self.set_recipient(self.journal.leader(), &report);
         // With few nodes, the leader's counts are fresher than those through a relay.
-        self.crowded_leader.set(others.pause > MIN_BUSY_INTERVAL);
+        self.crowded_leader.set(others.interval > MIN_BUSY_INTERVAL);
         Some(others)
     }
 
     /// Sets the recipient of the last report, and retracts the report from a former recipient: this node would be
     /// counted twice otherwise.
-    fn set_recipient(&self, recipient: Option<NodeName>, report: &ToldLoad) {
+    fn set_recipient(&self, recipient: Option<NodeName>, report: &NodeLoadReport) {
         let former = self.last_recipient.replace(recipient.clone());
         let Some(former) = former.filter(|former| Some(former) != recipient.as_ref()) else {
             return;
         };
-        let retraction = ToldLoad {
+        let retraction = NodeLoadReport {
             uses: report.uses.as_ref().map(UsageReport::retraction),
-            ..ToldLoad::default()
+            ..NodeLoadReport::default()
         };
         let journal = self.journal.clone();
         actix_rt::spawn(async move { journal.retract(&former, retraction).await });
@@ -165,7 +166,7 @@
         let mut excluded_relays = self.excluded_relays.borrow_mut();
         excluded_relays.retain(|_, until| now < *until);
         let candidates = self.journal.candidates();
-        let relays = ranking::at_home(&candidates, &self.zone, &self.node);
+        let relays = ranking::local_relays(&candidates, &self.zone, &self.node);
         let mut relays = relays.into_iter();
         relays.find(|relay| !excluded_relays.contains_key(relay))
     }
--- a/crates/firshore-node/src/load_table.rs
+++ b/crates/firshore-node/src/load_table.rs
@@ -31,7 +31,7 @@
 
 /// Report of a node that serves callers.
 #[derive(Clone, Debug, Default)]
-pub struct ToldLoad {
+pub struct NodeLoadReport {
     /// Requests in flight at back ends.
     pub counts: Vec<BackendCount>,
     /// Whether requests found no free slot since the last report.
@@ -44,7 +44,7 @@
     pub paces: Vec<BackendPace>,
 }
 
-impl From<Vec<BackendCount>> for ToldLoad {
+impl From<Vec<BackendCount>> for NodeLoadReport {
     fn from(counts: Vec<BackendCount>) -> Self {
         Self {
             counts,
@@ -79,7 +79,7 @@
 
 impl LoadTable {
     /// Replaces the counts of a node.
-    pub fn told(&mut self, now: Instant, node: NodeName, counts: Vec<BackendCount>) {
+    pub fn record(&mut self, now: Instant, node: NodeName, counts: Vec<BackendCount>) {
         self.forget_old(now);
         let counts: HashMap<BackendName, u32> = counts
             .into_iter()
--- a/crates/firshore-node/src/memory.rs
+++ b/crates/firshore-node/src/memory.rs
@@ -21,7 +21,7 @@
 const RESULTS_FRACTION: f64 = 0.05;
 
 /// Fraction for the replicated log: its entries, the latest snapshot, and the pages of the database.
-pub const LOG_SHARE: f64 = 0.17;
+pub const LOG_FRACTION: f64 = 0.17;
 
 /// Resident memory of one running item in bytes: connection, task and read buffer.
 const BYTES_PER_RUN: usize = 36 * 1024;
@@ -108,12 +108,12 @@
     }
 
     /// Returns the maximum number of items that run at the same time.
-    pub fn most_runs(&self) -> usize {
+    pub fn max_runs(&self) -> usize {
         (self.fraction(RUNS_FRACTION) / BYTES_PER_RUN).max(1)
     }
 
     /// Returns the estimated memory of `runs` running items in bytes.
-    pub fn of_runs(&self, runs: usize) -> usize {
+    pub fn run_bytes(&self, runs: usize) -> usize {
         runs * BYTES_PER_RUN
     }
 }
--- a/crates/firshore-node/src/node.rs
+++ b/crates/firshore-node/src/node.rs
@@ -3,9 +3,9 @@
 use crate::crash_exchange::CrashExchange;
 use crate::environment::{self, FollowedKinds};
 use crate::journal::client::JournalClient;
-use crate::journal::duties::{LeaderTasks, RelayClientFactory};
-use crate::journal::group_keeper::GroupManager;
-use crate::journal::maintenance::{self, Upkeep};
+use crate::journal::group_manager::GroupManager;
+use crate::journal::leader_tasks::{LeaderTasks, RelayClientFactory};
+use crate::journal::maintenance::{self, MaintenanceTask};
 use crate::journal::messages::PeerRequest;
 use crate::journal::registry::{NodeRecord, Registry};
 use crate::journal::retirement::Retirements;
@@ -13,14 +13,14 @@
 use crate::load_exchange::LoadExchange;
 use crate::metrics::{JournalNode, NodeMetrics, RunnerMetrics};
 use crate::readiness;
-use crate::relay::asker::{RelayClient, ContactListener};
+use crate::relay::client::{ContactListener, RelayClient};
 use crate::relay::loads::LoadRelay;
 use crate::relay::{Announce, Relay, ranking};
 use crate::runner::Runner;
 use crate::settings::{Settings, Storage};
 use crate::status_listener;
 use firshore_adapter::Adapter;
-use firshore_crashes::print::FingerprintKey;
+use firshore_crashes::fingerprint::FingerprintKey;
 use firshore_gateway::gateway::Gateway;
 use firshore_gateway::serve;
 use firshore_link::client;
@@ -109,12 +109,12 @@
         log.clone(),
     );
     actix_rt::spawn(crashes.clone().run());
-    let asker = make_asker(&settings, &registry, &peers, &crashes, &log);
+    let client_factory = make_client_factory(&settings, &registry, &peers, &crashes, &log);
     let access = PeerAccess {
         registry,
         jobs: jobs.clone(),
         peers,
-        asker: asker.clone(),
+        client_factory: client_factory.clone(),
     };
     let journal = match &settings.storage {
         Some(storage) => {
@@ -129,7 +129,7 @@
     // A node without callers watches the environment only while it runs items.
     let _following = callers
         .is_some()
-        .then(|| environment::follow(&gateway, &settings.objects, || asker()));
+        .then(|| environment::follow(&gateway, &settings.objects, || client_factory()));
     if callers.is_some() {
         let (node, zone) = (settings.name.clone(), settings.zone.clone());
         let exchange = LoadExchange::new(gateway.clone(), jobs, node, zone);
@@ -176,7 +176,9 @@
     }
     if let Some(address) = settings.listen.metrics {
         let listener = TcpListener::bind(address).await?;
-        actix_rt::spawn(status_listener::accept(listener, move || metrics.answer()));
+        actix_rt::spawn(status_listener::accept(listener, move || {
+            metrics.response()
+        }));
     }
     let Some(address) = settings.listen.callers else {
         return Ok(None);
@@ -199,10 +201,10 @@
     registry: Rc<Registry>,
     jobs: Rc<JournalClient>,
     peers: PeerClient,
-    asker: RelayClientFactory,
+    client_factory: RelayClientFactory,
 }
 
-fn make_asker(
+fn make_client_factory(
     settings: &Settings,
     registry: &Rc<Registry>,
     peers: &PeerClient,
@@ -212,15 +214,16 @@
     let (node, zone) = (settings.name.clone(), settings.zone.clone());
     let (registry, peers, log) = (registry.clone(), peers.clone(), log.clone());
     let crashes = crashes.clone();
-    let heard: ContactListener = Rc::new(move |relay, contact| crashes.heard(relay, contact.crashes));
+    let on_contact: ContactListener =
+        Rc::new(move |relay, contact| crashes.update_cursor(relay, contact.crashes));
     Rc::new(move || RelayClient {
         node: node.clone(),
         zone: zone.clone(),
         registry: registry.clone(),
         peers: peers.clone(),
         log: log.clone(),
-        heard: heard.clone(),
-        passed_over: RefCell::default(),
+        on_contact: on_contact.clone(),
+        excluded: RefCell::default(),
     })
 }
 
@@ -235,7 +238,7 @@
         registry,
         jobs,
         peers,
-        asker,
+        client_factory,
     } = access;
     let kinds = FollowedKinds::new(gateway, &settings.objects).relayed();
     let relay = Relay::new(
@@ -253,15 +256,15 @@
     };
     let journal = Journal::start(settings, storage, registry, relays, &peers, &gateway.log).await?;
     let retirements = Rc::new(Retirements::default());
-    let duties = LeaderTasks {
+    let leader_tasks = LeaderTasks {
         gateway: gateway.clone(),
         journal: journal.clone(),
         retirements: retirements.clone(),
         objects: settings.objects.clone(),
-        asker: settings.listen.callers.is_none().then_some(asker),
+        relay_client: settings.listen.callers.is_none().then_some(client_factory),
     };
-    actix_rt::spawn(duties.run());
-    let upkeep = Upkeep {
+    actix_rt::spawn(leader_tasks.run());
+    let maintenance_task = MaintenanceTask {
         journal: journal.clone(),
         adapter: gateway.adapter.clone(),
         node: settings.name.clone(),
@@ -271,9 +274,9 @@
             disk: journal.replica.status().disk,
         },
         retirements,
-        keeper: RefCell::new(GroupManager::new(journal.terms)),
+        manager: RefCell::new(GroupManager::new(journal.policy)),
     };
-    actix_rt::spawn(maintenance::run(upkeep));
+    actix_rt::spawn(maintenance::run(maintenance_task));
     let runner = Runner::new(gateway.clone(), journal.clone(), metrics);
     actix_rt::spawn(runner.clone().run());
     Ok(JournalNode { journal, runner })
--- a/crates/firshore-node/src/pace_table.rs
+++ b/crates/firshore-node/src/pace_table.rs
@@ -61,7 +61,7 @@
 
 impl PaceTable {
     /// Records paces received from `source`. Values that are no valid pace are ignored.
-    pub fn told(&mut self, now: Instant, source: &PaceSource, paces: Vec<BackendPace>) {
+    pub fn record(&mut self, now: Instant, source: &PaceSource, paces: Vec<BackendPace>) {
         for reported in paces {
             let Some(pace) = Pace::from_hundredths(reported.hundredths) else {
                 continue;
@@ -79,7 +79,7 @@
     }
 
     /// Returns the paces from other sources that were recorded since the client's last query.
-    pub fn news(&mut self, now: Instant, client: &PaceSource) -> Vec<BackendPace> {
+    pub fn take_updates(&mut self, now: Instant, client: &PaceSource) -> Vec<BackendPace> {
         self.remove_expired(now);
         let state = ClientState {
             sequence: self.sequence,
--- a/crates/firshore-node/src/relay/asker.rs
+++ b/crates/firshore-node/src/relay/client.rs
@@ -6,7 +6,7 @@
 use crate::journal::PeerClient;
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use crate::journal::registry::Registry;
-use firshore_gateway::belief::FreshnessSource;
+use firshore_gateway::freshness::FreshnessSource;
 use firshore_types::ids::{NodeName, ZoneName};
 use slog::{Logger, info};
 use std::cell::RefCell;
@@ -31,9 +31,9 @@
     /// Log.
     pub log: Logger,
     /// Told what a relay's answer says of the relay itself.
-    pub heard: ContactListener,
+    pub on_contact: ContactListener,
     /// Relays that were of no use since they answered last, and until when they are passed over.
-    pub passed_over: RefCell<HashMap<NodeName, RelayPause>>,
+    pub excluded: RefCell<HashMap<NodeName, RelayPause>>,
 }
 
 /// Why a relay was of no use.
@@ -130,9 +130,9 @@
             let useless = match timeout(limit, call).await {
                 Ok(Ok(PeerResponse::NoContact)) => Useless::OutOfContact,
                 Ok(Ok(mut response)) => {
-                    self.passed_over.borrow_mut().remove(&relay);
+                    self.excluded.borrow_mut().remove(&relay);
                     if let Some(contact) = response.contact_mut() {
-                        (self.heard)(&relay, contact);
+                        (self.on_contact)(&relay, contact);
                     }
                     return Asked::Answered(RelayAnswer {
                         relay,
@@ -154,7 +154,7 @@
     }
 
     fn pause(&self, relay: &NodeName) -> Option<RelayPause> {
-        self.passed_over.borrow().get(relay).copied()
+        self.excluded.borrow().get(relay).copied()
     }
 
     /// Relays in the order in which they are asked: of those that were silent last time one at most comes
@@ -208,6 +208,6 @@
             reason,
             questions,
         };
-        self.passed_over.borrow_mut().insert(relay, pause);
+        self.excluded.borrow_mut().insert(relay, pause);
     }
 }
--- a/crates/firshore-node/src/runner/work_ahead.rs
+++ b/crates/firshore-node/src/runner/backlog.rs
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeadlineRisk {
     /// The item has enough time, no deadline, or can't meet its deadline any more.
-    Easy,
+    Low,
     /// The item needs most of the capacity until its deadline.
-    Pressed,
+    High,
     /// The item misses its deadline unless it runs from now on.
-    LastChance,
+    Critical,
 }
 
 /// Mean item of a service.
@@ -61,7 +61,7 @@
 impl BacklogEstimate {
     /// Records a finished item with `events` in total, of which its last run generated `new_events` within
     /// `duration`.
-    pub fn finished(
+    pub fn record_finished(
         &mut self,
         service: &ServiceName,
         events: usize,
@@ -84,7 +84,7 @@
 
     /// Returns the estimated remaining run time of an item with `produced` events, or `None` until an item of
     /// the service has finished.
-    pub fn left(&self, service: &ServiceName, produced: usize) -> Option<Duration> {
+    pub fn remaining(&self, service: &ServiceName, produced: usize) -> Option<Duration> {
         let mean = self.mean_items.get(service)?;
         let min_events = mean.events * MIN_REMAINING_FRACTION;
         let events = (mean.events - produced as f64).max(min_events);
@@ -92,7 +92,7 @@
     }
 
     /// Records the number of slots of a service that online requests leave free now.
-    pub fn saw_room(&mut self, now: Instant, service: &ServiceName, free: u32) {
+    pub fn record_free_slots(&mut self, now: Instant, service: &ServiceName, free: u32) {
         let free = f64::from(free);
         let first = MeanFreeSlots {
             slots: free,
@@ -106,8 +106,9 @@
     }
 
     /// Returns whether the estimated work of `items` exceeds the mean free capacity over `time`.
-    pub fn is_behind(&self, service: &ServiceName, items: usize, time: Duration) -> bool {
-        let (Some(free), Some(per_item)) = (self.free_slots.get(service), self.left(service, 0))
+    pub fn exceeds_capacity(&self, service: &ServiceName, items: usize, time: Duration) -> bool {
+        let (Some(free), Some(per_item)) =
+            (self.free_slots.get(service), self.remaining(service, 0))
         else {
             return false;
         };
@@ -117,7 +118,7 @@
 
     /// Returns the deadline risk of an item with `produced` events, if items can run in a fraction
     /// `calm_fraction` of the time.
-    pub fn outlook(
+    pub fn deadline_risk(
         &self,
         now: Instant,
         service: &ServiceName,
@@ -125,26 +126,26 @@
         produced: usize,
         calm_fraction: f32,
     ) -> DeadlineRisk {
-        let Some(deadline) = due.wanted.filter(|deadline| now <= *deadline) else {
-            return DeadlineRisk::Easy;
+        let Some(deadline) = due.deadline.filter(|deadline| now <= *deadline) else {
+            return DeadlineRisk::Low;
         };
-        let Some(remaining) = self.left(service, produced) else {
-            return match due.is_pressed(now) {
-                true => DeadlineRisk::Pressed,
-                false => DeadlineRisk::Easy,
+        let Some(remaining) = self.remaining(service, produced) else {
+            return match due.is_at_risk(now) {
+                true => DeadlineRisk::High,
+                false => DeadlineRisk::Low,
             };
         };
         let time = deadline.duration_since(now).as_secs_f64();
         let remaining = remaining.as_secs_f64();
         if remaining > time * INFEASIBLE_FACTOR {
-            return DeadlineRisk::Easy;
+            return DeadlineRisk::Low;
         }
         if remaining * SAFETY_FACTOR > time {
-            return DeadlineRisk::LastChance;
+            return DeadlineRisk::Critical;
         }
-        if due.is_pressed(now) || remaining * SAFETY_FACTOR > time * f64::from(calm_fraction) {
-            return DeadlineRisk::Pressed;
+        if due.is_at_risk(now) || remaining * SAFETY_FACTOR > time * f64::from(calm_fraction) {
+            return DeadlineRisk::High;
         }
-        DeadlineRisk::Easy
+        DeadlineRisk::Low
     }
 }
--- a/crates/firshore-node/src/runner/handover.rs
+++ b/crates/firshore-node/src/runner/handover.rs
@@ -47,7 +47,7 @@
 
 impl ProgressDelta {
     /// Returns the end of this delta.
-    pub fn through(&self) -> DeltaEnd {
+    pub fn end(&self) -> DeltaEnd {
         DeltaEnd {
             key: (self.job.clone(), self.index),
             events: self.offset + self.events.len(),
@@ -78,7 +78,7 @@
 impl HeldItems {
     /// Applies a leader's deltas. Returns the items of which earlier events are missing: the leader has to
     /// report them from the start.
-    pub fn told(&mut self, deltas: Vec<ProgressDelta>) -> Vec<ItemKey> {
+    pub fn apply(&mut self, deltas: Vec<ProgressDelta>) -> Vec<ItemKey> {
         let mut gaps = Vec::new();
         for delta in deltas {
             let key = (delta.job, delta.index);
@@ -126,11 +126,11 @@
 
 /// Number of events of each item that were sent to one other node.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct SentProgress {
     lengths: HashMap<ItemKey, usize>,
 }
 
-impl Told {
+impl SentProgress {
     /// Returns the events of an item that were not sent yet, or `None` if there are none.
     pub fn delta(
         &self,
@@ -166,7 +166,7 @@
     }
 
     /// Records the node's response: it holds the sent events, except those of items with gaps.
-    pub fn answered(&mut self, sent: Vec<DeltaEnd>, gaps: Vec<ItemKey>) {
+    pub fn acknowledge(&mut self, sent: Vec<DeltaEnd>, gaps: Vec<ItemKey>) {
         for end in sent {
             self.lengths.insert(end.key, end.events);
         }
--- a/crates/firshore-node/src/runner/item.rs
+++ b/crates/firshore-node/src/runner/item.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use firshore_adapter::backend::{Backend, Ran, SendTerms};
 use firshore_adapter::jobs::{ItemOutcome, JobItem, caller_id};
-use firshore_crashes::print::{FingerprintInput, RequestFingerprint};
+use firshore_crashes::fingerprint::{FingerprintInput, RequestFingerprint};
 use firshore_crashes::report::LostRun;
 use firshore_exchange::exchange::{self, Exchange, Reuse};
 use firshore_gateway::fleet::{BackendOutcome, endpoint};
@@ -94,7 +94,7 @@
         let outcome = self
             .progress
             .borrow_mut()
-            .ended(now, end, failures, &limits);
+            .end_run(now, end, failures, &limits);
         info!(self.gateway.log, "runner: Run ended."; "job" => caller_id(&header.job),
             "item" => &self.work.item.id, "backend" => %self.backend.incarnation, "end" => ?end,
             "resumed_after" => resumed_after, "run_ms" => started.elapsed().as_millis() as u64,
@@ -146,7 +146,7 @@
     /// Returns the item's fingerprint, which is the same on all nodes and for all jobs with this item.
     fn fingerprint(&self) -> RequestFingerprint {
         let Work { header, item, .. } = &self.work;
-        self.gateway.fingerprint_key.print(&FingerprintInput {
+        self.gateway.fingerprint_key.fingerprint(&FingerprintInput {
             tenant: header.tenant.as_ref(),
             host: &header.host,
             method: Method::POST.as_str(),
@@ -158,12 +158,12 @@
     /// Records that the run broke off: the back end may have crashed.
     fn record_lost_run(&self) {
         self.gateway
-            .observed(&self.backend.incarnation, BackendOutcome::Broke);
+            .record_outcome(&self.backend.incarnation, BackendOutcome::Broke);
         let run = LostRun {
-            print: self.fingerprint(),
+            fingerprint: self.fingerprint(),
             reached: self.progress.borrow().held_bytes() as u64,
         };
-        self.gateway.crashes.broke_off(&self.backend, run);
+        self.gateway.crashes.record_lost_run(&self.backend, run);
     }
 
     async fn send(&self) -> RunEnd {
@@ -177,7 +177,8 @@
         };
         let incarnation = &self.backend.incarnation;
         let Ok(connection) = exchange::connect(endpoint(&self.backend), Reuse::Idle).await else {
-            self.gateway.observed(incarnation, BackendOutcome::Unreachable);
+            self.gateway
+                .record_outcome(incarnation, BackendOutcome::Unreachable);
             return RunEnd::NotRun;
         };
         let dialect = self.gateway.adapter.backend.clone();
@@ -196,11 +197,11 @@
 
     async fn handle_response(&self, exchange: Exchange) -> RunEnd {
         let incarnation = &self.backend.incarnation;
-        self.gateway.heard(incarnation);
+        self.gateway.record_activity(incarnation);
         let response = self.gateway.adapter.backend.read_answer(&exchange.head);
         if let Some(load) = response.load {
             let mut fleet = self.gateway.fleet.borrow_mut();
-            fleet.reported(Instant::now(), incarnation, load);
+            fleet.record_load(Instant::now(), incarnation, load);
             // Reports of back ends include requests of isolated nodes, which the counts of nodes lack.
             let mut pressure = self.gateway.pressure.borrow_mut();
             pressure.reported(&self.backend.service, load.waiting);
@@ -210,7 +211,7 @@
                 true => BackendOutcome::Unreachable,
                 false => BackendOutcome::Full,
             };
-            self.gateway.observed(incarnation, outcome);
+            self.gateway.record_outcome(incarnation, outcome);
             return RunEnd::NotRun;
         }
         if response.ran != Ran::Yes {
@@ -230,7 +231,7 @@
         loop {
             match timeout(CHUNK_TIMEOUT, exchange.body.next()).await {
                 Ok(Ok(Some(chunk))) => {
-                    self.gateway.heard(incarnation);
+                    self.gateway.record_activity(incarnation);
                     if self.progress.borrow_mut().feed(&chunk).is_err() {
                         return RunEnd::Broken;
                     }
@@ -241,14 +242,17 @@
                     // every few seconds for another reason, long items would be quarantined.
                     match self.progress.borrow().held_bytes() == held {
                         true => self.record_lost_run(),
-                        false => self.gateway.observed(incarnation, BackendOutcome::Broke),
+                        false => self
+                            .gateway
+                            .record_outcome(incarnation, BackendOutcome::Broke),
                     }
                     return RunEnd::Broken;
                 }
             }
         }
-        self.gateway.observed(incarnation, BackendOutcome::Answered);
-        if self.progress.borrow().holds_part() {
+        self.gateway
+            .record_outcome(incarnation, BackendOutcome::Answered);
+        if self.progress.borrow().has_partial() {
             return RunEnd::Broken;
         }
         self.gateway.completed(|| self.fingerprint());
--- a/crates/firshore-node/src/runner/mod.rs
+++ b/crates/firshore-node/src/runner/mod.rs
@@ -6,30 +6,31 @@
 //! so that an interrupted item resumes after its last event, also under a new leader or after a stop of all
 //! processes.
 
-pub mod give_way;
+pub mod backlog;
 pub mod handover;
 mod item;
+pub mod preemption;
 mod pressure;
 pub mod progress;
 pub mod progress_file;
-pub mod progress_keeper;
 mod progress_sender;
+pub mod progress_store;
 mod schedule;
 pub mod urgency;
-pub mod work_ahead;
 
-use crate::journal::service::Loads;
-use crate::journal::standing::{JournalStatus, StatusFacts, StatusReport};
+use crate::journal::service::ClusterLoad;
+use crate::journal::status::{JournalStatus, StatusFacts, StatusReport};
 use crate::journal::{Journal, Replica};
 use crate::memory::{self, MemoryUse};
 use crate::metrics::RunnerMetrics;
 use crate::task::Task;
+use backlog::BacklogEstimate;
 use firshore_adapter::incarnation::Incarnation;
 use firshore_adapter::jobs::{JobItem, caller_id};
 use firshore_gateway::gateway::Gateway;
 use firshore_jobs::command::{ItemIndex, JobHeader};
 use firshore_types::ids::ServiceName;
-use give_way::PreemptionPolicy;
+use preemption::PreemptionPolicy;
 use progress::ItemProgress;
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -40,7 +41,6 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, timeout_at};
 use urgency::{DueTable, DueTime, ItemUrgency};
-use work_ahead::BacklogEstimate;
 
 /// Load in requests per slot below which items start: it leaves one slot in ten free for online requests.
 const MAX_ITEM_LOAD: f32 = 0.9;
@@ -94,9 +94,9 @@
     gateway: Rc<Gateway>,
     replica: Rc<Replica>,
     journal: Rc<Journal>,
-    loads: Rc<Loads>,
+    loads: Rc<ClusterLoad>,
     metrics: RunnerMetrics,
-    most_runs: usize,
+    max_runs: usize,
     running: RefCell<HashMap<ItemKey, Run>>,
     progress: RefCell<HashMap<ItemKey, Rc<RefCell<ItemProgress>>>>,
     /// Number of times that this process became leader.
@@ -117,7 +117,7 @@
     pub fn new(gateway: Rc<Gateway>, journal: Rc<Journal>, metrics: RunnerMetrics) -> Rc<Self> {
         Rc::new(Self {
             metrics,
-            most_runs: journal.budget.most_runs(),
+            max_runs: journal.budget.max_runs(),
             gateway,
             replica: journal.replica.clone(),
             loads: journal.loads.clone(),
@@ -163,7 +163,7 @@
                 tokio::select! {
                     _ = changes.changed() => {}
                     () = self.run_ended.notified() => {}
-                    () = self.loads.told.notified() => {}
+                    () = self.loads.reported.notified() => {}
                 }
             })
             .await;
@@ -212,7 +212,7 @@
         let held_items = self.journal.progress.borrow().held();
         let mut progress = self.progress.borrow_mut();
         for (key, held) in held_items {
-            let resumed = Rc::new(RefCell::new(ItemProgress::begun(now, held)));
+            let resumed = Rc::new(RefCell::new(ItemProgress::resumed(now, held)));
             progress.insert(key, resumed);
         }
     }
@@ -245,7 +245,7 @@
             let status = JournalStatus::of(&self.status_facts());
             let report = self
                 .journal
-                .standing
+                .status
                 .borrow_mut()
                 .step(Instant::now(), status);
             if let Some(report) = report {
@@ -269,10 +269,10 @@
 
     fn log_status(&self, report: StatusReport) {
         let status = self.replica.status();
-        let (standing, lasted_ms) = (report.standing.name(), report.lasted.as_millis() as u64);
+        let (standing, lasted_ms) = (report.status.name(), report.duration.as_millis() as u64);
         let (term, voters) = (status.term, status.membership.voters().count());
         let log = &self.gateway.log;
-        match report.standing.blocks_work() {
+        match report.status.blocks_work() {
             true => warn!(log, "journal: Work is blocked."; "standing" => standing,
                 "lasted_ms" => lasted_ms, "term" => term, "voters" => voters),
             false => info!(log, "journal: Work resumed."; "standing" => standing,
@@ -291,7 +291,7 @@
     pub fn memory_use(&self) -> MemoryUse {
         MemoryUse {
             progress: self.progress_bytes(),
-            runs: self.journal.budget.of_runs(self.running()),
+            runs: self.journal.budget.run_bytes(self.running()),
             ..self.journal.memory_use()
         }
     }
@@ -318,7 +318,8 @@
         let mut random = self.gateway.random.borrow_mut();
         fleet.apply_remote_load(now, online, &mut *random);
         drop(random);
-        *self.loads.own.borrow_mut() = fleet.in_flight().filter(|(_, count)| *count > 0).collect();
+        *self.loads.local.borrow_mut() =
+            fleet.in_flight().filter(|(_, count)| *count > 0).collect();
         let excess: HashMap<Incarnation, usize> = online
             .keys()
             .filter_map(|name| {
--- a/crates/firshore-node/src/runner/give_way.rs
+++ b/crates/firshore-node/src/runner/preemption.rs
@@ -7,8 +7,8 @@
 //! items that are already late wait.
 
 use super::ItemKey;
+use super::backlog::DeadlineRisk;
 use super::urgency::ItemUrgency;
-use super::work_ahead::DeadlineRisk;
 use firshore_gateway::pressure::ServicePressure;
 use firshore_types::ids::ServiceName;
 use std::cmp::Reverse;
@@ -72,7 +72,7 @@
     /// Load of its back end, in requests per slot.
     pub load: f32,
     /// Risk that the item misses its deadline.
-    pub outlook: DeadlineRisk,
+    pub deadline_risk: DeadlineRisk,
     /// Urgency of the item.
     pub urgency: ItemUrgency,
     /// Number of held events.
@@ -81,7 +81,7 @@
 
 /// Slots of a service and online requests that use them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ServiceRoom {
+pub struct ServiceUsage {
     /// Slots of its back ends.
     pub slots: u32,
     /// Online requests at its back ends, without those of isolated nodes.
@@ -130,7 +130,7 @@
     }
 
     /// Updates whether the service is under pressure.
-    fn update(&mut self, now: Instant, usage: ServiceRoom) {
+    fn update(&mut self, now: Instant, usage: ServiceUsage) {
         if self.is_peak_over(now, usage) {
             self.level = 0.0;
             self.pressed = false;
@@ -156,7 +156,7 @@
     }
 
     /// Returns whether the last load peak is over, so that requests reported late now were queued during it.
-    fn is_peak_over(&self, now: Instant, usage: ServiceRoom) -> bool {
+    fn is_peak_over(&self, now: Instant, usage: ServiceUsage) -> bool {
         let elapsed = now.saturating_duration_since(self.pressed_at);
         elapsed < PEAK_TAIL
             && self.max_online > 0
@@ -164,7 +164,7 @@
     }
 
     /// Returns whether online requests have fallen since the pressure, or have not been pressing for [`MAX_HOLD`].
-    fn has_fallen(&self, now: Instant, usage: ServiceRoom) -> bool {
+    fn has_fallen(&self, now: Instant, usage: ServiceUsage) -> bool {
         // An isolated node sees no online requests in flight, so that it can't see them fall.
         let fallen =
             self.max_online > 0 && usage.online as f32 <= self.max_online as f32 * FALLEN_FRACTION;
@@ -180,12 +180,17 @@
 
 impl PreemptionPolicy {
     /// Records a report of pressure on a service with the given usage.
-    pub fn told(&mut self, now: Instant, usage: ServiceRoom, pressure: &ServicePressure) {
+    pub fn record_pressure(
+        &mut self,
+        now: Instant,
+        usage: ServiceUsage,
+        pressure: &ServicePressure,
+    ) {
         let state = self
             .services
             .entry(pressure.service.clone())
             .or_insert_with(|| PressureState::new(now));
-        let sum = pressure.figure.sum();
+        let sum = pressure.counts.sum();
         state.decay(now);
         state.level += sum as f32;
         state.pending_preemptions = state.pending_preemptions.saturating_add(sum);
@@ -193,7 +198,7 @@
     }
 
     /// Updates all services to `now`. `usage` returns the usage of a service.
-    pub fn pass(&mut self, now: Instant, usage: impl Fn(&ServiceName) -> ServiceRoom) {
+    pub fn advance(&mut self, now: Instant, usage: impl Fn(&ServiceName) -> ServiceUsage) {
         for (service, state) in &mut self.services {
             state.decay(now);
             state.update(now, usage(service));
@@ -215,7 +220,7 @@
     }
 
     /// Returns the recent mean fraction of time in which items of a service could run.
-    pub fn calm_share(&self, service: &ServiceName) -> f32 {
+    pub fn calm_fraction(&self, service: &ServiceName) -> f32 {
         let state = self.services.get(service);
         state.map_or(1.0, |state| state.calm_fraction.max(MIN_CALM_FRACTION))
     }
@@ -232,16 +237,16 @@
         if !self.is_pressed(service) {
             return true;
         }
-        risk == DeadlineRisk::LastChance && running < reserved_slots(slots)
+        risk == DeadlineRisk::Critical && running < reserved_slots(slots)
     }
 
     /// Returns the runs of a service to preempt now: at most one for each pressing request since the last call.
     /// Selects those with the lowest deadline risk first, then the least urgent, then those with the fewest
     /// events. Excludes runs in reserved slots and runs at back ends with a low load.
-    pub fn step_aside(
+    pub fn runs_to_preempt(
         &mut self,
         service: &ServiceName,
-        usage: ServiceRoom,
+        usage: ServiceUsage,
         mut runs: Vec<PreemptibleRun>,
     ) -> Vec<PreemptibleRun> {
         let Some(state) = self.services.get_mut(service).filter(|state| state.pressed) else {
@@ -249,10 +254,16 @@
         };
         let pending = std::mem::take(&mut state.pending_preemptions) as usize;
         // The reserved slots go to the most urgent items at critical risk.
-        runs.sort_by_key(|run| (Reverse(run.outlook), run.urgency, Reverse(run.produced)));
+        runs.sort_by_key(|run| {
+            (
+                Reverse(run.deadline_risk),
+                run.urgency,
+                Reverse(run.produced),
+            )
+        });
         let critical = runs
             .iter()
-            .take_while(|run| run.outlook == DeadlineRisk::LastChance);
+            .take_while(|run| run.deadline_risk == DeadlineRisk::Critical);
         let reserved = critical.count().min(reserved_slots(usage.slots));
         let mut others = runs.split_off(reserved);
         let idle_load = IDLE_LOAD_FRACTION * usage.online as f32 / usage.slots.max(1) as f32;
--- a/crates/firshore-node/src/runner/pressure.rs
+++ b/crates/firshore-node/src/runner/pressure.rs
@@ -1,7 +1,7 @@
 //! Applies the preemption policy to the running items.
 
-use super::give_way::{PreemptibleRun, ServiceRoom};
-use super::work_ahead::DeadlineRisk;
+use super::backlog::DeadlineRisk;
+use super::preemption::{PreemptibleRun, ServiceUsage};
 use super::{ItemKey, Run, Runner};
 use firshore_adapter::jobs::caller_id;
 use firshore_gateway::fleet::Fleet;
@@ -21,22 +21,22 @@
         let mut preemption = self.preemption.borrow_mut();
         for pressure in &pressures {
             let was_pressed = preemption.is_pressed(&pressure.service);
-            preemption.told(now, usage(&pressure.service), pressure);
+            preemption.record_pressure(now, usage(&pressure.service), pressure);
             if !was_pressed && preemption.is_pressed(&pressure.service) {
                 info!(self.gateway.log, "runner: Preempting items."; "service" => %pressure.service,
-                    "waiting" => pressure.figure.waiting, "late" => pressure.figure.late,
-                    "refused" => pressure.figure.refused, "running" => self.running());
+                    "waiting" => pressure.counts.waiting, "late" => pressure.counts.late,
+                    "refused" => pressure.counts.refused, "running" => self.running());
             }
         }
-        preemption.pass(now, usage);
+        preemption.advance(now, usage);
         let mut backlog = self.backlog.borrow_mut();
         for (service, usage) in &usages {
-            backlog.saw_room(now, service, usage.slots.saturating_sub(usage.online));
+            backlog.record_free_slots(now, service, usage.slots.saturating_sub(usage.online));
         }
     }
 
     /// Returns the slots of each service, and the online requests that use them.
-    fn service_usages(&self, now: Instant) -> HashMap<ServiceName, ServiceRoom> {
+    fn service_usages(&self, now: Instant) -> HashMap<ServiceName, ServiceUsage> {
         let fleet = self.gateway.fleet.borrow();
         let running = self.running.borrow();
         let mut items: HashMap<&ServiceName, u32> = HashMap::new();
@@ -46,7 +46,7 @@
         let usages = fleet.services().map(|service| {
             let occupancy = fleet.occupancy(now, service);
             let item_count = items.get(service).copied().unwrap_or(0);
-            let usage = ServiceRoom {
+            let usage = ServiceUsage {
                 slots: occupancy.slots,
                 online: occupancy.held.saturating_sub(item_count),
             };
@@ -74,7 +74,7 @@
             let preempted = self
                 .preemption
                 .borrow_mut()
-                .step_aside(&service, usage, runs);
+                .runs_to_preempt(&service, usage, runs);
             self.stop_runs(&preempted);
         }
     }
@@ -95,7 +95,7 @@
 
     /// Returns the runs of a service as candidates for preemption.
     fn preemptible_runs(&self, now: Instant, service: &ServiceName) -> Vec<PreemptibleRun> {
-        let calm_fraction = self.preemption.borrow().calm_share(service);
+        let calm_fraction = self.preemption.borrow().calm_fraction(service);
         let fleet = self.gateway.fleet.borrow();
         let running = self.running.borrow();
         let of_service = running.iter().filter(|(_, run)| run.service == *service);
@@ -117,7 +117,13 @@
         PreemptibleRun {
             key: key.clone(),
             load: fleet.load(now, &run.backend).unwrap_or(0.0),
-            outlook: backlog.outlook(now, &run.service, &run.due, produced, calm_fraction),
+            deadline_risk: backlog.deadline_risk(
+                now,
+                &run.service,
+                &run.due,
+                produced,
+                calm_fraction,
+            ),
             urgency: run.due.urgency(now),
             produced,
         }
@@ -139,11 +145,12 @@
         waiting: &super::schedule::WaitingItem<'_>,
         overloaded: bool,
     ) -> DeadlineRisk {
-        let calm_fraction = self.preemption.borrow().calm_share(service);
+        let calm_fraction = self.preemption.borrow().calm_fraction(service);
         let backlog = self.backlog.borrow();
-        let risk = backlog.outlook(now, service, &waiting.due, waiting.produced, calm_fraction);
+        let risk =
+            backlog.deadline_risk(now, service, &waiting.due, waiting.produced, calm_fraction);
         match overloaded {
-            true => risk.max(DeadlineRisk::Pressed),
+            true => risk.max(DeadlineRisk::High),
             false => risk,
         }
     }
--- a/crates/firshore-node/src/runner/progress.rs
+++ b/crates/firshore-node/src/runner/progress.rs
@@ -2,7 +2,7 @@
 
 use super::handover::{HeldProgress, event_bytes};
 use firshore_adapter::jobs::ItemOutcome;
-use firshore_gateway::events::{EventError, EventStream, data_of};
+use firshore_gateway::events::{EventError, EventStream, event_data};
 use std::time::{Duration, Instant};
 
 /// Backoff before an item runs again; doubled with each run that was not started or broke off.
@@ -65,7 +65,7 @@
     }
 
     /// Creates the progress of an item from events that were reported by the former leader.
-    pub fn begun(now: Instant, held: HeldProgress) -> Self {
+    pub fn resumed(now: Instant, held: HeldProgress) -> Self {
         Self {
             stream: EventStream::after(held.last),
             produced: held.events,
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether the item may not run yet.
-    pub fn is_paused(&self, now: Instant) -> bool {
+    pub fn is_backing_off(&self, now: Instant) -> bool {
         now < self.next_run_at
     }
 
@@ -94,8 +94,8 @@
     }
 
     /// Prepares a run: discards the partial event that a stopped run may have left.
-    pub fn starts(&mut self) {
-        self.stream.broken_off();
+    pub fn start_run(&mut self) {
+        self.stream.discard_partial();
     }
 
     /// Parses a chunk of the stream.
@@ -105,25 +105,25 @@
     /// Fails if the chunk contains an invalid event.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), EventError> {
         let events = self.stream.feed(bytes)?;
-        self.produced.extend(data_of(&events));
+        self.produced.extend(event_data(&events));
         Ok(())
     }
 
     /// Returns whether the stream ended inside an event.
-    pub fn holds_part(&self) -> bool {
-        self.stream.holds_part()
+    pub fn has_partial(&self) -> bool {
+        self.stream.has_partial()
     }
 
     /// Records the end of a run. `failures` is the number of failures that back ends reported for the item so far.
     /// Returns the outcome of the item, or `None` if it has to run again.
-    pub fn ended(
+    pub fn end_run(
         &mut self,
         now: Instant,
         end: RunEnd,
         failures: u32,
         limits: &RunLimits,
     ) -> Option<ItemOutcome> {
-        self.stream.broken_off();
+        self.stream.discard_partial();
         match end {
             RunEnd::Whole => {
                 // No events are held any more, so that a further run would start from the beginning.
--- a/crates/firshore-node/src/runner/progress_sender.rs
+++ b/crates/firshore-node/src/runner/progress_sender.rs
@@ -1,9 +1,9 @@
 //! Sends the events of items to the nodes of the other replicas, so that the next leader resumes the items
 //! after their last event.
 
-use super::handover::{ProgressDelta, Told, DeltaEnd};
+use super::handover::{DeltaEnd, ProgressDelta, SentProgress};
 use super::progress::ItemProgress;
-use super::progress_keeper::Leadership;
+use super::progress_store::Leadership;
 use super::{ItemKey, Runner};
 use crate::journal::messages::{PeerRequest, PeerResponse};
 use firshore_types::ids::NodeName;
@@ -29,8 +29,8 @@
 impl Runner {
     /// Sends the events of items to the nodes of the other replicas while this node leads.
     pub(super) async fn send_progress(self: Rc<Self>) {
-        let mut sent: HashMap<NodeName, Told> = HashMap::new();
-        let mut stored = Told::default();
+        let mut sent: HashMap<NodeName, SentProgress> = HashMap::new();
+        let mut stored = SentProgress::default();
         let mut leadership = Leadership::default();
         loop {
             actix_rt::time::sleep(SEND_INTERVAL).await;
@@ -46,7 +46,7 @@
                 // Events sent before may be of other runs.
                 leadership = current;
                 sent.clear();
-                stored = Told::default();
+                stored = SentProgress::default();
             }
             self.store_progress(leadership, &mut stored);
             let replicas = status.membership.replicas.iter();
@@ -62,12 +62,12 @@
     }
 
     /// Stores the events of items on this node, for the case that all processes stop.
-    fn store_progress(&self, leadership: Leadership, stored: &mut Told) {
+    fn store_progress(&self, leadership: Leadership, stored: &mut SentProgress) {
         let deltas = self.unsent(stored, usize::MAX);
-        let ends: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::through).collect();
+        let ends: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::end).collect();
         let mut store = self.journal.progress.borrow_mut();
-        let gaps = store.told(leadership, deltas);
-        stored.answered(ends, gaps);
+        let gaps = store.apply(leadership, deltas);
+        stored.acknowledge(ends, gaps);
         let progress = self.progress.borrow();
         store.keep(|key| progress.contains_key(key));
     }
@@ -77,21 +77,21 @@
         &self,
         leadership: Leadership,
         node: NodeName,
-        mut sent: Told,
-    ) -> (NodeName, Told) {
+        mut sent: SentProgress,
+    ) -> (NodeName, SentProgress) {
         for _ in 0..MAX_MESSAGES {
             let deltas = self.unsent(&mut sent, MESSAGE_BYTES);
             if deltas.is_empty() {
                 break;
             }
-            let ends: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::through).collect();
+            let ends: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::end).collect();
             let request = PeerRequest::Progress { leadership, deltas };
             let call = self.journal.ask(&node, request);
             match timeout(SEND_TIMEOUT, call).await {
-                Ok(Some(PeerResponse::Gaps(gaps))) => sent.answered(ends, gaps),
+                Ok(Some(PeerResponse::Gaps(gaps))) => sent.acknowledge(ends, gaps),
                 _ => {
                     // It is unknown which events the node holds: sends all of them in the next round.
-                    sent = Told::default();
+                    sent = SentProgress::default();
                     break;
                 }
             }
@@ -100,7 +100,7 @@
     }
 
     /// Returns the events that were not sent yet, up to about `bytes`.
-    fn unsent(&self, sent: &mut Told, bytes: usize) -> Vec<ProgressDelta> {
+    fn unsent(&self, sent: &mut SentProgress, bytes: usize) -> Vec<ProgressDelta> {
         let progress = self.progress.borrow();
         sent.keep(|key| progress.contains_key(key));
         let items = progress.iter().map(|(key, item)| (key, item.borrow()));
--- a/crates/firshore-node/src/runner/progress_keeper.rs
+++ b/crates/firshore-node/src/runner/progress_store.rs
@@ -37,7 +37,7 @@
         let (file, frames) = ProgressFile::open(folder)?;
         let mut held = HeldItems::default();
         for deltas in frames {
-            held.told(deltas);
+            held.apply(deltas);
         }
         Ok(Self {
             held,
@@ -48,20 +48,20 @@
 
     /// Applies a leader's deltas. Returns the items of which earlier events are missing. Late deltas of a former
     /// leadership are ignored, so that events of two runs of an item are not mixed.
-    pub fn told(&mut self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> Vec<ItemKey> {
+    pub fn apply(&mut self, leadership: Leadership, deltas: Vec<ProgressDelta>) -> Vec<ItemKey> {
         if leadership < self.latest {
-            return deltas.iter().map(|delta| delta.through().key).collect();
+            return deltas.iter().map(|delta| delta.end().key).collect();
         }
         self.latest = leadership;
         let held = &mut self.held;
         if !deltas.is_empty() {
             self.file.append(&deltas, || {
                 let mut all = held.clone();
-                all.told(deltas.clone());
+                all.apply(deltas.clone());
                 all.deltas()
             });
         }
-        self.held.told(deltas)
+        self.held.apply(deltas)
     }
 
     /// Removes items that are no longer open.
--- a/crates/firshore-node/src/runner/schedule.rs
+++ b/crates/firshore-node/src/runner/schedule.rs
@@ -1,9 +1,9 @@
 //! Scheduling pass: selects the items that start, and their back ends.
 
+use super::backlog::DeadlineRisk;
 use super::item::{self, ItemRun};
 use super::progress::{ItemProgress, RunEnd};
 use super::urgency::{DueTime, ItemUrgency};
-use super::work_ahead::DeadlineRisk;
 use super::{ItemKey, MAX_AT_RISK_ITEM_LOAD, MAX_ITEM_LOAD, Run, Runner, Work};
 use crate::task::Task;
 use firshore_adapter::backend::Backend;
@@ -98,7 +98,7 @@
             self.add_backlog(now, &job, &mut pass);
             for waiting in self.waiting(&job) {
                 pass.waiting = true;
-                let at_capacity = self.running() >= self.most_runs;
+                let at_capacity = self.running() >= self.max_runs;
                 if at_capacity || pass.is_over() {
                     return true;
                 }
@@ -152,17 +152,17 @@
         let service_pass = *self.service_pass(now, service, pass);
         let time = waiting
             .due
-            .wanted
+            .deadline
             .map(|deadline| deadline.saturating_duration_since(now));
         let overloaded = time.filter(|time| !time.is_zero()).is_some_and(|time| {
             let backlog = self.backlog.borrow();
-            backlog.is_behind(service, service_pass.backlog, time)
+            backlog.exceeds_capacity(service, service_pass.backlog, time)
         });
         let risk = self.deadline_risk(now, service, waiting, overloaded);
         let preemption = self.preemption.borrow();
         let may_start =
             preemption.may_start(service, service_pass.slots, service_pass.running, risk);
-        may_start.then_some(risk > DeadlineRisk::Easy)
+        may_start.then_some(risk > DeadlineRisk::Low)
     }
 
     /// Returns the open jobs, the most urgent first.
@@ -222,7 +222,7 @@
         let former = self.progress.borrow().get(&key).cloned();
         if former
             .as_ref()
-            .is_some_and(|progress| progress.borrow().is_paused(now))
+            .is_some_and(|progress| progress.borrow().is_backing_off(now))
         {
             return;
         }
@@ -233,7 +233,7 @@
         let progress = former.unwrap_or_else(|| Rc::new(RefCell::new(ItemProgress::new(now))));
         let shared = progress.clone();
         self.progress.borrow_mut().insert(key.clone(), shared);
-        progress.borrow_mut().starts();
+        progress.borrow_mut().start_run();
         let work = Work {
             header: item.header.clone(),
             index: item.index,
@@ -261,7 +261,7 @@
             runner.metrics.run_ended(summary.end);
             if summary.end == RunEnd::Whole {
                 let mut backlog = runner.backlog.borrow_mut();
-                backlog.finished(
+                backlog.record_finished(
                     &service,
                     summary.events,
                     summary.new_events,
@@ -301,7 +301,7 @@
             false => MAX_ITEM_LOAD,
         };
         let fleet = self.gateway.fleet.borrow();
-        let wanted = BackendRequirements {
+        let requirements = BackendRequirements {
             service: &service,
             attempts: &attempts,
             affinity: affinity_key(&terms.prompt),
@@ -312,7 +312,7 @@
             answer_within: None,
         };
         let mut random = self.gateway.random.borrow_mut();
-        let chosen = fleet.choose(now, &wanted, &mut *random);
+        let chosen = fleet.choose(now, &requirements, &mut *random);
         match chosen {
             Some(_) => self.service_pass(now, &service, pass).running += 1,
             None => {
--- a/crates/firshore-node/src/runner/urgency.rs
+++ b/crates/firshore-node/src/runner/urgency.rs
@@ -26,26 +26,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueTime {
     /// Time at which this process first saw the job.
-    pub seen: Instant,
+    pub first_seen: Instant,
     /// Deadline of the results; `None` if the job has none.
-    pub wanted: Option<Instant>,
+    pub deadline: Option<Instant>,
     /// Time from which on its items may use the last slots.
-    pub pressed_from: Option<Instant>,
+    pub at_risk_from: Option<Instant>,
 }
 
 impl DueTime {
     /// Returns whether the job's items are at risk of missing their deadline, but not late yet.
-    pub fn is_pressed(&self, now: Instant) -> bool {
-        let at_risk = self.pressed_from.is_some_and(|from| now >= from);
-        at_risk && self.wanted.is_some_and(|wanted| now <= wanted)
+    pub fn is_at_risk(&self, now: Instant) -> bool {
+        let at_risk = self.at_risk_from.is_some_and(|from| now >= from);
+        at_risk && self.deadline.is_some_and(|deadline| now <= deadline)
     }
 
     /// Returns the urgency of the job's items.
     pub fn urgency(&self, now: Instant) -> ItemUrgency {
-        match self.wanted {
-            None => ItemUrgency::Undated(self.seen),
-            Some(wanted) if now <= wanted => ItemUrgency::InTime(wanted),
-            Some(wanted) => ItemUrgency::Late(wanted),
+        match self.deadline {
+            None => ItemUrgency::Undated(self.first_seen),
+            Some(deadline) if now <= deadline => ItemUrgency::InTime(deadline),
+            Some(deadline) => ItemUrgency::Late(deadline),
         }
     }
 }
@@ -74,9 +74,9 @@
         }
         let submitted = now.checked_sub(age).unwrap_or(now);
         let due = DueTime {
-            seen: now,
-            wanted: due_after.map(|due_after| submitted + due_after),
-            pressed_from: due_after
+            first_seen: now,
+            deadline: due_after.map(|due_after| submitted + due_after),
+            at_risk_from: due_after
                 .map(|due_after| submitted + due_after.mul_f64(AT_RISK_FRACTION)),
         };
         self.jobs.insert(job.to_owned(), due);
--- a/crates/firshore-node/src/status_listener.rs
+++ b/crates/firshore-node/src/status_listener.rs
@@ -12,28 +12,28 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Response of a listener.
-pub struct StatusAnswer {
+pub struct StatusResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Body; may be empty.
     pub text: String,
 }
 
-/// Accepts connections and answers each request with the result of `answer`.
-pub async fn accept(listener: TcpListener, answer: impl Fn() -> StatusAnswer + 'static) {
-    let answer = Rc::new(answer);
+/// Accepts connections and answers each request with the result of `response`.
+pub async fn accept(listener: TcpListener, response: impl Fn() -> StatusResponse + 'static) {
+    let response = Rc::new(response);
     loop {
         if let Ok((stream, _)) = listener.accept().await {
-            actix_rt::spawn(serve(stream, answer.clone()));
+            actix_rt::spawn(serve(stream, response.clone()));
         }
     }
 }
 
-async fn serve(stream: TcpStream, answer: Rc<impl Fn() -> StatusAnswer>) {
+async fn serve(stream: TcpStream, response: Rc<impl Fn() -> StatusResponse>) {
     let mut connection = CallerConnection::new(stream);
     let limits = CallerLimits::default();
     while let Incoming::Request(_) = connection.read_request(&limits, pending()).await {
-        let StatusAnswer { status, text } = answer();
+        let StatusResponse { status, text } = response();
         let mut headers = HeaderMap::new();
         if !text.is_empty() {
             headers.insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_CONTENT_TYPE));
--- a/crates/firshore-node/src/watcher.rs
+++ b/crates/firshore-node/src/watcher.rs
@@ -1,6 +1,6 @@
-//! Executes the queries of an [`Observation`] at an object store until the node stops.
+//! Executes the queries of an [`ListWatch`] at an object store until the node stops.
 
-use crate::observation::{Learned, ListingRefusal, Observation, Question, Terms};
+use crate::list_watch::{ListWatch, ListingRefusal, ObjectUpdate, StoreQuery, WatchOptions};
 use crate::refusals::RefusalLog;
 use firshore_adapter::objects::{ObjectError, ObjectStore, Revision};
 use rand::RngExt;
@@ -18,14 +18,14 @@
     /// Kind of the objects.
     pub kind: String,
     /// Options of the watch.
-    pub terms: Terms,
+    pub options: WatchOptions,
     /// Interrupts a waiting watch; the next query is sent at once.
     pub renewal: Rc<Notify>,
 }
 
 /// Watches all objects of a kind and calls `apply` with each update.
-pub async fn follow(watcher: Watcher, apply: impl Fn(Learned)) {
-    let step = |update: Option<Learned>, _: &Observation, _: Instant| {
+pub async fn follow(watcher: Watcher, apply: impl Fn(ObjectUpdate)) {
+    let step = |update: Option<ObjectUpdate>, _: &ListWatch, _: Instant| {
         if let Some(update) = update {
             apply(update);
         }
@@ -36,60 +36,60 @@
 /// Watches all objects of a kind. After each response calls `step` with the update, if any, the state of the
 /// watch, and the time as of which the state is known: for a listing the time at which its first page was
 /// requested, for a watch the time at which its response arrived.
-pub async fn observe(watcher: Watcher, step: impl Fn(Option<Learned>, &Observation, Instant)) {
+pub async fn observe(watcher: Watcher, step: impl Fn(Option<ObjectUpdate>, &ListWatch, Instant)) {
     let Watcher {
         log,
         store,
         kind,
-        terms,
+        options,
         renewal,
     } = watcher;
-    let mut observation = Observation::new(terms);
+    let mut list_watch = ListWatch::new(options);
     let mut refusals = RefusalLog::default();
     let mut as_of = firshore_clock::now();
     loop {
-        let delay = observation.pause();
+        let delay = list_watch.delay();
         if !delay.is_zero() {
             // Jitter: nodes that lost the store at the same time must not query it at the same time.
             let jittered = delay.mul_f64(rand::rng().random_range(0.5..1.0));
             actix_rt::time::sleep(jittered).await;
         }
-        let connected = observation.is_connected();
-        let update = match observation.question() {
-            Question::List(after) => {
+        let connected = list_watch.is_connected();
+        let update = match list_watch.next_query() {
+            StoreQuery::List(after) => {
                 if after.is_none() {
                     as_of = firshore_clock::now();
                 }
                 let page = store.list(&kind, after.as_deref()).await;
                 log_error(&log, &kind, connected, page.as_ref().err());
                 let revision = page.as_ref().map_or(0, |page| page.revision);
-                let update = observation.listed(page);
-                log_refusal(&log, &kind, observation.refusal());
-                log_unnamed(&log, &kind, &mut refusals, &observation, revision);
+                let update = list_watch.handle_page(page);
+                log_refusal(&log, &kind, list_watch.refusal());
+                log_unnamed(&log, &kind, &mut refusals, &list_watch, revision);
                 update
             }
-            Question::Watch(revision) => {
-                let watching = store.watch(&kind, revision, observation.wait());
+            StoreQuery::Watch(revision) => {
+                let watching = store.watch(&kind, revision, list_watch.watch_timeout());
                 let changes = tokio::select! {
                     changes = watching => changes,
                     () = renewal.notified() => {
-                        observation.renew();
+                        list_watch.renew();
                         continue;
                     }
                 };
                 log_error(&log, &kind, connected, changes.as_ref().err());
                 as_of = firshore_clock::now();
                 let revision = changes.as_ref().map_or(0, |changes| changes.revision);
-                let update = observation.watched(changes);
-                log_unnamed(&log, &kind, &mut refusals, &observation, revision);
+                let update = list_watch.handle_changes(changes);
+                log_unnamed(&log, &kind, &mut refusals, &list_watch, revision);
                 update
             }
         };
-        if !connected && observation.is_connected() {
+        if !connected && list_watch.is_connected() {
             info!(log, "objects: Store responds again."; "kind" => &kind,
-                "revision" => observation.revision());
+                "revision" => list_watch.revision());
         }
-        step(update, &observation, as_of);
+        step(update, &list_watch, as_of);
     }
 }
 
@@ -118,10 +118,10 @@
     log: &Logger,
     kind: &str,
     refusals: &mut RefusalLog,
-    observation: &Observation,
+    list_watch: &ListWatch,
     revision: Revision,
 ) {
-    let count = observation.unnamed();
+    let count = list_watch.unnamed();
     if count == 0 {
         return;
     }
--- a/crates/firshore-node/tests/group_keeper.rs
+++ b/crates/firshore-node/tests/group_manager.rs
@@ -2,8 +2,8 @@
 
 use firshore_log::GroupStatus;
 use firshore_log::placement::Candidate;
-use firshore_node::journal::group_keeper::{
-    GroupManager, GroupAction, GroupPolicy, GroupInput, LeavingNodes,
+use firshore_node::journal::group_manager::{
+    GroupAction, GroupInput, GroupManager, GroupPolicy, LeavingNodes,
 };
 use firshore_node::journal::registry::VoterRecord;
 use firshore_replication::replica::{Replica, Timing};
@@ -58,8 +58,8 @@
         Self {
             start: Instant::now(),
             keeper: GroupManager::new(GroupPolicy {
-                target: 2 * losses + 1,
-                least: losses + 1,
+                target_voters: 2 * losses + 1,
+                min_disks: losses + 1,
                 catch_up: CATCH_UP,
             }),
             status: GroupStatus::of(&replica, 1_500),
@@ -111,7 +111,7 @@
             candidates: &self.candidates,
             leaving: self.leaving.as_ref(),
             recorded: self.record.as_ref(),
-            doubtful: self.doubtful,
+            write_unconfirmed: self.doubtful,
             listed_at: self.listed.then_some(now),
         };
         self.keeper.step(now, &view)
@@ -125,7 +125,7 @@
             candidates: &self.candidates,
             leaving: self.leaving.as_ref(),
             recorded: self.record.as_ref(),
-            doubtful: self.doubtful,
+            write_unconfirmed: self.doubtful,
             listed_at: None,
         };
         self.keeper.is_drained(&view, &NodeName::from(node))
@@ -171,7 +171,7 @@
 fn nobody_goes_on_by_what_was_listed_before_the_leader_was_lost() {
     let mut scene = Scene::leaderless(&[1, 2], 1).wiped(2);
     scene.listed = false;
-    assert_eq!(scene.step(2.0), GroupAction::Rest);
+    assert_eq!(scene.step(2.0), GroupAction::Idle);
     scene.listed = true;
     scene.leaving = None;
     assert_eq!(scene.step(2.0), GroupAction::ListLeaving);
@@ -190,26 +190,26 @@
         .find(|one| one.disk == DiskId(3));
     gone.unwrap().node = "elsewhere".into();
     scene.candidates.retain(|one| one.disk != DiskId(3));
-    assert_eq!(scene.step(0.2), GroupAction::Rest);
+    assert_eq!(scene.step(0.2), GroupAction::Idle);
     let mut old = scene.recorded(VoterRecord {
         term: 0,
         ..unsettled(&[1, 2], &[])
     });
-    assert_eq!(old.step(2.0), GroupAction::Rest, "it names no groups");
+    assert_eq!(old.step(2.0), GroupAction::Idle, "it names no groups");
 }
 
 #[test]
 fn silent_voters_are_left_out_only_by_as_many_as_commit_together() {
     let mut pair = Scene::leaderless(&[1, 2], 1);
-    assert_eq!(pair.step(0.1), GroupAction::Rest);
+    assert_eq!(pair.step(0.1), GroupAction::Idle);
     assert_eq!(recorded(pair.step(1.0)), Some(disks(&[1])));
     let mut three = Scene::leaderless(&[1, 2, 3], 1);
-    assert_eq!(three.step(2.0), GroupAction::Rest, "two might have more");
+    assert_eq!(three.step(2.0), GroupAction::Idle, "two might have more");
     let mut five = Scene::leaderless(&[1, 2, 3, 4, 5, 6], 2);
     five.status.heard = disks(&[2, 3]);
     assert_eq!(
         five.step(2.0),
-        GroupAction::Rest,
+        GroupAction::Idle,
         "three do not commit together"
     );
 }
@@ -219,7 +219,7 @@
     let mut scene = Scene::leaderless(&[1, 2, 3, 4], 2).wiped(3).wiped(4);
     assert_eq!(recorded(scene.step(0.1)), Some(disks(&[1, 2])));
     let mut too_few = Scene::leaderless(&[1, 2, 3], 1).wiped(2).wiped(3);
-    assert_eq!(too_few.step(2.0), GroupAction::Rest);
+    assert_eq!(too_few.step(2.0), GroupAction::Idle);
 }
 
 #[test]
@@ -229,14 +229,14 @@
         ..unsettled(&[2], &[&[1, 2]])
     };
     let mut scene = Scene::leaderless(&[1, 2], 1).recorded(left.clone());
-    assert_eq!(scene.step(2.0), GroupAction::Rest);
+    assert_eq!(scene.step(2.0), GroupAction::Idle);
     let mut scene = scene.wiped(2);
     assert_eq!(recorded(scene.step(2.0)), Some(disks(&[1])));
     let other = VoterRecord {
         left_behind: Some(DiskId(9)),
         ..left
     };
-    assert_eq!(scene.recorded(other).step(2.0), GroupAction::Rest);
+    assert_eq!(scene.recorded(other).step(2.0), GroupAction::Idle);
 }
 
 #[test]
@@ -250,20 +250,20 @@
     scene.status.heard = disks(&[2, 5]);
     assert_eq!(recorded(scene.step(1.0)), Some(disks(&[1, 2, 5])));
     scene.status.heard = disks(&[2]);
-    assert_eq!(scene.step(1.0), GroupAction::Rest, "three of five are out");
+    assert_eq!(scene.step(1.0), GroupAction::Idle, "three of five are out");
 }
 
 #[test]
 fn the_short_wait_is_for_any_group_whose_place_another_disk_could_take() {
     let mut scene = Scene::leaderless(&[1, 2, 3, 4], 2).wiped(3);
     scene.status.heard = disks(&[2]);
-    assert_eq!(scene.step(0.2), GroupAction::Rest);
+    assert_eq!(scene.step(0.2), GroupAction::Idle);
     assert_eq!(recorded(scene.step(0.4)), Some(disks(&[1, 2])));
     scene.candidates.retain(|one| one.disk != DiskId(103));
     scene.candidates.push(candidate(3, 3));
     assert_eq!(
         scene.step(0.4),
-        GroupAction::Rest,
+        GroupAction::Idle,
         "nothing could replace it"
     );
 }
@@ -285,13 +285,13 @@
         gone: BTreeSet::new(),
         ..record.clone()
     });
-    assert_eq!(scene.step(0.2), GroupAction::Rest, "it may have been there");
+    assert_eq!(scene.step(0.2), GroupAction::Idle, "it may have been there");
     // In the group before, it was.
     let mut scene = scene.recorded(VoterRecord {
         before: vec![disks(&[1, 3, 4])],
         ..record
     });
-    assert_eq!(scene.step(0.3), GroupAction::Rest);
+    assert_eq!(scene.step(0.3), GroupAction::Idle);
 }
 
 /// What is recorded of a lone voter on disk 2 that went on without disk 1.
@@ -312,8 +312,8 @@
     };
     for voters in [&[2][..], &[1, 2]] {
         let mut scene = scene().recorded(lone(voters));
-        assert_eq!(scene.step(0.0), GroupAction::Rest, "it may go on itself");
-        assert_eq!(scene.step(0.9), GroupAction::Rest);
+        assert_eq!(scene.step(0.0), GroupAction::Idle, "it may go on itself");
+        assert_eq!(scene.step(0.9), GroupAction::Idle);
         let GroupAction::Record(begun) = scene.step(1.1) else {
             panic!("it waited for the whole time");
         };
@@ -325,13 +325,13 @@
     }
     let mut replaced = scene().recorded(lone(&[2]));
     replaced.candidates.push(candidate(3, 3));
-    assert_eq!(replaced.step(0.0), GroupAction::Rest);
+    assert_eq!(replaced.step(0.0), GroupAction::Idle);
     assert_eq!(recorded(replaced.step(0.4)), Some(disks(&[1])));
     // What the lone voter promises together with another disk is not here.
     let mut joined = scene().recorded(lone(&[2, 3]));
     joined.candidates.push(candidate(3, 3));
-    assert_eq!(joined.step(0.0), GroupAction::Rest);
-    assert_eq!(joined.step(2.0), GroupAction::Rest);
+    assert_eq!(joined.step(0.0), GroupAction::Idle);
+    assert_eq!(joined.step(2.0), GroupAction::Idle);
     // Once that voter's disk is gone, what is not here is on the disk that it took in.
     let mut joined = joined.wiped(2);
     assert_eq!(recorded(joined.step(2.1)), Some(disks(&[1, 3])));
@@ -340,7 +340,7 @@
     let mut other = other.wiped(3);
     assert_eq!(
         other.step(2.0),
-        GroupAction::Rest,
+        GroupAction::Idle,
         "the lone one may hold it"
     );
 }
@@ -390,7 +390,7 @@
 fn a_replica_that_was_removed_asks_the_store_nothing() {
     let mut scene = Scene::leaderless(&[1, 2, 3], 1).recorded(unsettled(&[2, 3], &[&[2, 3, 4]]));
     scene.leaving = None;
-    assert_eq!(scene.step(2.0), GroupAction::Rest);
+    assert_eq!(scene.step(2.0), GroupAction::Idle);
 }
 
 #[test]
@@ -448,7 +448,7 @@
 fn a_leader_that_does_not_know_who_leaves_changes_nothing() {
     let mut scene = Scene::leading(&[1, 2, 3], 1).wiped(3);
     scene.leaving = None;
-    assert_eq!(scene.step(0.1), GroupAction::Rest);
+    assert_eq!(scene.step(0.1), GroupAction::Idle);
 }
 
 #[test]
