--- a/crates/firshore-node/src/environment.rs
+++ b/crates/firshore-node/src/environment.rs
@@ -77,7 +77,7 @@
 pub fn follow(
     gateway: &Rc<Gateway>,
     objects: &Objects,
-    asker: impl Fn() -> RelayClient,
+    make_client: impl Fn() -> RelayClient,
 ) -> [Task; 2] {
     let kinds = FollowedKinds::new(gateway, objects);
     let watcher = |kind: RelayedKind, freshness: &Rc<Freshness>| {
@@ -85,7 +85,7 @@
         let direct = gateway.adapter.objects.clone();
         Watcher {
             log: gateway.log.clone(),
-            store: RelayedStore::new(asker(), direct, kind.budget, freshness.clone()),
+            store: RelayedStore::new(make_client(), direct, kind.budget, freshness.clone()),
             kind: kind.name,
             // Relays already delay and combine changes.
             options: watch_options(objects, Duration::ZERO),
--- a/crates/firshore-node/src/load_exchange.rs
+++ b/crates/firshore-node/src/load_exchange.rs
@@ -3,7 +3,7 @@
 
 use crate::journal::client::{JournalClient, LoadResponse};
 use crate::load_table::{BackendCount, NodeLoadReport, as_counts};
-use crate::pace_table::{as_named, as_paces};
+use crate::pace_table::{paces_from_wire, paces_to_wire};
 use crate::relay::ranking;
 use firshore_gateway::gateway::Gateway;
 use firshore_limits::report::UsageReport;
@@ -80,7 +80,7 @@
             if reports && let Some(others) = self.report(counts, urgent).await {
                 busy_interval = others.interval.clamp(MIN_BUSY_INTERVAL, MAX_BUSY_INTERVAL);
                 let view_interval = busy_interval + others.age;
-                let paces = as_named(others.paces);
+                let paces = paces_from_wire(others.paces);
                 let mut fleet = self.gateway.fleet.borrow_mut();
                 fleet.apply_remote_paces(Instant::now(), paces);
                 drop(fleet);
@@ -115,7 +115,7 @@
             urgent,
             pressures: self.gateway.pressure.borrow_mut().take(),
             uses: self.gateway.take_usage_report(sent_at),
-            paces: as_paces(self.gateway.fleet.borrow_mut().take_unreported_paces()),
+            paces: paces_to_wire(self.gateway.fleet.borrow_mut().take_unreported_paces()),
         };
         let others = self.exchange(report).await;
         let usage = others.as_ref().and_then(|others| {
--- a/crates/firshore-node/src/node.rs
+++ b/crates/firshore-node/src/node.rs
@@ -40,8 +40,8 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Fraction of the grace period in which the node still accepts connections, so that load balancers notice its
-/// readiness status before it closes the listener.
+/// Fraction of the grace period in which the node still accepts connections while it reports that it is not ready.
+/// After it, callers no longer open new ones.
 const ANNOUNCED_FRACTION: f64 = 0.35;
 
 /// Time reserved for the exit of the process after the last request.
@@ -50,7 +50,8 @@
 /// Interval between checks whether all requests have ended.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a node on this thread until it has shut down. `path` is the settings file, which is read again on SIGHUP.
+/// Runs a node on this thread until it has shut down. `path` is the settings file, which is checked again on
+/// SIGHUP.
 ///
 /// # Errors
 ///
@@ -147,7 +148,7 @@
     if let Some(journal) = &journal {
         journal.stop().await;
     }
-    leave(&settings, &gateway, callers).await;
+    shut_down(&settings, &gateway, callers).await;
     info!(log, "node: Stopped.");
     Ok(())
 }
@@ -312,7 +313,7 @@
 
 /// Shuts down gracefully: reports not ready, closes the listener after a while, then waits for open requests
 /// until the grace period ends.
-async fn leave(settings: &Settings, gateway: &Rc<Gateway>, callers: Callers) {
+async fn shut_down(settings: &Settings, gateway: &Rc<Gateway>, callers: Callers) {
     let grace = settings.leave.grace();
     let end = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
     gateway.leaving.begin();
--- a/crates/firshore-node/src/pace_table.rs
+++ b/crates/firshore-node/src/pace_table.rs
@@ -108,21 +108,21 @@
 }
 
 /// Converts paces into their wire form.
-pub fn as_paces(named: Vec<PaceReport>) -> Vec<BackendPace> {
-    let paces = named.into_iter().map(|one| BackendPace {
-        backend: one.backend.as_str().to_owned(),
-        hundredths: one.pace.hundredths(),
+pub fn paces_to_wire(reports: Vec<PaceReport>) -> Vec<BackendPace> {
+    let paces = reports.into_iter().map(|report| BackendPace {
+        backend: report.backend.as_str().to_owned(),
+        hundredths: report.pace.hundredths(),
     });
     paces.collect()
 }
 
 /// Converts paces from their wire form, without invalid values.
-pub fn as_named(paces: Vec<BackendPace>) -> Vec<PaceReport> {
-    let named = paces.into_iter().filter_map(|one| {
+pub fn paces_from_wire(paces: Vec<BackendPace>) -> Vec<PaceReport> {
+    let reports = paces.into_iter().filter_map(|reported| {
         Some(PaceReport {
-            backend: BackendName::from(one.backend),
-            pace: Pace::from_hundredths(one.hundredths)?,
+            backend: BackendName::from(reported.backend),
+            pace: Pace::from_hundredths(reported.hundredths)?,
         })
     });
-    named.collect()
+    reports.collect()
 }
--- a/crates/firshore-node/src/runner/item.rs
+++ b/crates/firshore-node/src/runner/item.rs
@@ -238,8 +238,8 @@
                 }
                 Ok(Ok(None)) => break,
                 Ok(Err(_)) | Err(_) => {
-                    // A run with new events doesn't count as a crash by this item. Otherwise, if back ends exit
-                    // every few seconds for another reason, long items would be quarantined.
+                    // A run with new events doesn't count as a crash by this item. Without this, long items would
+                    // be quarantined if back ends exit every few seconds for other reasons.
                     match self.progress.borrow().held_bytes() == held {
                         true => self.record_lost_run(),
                         false => self
--- a/crates/firshore-node/src/runner/mod.rs
+++ b/crates/firshore-node/src/runner/mod.rs
@@ -49,7 +49,7 @@
 const MAX_AT_RISK_ITEM_LOAD: f32 = 1.0;
 
 /// Load in requests per slot above which runs are preempted: a request is queued. A limit as low as that for
-/// starts would preempt many items just after their prompts were processed.
+/// starts would preempt more items, whose prompts have to be processed again, so that they are late.
 const PREEMPTION_LOAD: f32 = 1.0;
 
 /// Interval between scheduling passes while items wait.
