--- a/crates/firshore-node/tests/client.rs
+++ b/crates/firshore-node/tests/client.rs
@@ -1,4 +1,4 @@
-//! What the journal's client promises when its tries end differently.
+//! Tests of the journal client's result when its attempts end differently.
 
 mod cluster;
 
@@ -22,25 +22,25 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A leader that is silent at first, then has no space.
-struct SilentThenFull {
-    silent: Cell<usize>,
+/// A leader that is unresponsive for a number of requests, then has no space.
+struct UnresponsiveThenFull {
+    unresponsive: Cell<usize>,
 }
 
-impl Handler<PeerRequest, PeerResponse> for SilentThenFull {
+impl Handler<PeerRequest, PeerResponse> for UnresponsiveThenFull {
     fn notice(&self, _: PeerRequest) {}
 
     fn answer(&self, _: PeerRequest) -> LocalBoxFuture<'static, PeerResponse> {
-        let left = self.silent.get();
-        self.silent.set(left.saturating_sub(1));
-        match left {
+        let remaining = self.unresponsive.get();
+        self.unresponsive.set(remaining.saturating_sub(1));
+        match remaining {
             0 => ready(PeerResponse::Refused(JournalRefusal::StorageFull)).boxed_local(),
             _ => pending().boxed_local(),
         }
     }
 }
 
-/// A follower that names the leader.
+/// A follower that responds with the leader's name.
 struct FollowerOf(&'static str);
 
 impl Handler<PeerRequest, PeerResponse> for FollowerOf {
@@ -52,10 +52,10 @@
     }
 }
 
-/// A leader that takes loads in.
-struct Leader;
+/// A leader that accepts load reports.
+struct AcceptingLeader;
 
-impl Handler<PeerRequest, PeerResponse> for Leader {
+impl Handler<PeerRequest, PeerResponse> for AcceptingLeader {
     fn notice(&self, _: PeerRequest) {}
 
     fn answer(&self, _: PeerRequest) -> LocalBoxFuture<'static, PeerResponse> {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Starts a node that answers as `handler` does, and registers it.
+/// Starts a node that responds as `handler` does, and registers it.
 async fn start_peer(
     store: &MemoryStore,
     node: &str,
@@ -92,15 +92,15 @@
 }
 
 #[test]
-fn loads_reach_a_leader_that_came_after_the_nodes_were_listed() {
+fn load_reports_reach_a_leader_registered_after_the_listing() {
     run(async {
         let store = MemoryStore::new();
         start_peer(&store, "old", FollowerOf("new")).await;
         let registry = Rc::new(Registry::new(store.clone(), log()));
         let client = JournalClient::new("caller".into(), registry.clone(), peers(), log());
         registry.refresh().await;
-        start_peer(&store, "new", Leader).await;
-        let told = async {
+        start_peer(&store, "new", AcceptingLeader).await;
+        let reported = async {
             while client
                 .report_to_leader(NodeLoadReport::default(), false)
                 .await
@@ -109,15 +109,15 @@
                 cluster::pause().await;
             }
         };
-        let told = tokio::time::timeout(Duration::from_secs(3), told).await;
-        told.expect("the leader is told within some looks");
+        let reported = tokio::time::timeout(Duration::from_secs(3), reported).await;
+        reported.expect("the report reaches the leader within a few attempts");
     });
 }
 
-/// A node that can fall silent.
-struct SilentWhile(Rc<Cell<bool>>);
+/// A node that is unresponsive while the flag is set.
+struct UnresponsiveWhile(Rc<Cell<bool>>);
 
-impl Handler<PeerRequest, PeerResponse> for SilentWhile {
+impl Handler<PeerRequest, PeerResponse> for UnresponsiveWhile {
     fn notice(&self, _: PeerRequest) {}
 
     fn answer(&self, _: PeerRequest) -> LocalBoxFuture<'static, PeerResponse> {
@@ -132,15 +132,15 @@
 }
 
 #[test]
-fn a_node_that_is_cut_off_says_so_and_refuses_jobs_at_once() {
+fn an_isolated_node_is_unreachable_and_refuses_jobs_immediately() {
     run(async {
-        let silent = Rc::new(Cell::new(false));
+        let unresponsive = Rc::new(Cell::new(false));
         let store = MemoryStore::new();
-        start_peer(&store, "n", SilentWhile(silent.clone())).await;
+        start_peer(&store, "n", UnresponsiveWhile(unresponsive.clone())).await;
         let registry = Rc::new(Registry::new(store, log()));
         registry.refresh().await;
         let client = JournalClient::new("caller".into(), registry, peers(), log());
-        // Without a leader, but in contact.
+        // No leader, but the peer responds.
         for _ in 0..60 {
             client
                 .report_to_leader(NodeLoadReport::default(), false)
@@ -148,19 +148,19 @@
             cluster::pause().await;
             assert!(client.is_reachable());
         }
-        silent.set(true);
+        unresponsive.set(true);
         for _ in 0..3 {
             client
                 .report_to_leader(NodeLoadReport::default(), false)
                 .await;
         }
         assert!(!client.is_reachable());
-        let started = std::time::Instant::now();
-        let refused = client.submit(route(), JobId::of_nobody("job"), cluster::items(1));
-        let error = refused.await.expect_err("nobody answers");
+        let start = std::time::Instant::now();
+        let submitted = client.submit(route(), JobId::of_nobody("job"), cluster::items(1));
+        let error = submitted.await.expect_err("no node responds");
         assert_eq!(error.execution, Execution::None);
-        assert!(started.elapsed() < Duration::from_millis(50));
-        silent.set(false);
+        assert!(start.elapsed() < Duration::from_millis(50));
+        unresponsive.set(false);
         client
             .report_to_leader(NodeLoadReport::default(), false)
             .await;
@@ -169,21 +169,24 @@
 }
 
 #[test]
-fn a_full_disk_promises_nothing_about_a_try_that_was_not_answered() {
+fn a_storage_refusal_after_an_unanswered_attempt_leaves_the_execution_unknown() {
     let cases = [(0, Execution::None), (1, Execution::Unknown)];
-    for (silent, expected) in cases {
+    for (unresponsive, expected) in cases {
         run(async move {
-            let handler = SilentThenFull {
-                silent: Cell::new(silent),
+            let handler = UnresponsiveThenFull {
+                unresponsive: Cell::new(unresponsive),
             };
             let store = MemoryStore::new();
             start_peer(&store, "n", handler).await;
             let registry = Rc::new(Registry::new(store, log()));
             let client = JournalClient::new("caller".into(), registry, peers(), log());
             let items = cluster::items(1);
-            let refused = client.submit(route(), JobId::of_nobody("job"), items).await;
-            let error = refused.expect_err("there is no space");
-            assert_eq!(error.execution, expected, "{silent} silent: {error}");
+            let submitted = client.submit(route(), JobId::of_nobody("job"), items).await;
+            let error = submitted.expect_err("there is no space");
+            assert_eq!(
+                error.execution, expected,
+                "{unresponsive} unresponsive: {error}"
+            );
         });
     }
 }
--- a/crates/firshore-node/tests/cluster/mod.rs
+++ b/crates/firshore-node/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! A cluster of nodes with disks in one process, for tests: nodes are killed, wiped and started again
-//! while a client hands jobs in and reads them.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A cluster of nodes with disks in one process. Tests kill, wipe and restart nodes while a client submits and reads
+//! jobs.
+#![allow(dead_code)] // Each test file uses only some of it.
 
 use firshore_adapter::jobs::{ItemOutcome, JobId, JobItem};
 use firshore_adapter::route::{JobTerms, Repetition, Route, WeightedService};
@@ -40,14 +40,13 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// Guard against a test that hangs.
+/// Timeout of a test that hangs.
 pub const HANGS_AFTER: Duration = Duration::from_secs(60);
 
-/// Time after which a new disk must hold everything, by the default settings.
+/// Time in which a new disk must hold all entries, by the default settings.
 pub const CATCH_UP: Duration = Duration::from_secs(5);
 
-/// A secret of this process: tests run side by side, and a port that one has left may be another's
-/// next.
+/// Returns a secret of this process. Tests run in parallel, and a port that one has released may be reused by another.
 pub fn secret() -> String {
     format!("sixteen bytes of secret {}", std::process::id())
 }
@@ -71,15 +70,15 @@
     Logger::root(Discard, o!())
 }
 
-/// Ports that tests listen on: below those that systems give to outgoing connections, so that none of
-/// these takes a port between the look and the listener.
+/// Ports that tests listen on. They are below the ephemeral range, so that no outgoing connection takes a port between
+/// the check and the bind.
 const FIRST_PORT: u32 = 10_000;
 const PORT_COUNT: u32 = 20_000;
 
-/// A port that was free a moment ago, another one with each call in this process.
+/// Returns an address whose port was free when checked; each call in this process returns another port.
 pub fn free_address() -> SocketAddr {
     static CALLS: AtomicU32 = AtomicU32::new(0);
-    // Tests of other processes run side by side: each begins elsewhere.
+    // Tests of other processes run in parallel: each starts at another port.
     let start = std::process::id().wrapping_mul(97);
     loop {
         let call = CALLS.fetch_add(1, Ordering::Relaxed);
@@ -108,13 +107,13 @@
     peers
 }
 
-/// How soon the nodes of tests must know of changes.
+/// Returns the freshness budget of the nodes of tests.
 pub fn budget() -> FreshnessBudget {
     FreshnessBudget::new(Duration::from_secs(2))
 }
 
-/// Makes who asks relays for a node of a test.
-fn asker(number: usize, registry: &Rc<Registry>) -> RelayClientFactory {
+/// Returns a factory of the client with which a node of a test queries relays.
+fn relay_client_factory(number: usize, registry: &Rc<Registry>) -> RelayClientFactory {
     let registry = registry.clone();
     Rc::new(move || RelayClient {
         node: format!("n{number}").as_str().into(),
@@ -127,7 +126,7 @@
     })
 }
 
-/// Kinds that the nodes of tests pass on.
+/// Returns the object kinds that the nodes of tests relay.
 pub fn relayed_kinds() -> Vec<RelayedKind> {
     let kinds = [BACKENDS, CONFIGURATION].map(|name| RelayedKind {
         name: name.to_owned(),
@@ -151,7 +150,7 @@
     let settings = settings(number, folder, address);
     let registry = Rc::new(Registry::new(store.clone(), log()));
     let storage = settings.storage.clone().unwrap();
-    let asked = JournalClient::new(settings.name.clone(), registry.clone(), peers(), log());
+    let job_client = JournalClient::new(settings.name.clone(), registry.clone(), peers(), log());
     let relay = Relay::new(store.clone(), log(), relayed_kinds(), Rc::new(|_, _| {}));
     let gateway = Rc::new(Gateway::new(
         log(),
@@ -165,21 +164,21 @@
     let relays = NodeRelays {
         objects: relay.clone(),
         loads: Rc::new(LoadRelay::new(Duration::from_secs(5))),
-        jobs: Rc::new(asked),
+        jobs: Rc::new(job_client),
         crashes: gateway.crashes.clone(),
     };
-    let make_asker = asker(number, &registry);
+    let make_relay_client = relay_client_factory(number, &registry);
     let journal = Journal::start(&settings, &storage, registry, relays, &peers(), &log()).await;
     let journal = journal.expect("the port and the folder are free");
     let retirements = Rc::new(Retirements::default());
-    let duties = LeaderTasks {
+    let leader_tasks = LeaderTasks {
         gateway: gateway.clone(),
         journal: journal.clone(),
         retirements: retirements.clone(),
         objects: settings.objects.clone(),
-        relay_client: Some(make_asker),
+        relay_client: Some(make_relay_client),
     };
-    let upkeep = MaintenanceTask {
+    let maintenance_task = MaintenanceTask {
         journal: journal.clone(),
         adapter: gateway.adapter.clone(),
         node: settings.name.clone(),
@@ -195,8 +194,8 @@
     let runner = Runner::new(gateway.clone(), journal.clone(), metrics);
     let tasks = vec![
         actix_rt::spawn(relay.run()),
-        actix_rt::spawn(duties.run()),
-        actix_rt::spawn(maintenance::run(upkeep)),
+        actix_rt::spawn(leader_tasks.run()),
+        actix_rt::spawn(maintenance::run(maintenance_task)),
         actix_rt::spawn(runner.clone().run()),
     ];
     Node {
@@ -209,7 +208,7 @@
 }
 
 impl Node {
-    /// Ends the node as a kill would: nothing is handed over.
+    /// Stops the node as a kill would, without any handover.
     pub fn kill(self) {
         self.runner.stop_all();
         for task in self.tasks {
@@ -254,7 +253,7 @@
         self.nodes[number] = Some(node);
     }
 
-    /// Ends a node, and starts it with an empty disk.
+    /// Kills a node, and restarts it with an empty disk.
     pub async fn wipe(&mut self, number: usize) {
         self.kill(number);
         self.folders[number] = tempfile::tempdir().unwrap();
@@ -274,7 +273,7 @@
         }
     }
 
-    /// Waits until every node holds a voter that has applied all.
+    /// Waits until every running node has a voter that has applied all entries.
     pub async fn whole(&self) {
         loop {
             let leader = self.nodes[self.leader().await].as_ref().unwrap();
@@ -288,8 +287,8 @@
         }
     }
 
-    /// Waits until the disk of a node votes and has applied all.
-    pub async fn votes(&self, number: usize) {
+    /// Waits until the disk of a node is a voter that has applied all entries.
+    pub async fn wait_until_voter(&self, number: usize) {
         let node = self.nodes[number].as_ref().unwrap();
         let disk = node.journal.replica.status().disk;
         loop {
@@ -303,15 +302,15 @@
         }
     }
 
-    /// Nodes that the store lists.
-    pub fn registered(&self) -> usize {
+    /// Returns the number of nodes that the store lists.
+    pub fn registered_nodes(&self) -> usize {
         let names = (0..self.nodes.len()).map(|number| format!("node.n{number}"));
         names
             .filter(|name| self.store.object(KIND, name).is_some())
             .count()
     }
 
-    /// Back ends that the leader knows.
+    /// Returns the number of back ends in the leader's fleet view.
     pub async fn backends_known(&self) -> usize {
         let leader = self.nodes[self.leader().await].as_ref().unwrap();
         leader.gateway.fleet.borrow().len()
@@ -328,7 +327,7 @@
         }
     }
 
-    /// Body of an item, as soon as somebody can tell.
+    /// Returns the body of an item, or `None` if the item or its job does not exist; retries until a node responds.
     pub async fn body(&self, job: &str, item: &str) -> Option<String> {
         loop {
             let body = self.client.body(JobId::of_nobody(job), item.into()).await;
@@ -339,7 +338,7 @@
         }
     }
 
-    /// Results as soon as there are as many.
+    /// Returns the results of a job, as soon as there are at least `count`.
     pub async fn results(&self, job: &str, count: usize) -> Vec<(String, ItemOutcome)> {
         loop {
             let page = self
@@ -350,13 +349,15 @@
                 && page.results.len() >= count
             {
                 let results = page.results.into_iter();
-                return results.map(|one| (one.item, one.outcome)).collect();
+                return results
+                    .map(|result| (result.item, result.outcome))
+                    .collect();
             }
             pause().await;
         }
     }
 
-    /// The result at a position.
+    /// Returns the result at a position, as soon as there is one.
     pub async fn result(&self, job: &str, position: usize) -> (String, ItemOutcome) {
         loop {
             let from = position as u64;
@@ -374,7 +375,7 @@
         }
     }
 
-    /// Lists a result as a run would.
+    /// Commits the result of an item, as a run would.
     pub async fn complete(&self, job: &str, item: usize, outcome: &ItemOutcome) {
         loop {
             let completion = Completion {
@@ -452,7 +453,7 @@
 
 pub fn run(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
-        let ended = tokio::time::timeout(HANGS_AFTER, test).await;
-        ended.expect("the test hangs");
+        let result = tokio::time::timeout(HANGS_AFTER, test).await;
+        result.expect("the test hangs");
     });
 }
--- a/crates/firshore-node/tests/copies_world/machine.rs
+++ b/crates/firshore-node/tests/copies_world/machine.rs
@@ -1,4 +1,4 @@
-//! One machine with a disk: the product's own replica and the upkeep of its group, as a node runs them.
+//! A simulated machine with a disk. Its replica and group manager are the production code.
 
 use firshore_log::GroupStatus;
 use firshore_log::placement::{Candidate, keeps_promises};
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Times as on a node, sizes so small that a short run meets snapshots and lagging followers.
+/// Production times, with sizes so small that short runs cover snapshots and lagging followers.
 pub const TIMING: Timing = Timing {
     election_timeout: 300,
     heartbeat_interval: 60,
@@ -22,10 +22,10 @@
     trailing_bytes: 600,
 };
 
-/// Log in memory at which a snapshot is taken, in bytes.
+/// Size of the log in memory above which a snapshot is taken, in bytes.
 const SNAPSHOT_AFTER_BYTES: usize = 2_500;
 
-/// A disk whose writes are kept whole or not at all.
+/// A disk with atomic writes.
 #[derive(Clone, Debug)]
 pub struct Disk {
     pub id: DiskId,
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Whether what was accepted can be read from it. A snapshot of another history holds something else.
-    pub fn holds(&self, accepted: &Accepted) -> bool {
+    /// Returns whether the disk holds an accepted command. A snapshot of an older history does not hold it.
+    pub fn holds(&self, accepted: &AcceptedCommand) -> bool {
         let index = accepted.position.index;
         let snapshot = self.stored.snapshot.as_ref();
-        if snapshot.is_some_and(|one| one.header.position.index >= index) {
+        if snapshot.is_some_and(|snapshot| snapshot.header.position.index >= index) {
             return self.stored.hard_state.history >= accepted.history;
         }
         let mut entries = self.stored.entries.iter();
@@ -53,169 +53,173 @@
     }
 }
 
-/// A command that was accepted.
+/// An accepted command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedCommand {
     pub position: Position,
-    /// History of the log that took it in.
+    /// History of the log that accepted it.
     pub history: u64,
     pub content: EntryContent,
 }
 
-/// What a process does.
+/// State of a machine's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
-    Runs,
-    /// It stands still until then, in milliseconds; messages wait.
+pub enum ProcessState {
+    Running,
+    /// Suspended until this time in milliseconds; messages are queued.
     FrozenUntil(u64),
-    /// It starts again then, in milliseconds.
+    /// Stopped; restarts at this time in milliseconds.
     DownUntil(u64),
-    /// It never comes back, nor does its disk.
-    Gone,
+    /// Removed permanently, with its disk.
+    Removed,
 }
 
-/// What a node last read from the store.
+/// A node's copy of the store, as of its last read.
 #[derive(Clone, Debug, Default)]
-pub struct KnownStore {
+pub struct CachedStore {
     pub candidates: Vec<Candidate>,
     pub voters: Option<(u64, VoterRecord)>,
-    /// Something was written that no listing has shown yet.
-    pub unsettled: bool,
-    /// Revision on which a write was conditional that was not answered.
-    pub doubtful: Option<u64>,
-    /// Milliseconds at which it was read last.
+    /// Whether a write has not appeared in a listing yet.
+    pub write_pending: bool,
+    /// Expected revision of the last conditional write without a response.
+    pub unconfirmed: Option<u64>,
+    /// Time of the last read, in milliseconds.
     pub read_at: Option<u64>,
-    /// Nodes that are to be emptied, and whether they are; `None` before they were listed.
-    pub wishes: Option<BTreeMap<NodeName, bool>>,
+    /// Retiring nodes, and whether they are drained; `None` before the first listing.
+    pub retirements: Option<BTreeMap<NodeName, bool>>,
 }
 
-impl KnownStore {
-    /// Revision of the voters on record, 0 before there are any.
+impl CachedStore {
+    /// Returns the revision of the recorded voters, 0 without a record.
     pub fn revision(&self) -> u64 {
         self.voters.as_ref().map_or(0, |(revision, _)| *revision)
     }
 }
 
-/// One machine.
+/// A simulated machine.
 pub struct Machine {
     pub name: NodeName,
     pub zone: ZoneName,
-    pub condition: Condition,
+    pub state: ProcessState,
     pub disk: Disk,
-    /// Its replica, while its process is there.
+    /// The replica, while the process runs or is frozen.
     pub replica: Option<Replica>,
-    pub keeper: GroupManager,
-    pub terms: GroupPolicy,
-    /// What its replica told last.
+    pub manager: GroupManager,
+    pub policy: GroupPolicy,
+    /// Status that the replica published last.
     pub status: GroupStatus,
-    pub known: KnownStore,
-    /// Milliseconds until which it is cut from the other machines, and from the store.
-    pub cut_until: u64,
-    pub store_cut_until: u64,
+    pub cached: CachedStore,
+    /// Times in milliseconds until which it is isolated from the other machines, and from the store.
+    pub isolated_until: u64,
+    pub store_isolated_until: u64,
     pub applied: LogIndex,
     pub backlog: Vec<Envelope>,
-    /// Replicas that wrote to this process.
+    /// Replicas that sent messages to this process.
     pub senders: BTreeSet<DiskId>,
-    /// Entries that clients wait for, by index.
+    /// Proposed entries whose clients await a response, by index.
     pub open: BTreeMap<LogIndex, Position>,
-    /// A report waits for a quorum to confirm that this machine leads.
-    pub reports: bool,
-    pub next_look: u64,
+    /// Whether a report of drained nodes awaits the quorum's confirmation that this machine leads.
+    pub report_pending: bool,
+    pub next_maintenance: u64,
     pub next_publish: u64,
-    /// When a leader reads again what the store holds.
+    /// Time of a leader's next read of the store, in milliseconds.
     pub next_refresh: u64,
 }
 
 impl Machine {
-    pub fn new(number: usize, zone: usize, disk: Disk, terms: GroupPolicy, now: u64) -> Self {
+    pub fn new(number: usize, zone: usize, disk: Disk, policy: GroupPolicy, now: u64) -> Self {
         let replica = Replica::restore(now, disk.id, TIMING, disk.stored.clone(), disk.id.0);
         Self {
             name: format!("node-{number:02}").as_str().into(),
             zone: format!("zone-{zone}").as_str().into(),
-            condition: Condition::Runs,
-            status: GroupStatus::of(&replica, replace_after(&terms)),
+            state: ProcessState::Running,
+            status: GroupStatus::of(&replica, replace_after(&policy)),
             disk,
             replica: Some(replica),
-            keeper: GroupManager::new(terms),
-            terms,
-            known: KnownStore::default(),
-            cut_until: 0,
-            store_cut_until: 0,
+            manager: GroupManager::new(policy),
+            policy,
+            cached: CachedStore::default(),
+            isolated_until: 0,
+            store_isolated_until: 0,
             applied: 0,
             backlog: Vec::new(),
             senders: BTreeSet::new(),
             open: BTreeMap::new(),
-            reports: false,
-            next_look: now + 10 * number as u64,
+            report_pending: false,
+            next_maintenance: now + 10 * number as u64,
             next_publish: now,
             next_refresh: now,
         }
     }
 
-    pub fn runs(&self) -> bool {
-        self.condition == Condition::Runs
+    pub fn is_running(&self) -> bool {
+        self.state == ProcessState::Running
     }
 
-    pub fn is_there(&self) -> bool {
-        self.condition != Condition::Gone
+    pub fn is_present(&self) -> bool {
+        self.state != ProcessState::Removed
     }
 
-    /// Starts the replica with what the disk holds.
+    /// Restores the replica from the disk.
     pub fn restore(&mut self, now: u64, seed: u64) {
         let stored = self.disk.stored.clone();
         let snapshot = stored.snapshot.as_ref();
         self.applied = snapshot.map_or(0, |snapshot| snapshot.header.position.index);
         self.open.clear();
-        self.reports = false;
+        self.report_pending = false;
         let replica = Replica::restore(now, self.disk.id, TIMING, stored, seed);
         self.replica = Some(replica);
         self.publish(now);
     }
 
-    /// Starts the process with what the disk holds.
+    /// Starts the process, with the replica restored from the disk.
     pub fn start(&mut self, now: u64, seed: u64) {
         self.restore(now, seed);
-        self.keeper = GroupManager::new(self.terms);
-        self.known = KnownStore::default();
-        self.condition = Condition::Runs;
-        self.next_look = now;
+        self.manager = GroupManager::new(self.policy);
+        self.cached = CachedStore::default();
+        self.state = ProcessState::Running;
+        self.next_maintenance = now;
     }
 
-    /// Ends the process.
-    pub fn stop(&mut self, condition: Condition) {
+    /// Stops the process.
+    pub fn stop(&mut self, state: ProcessState) {
         self.replica = None;
         self.open.clear();
         self.backlog.clear();
         self.senders.clear();
-        self.reports = false;
-        self.condition = condition;
+        self.report_pending = false;
+        self.state = state;
     }
 
     pub fn publish(&mut self, now: u64) {
         if let Some(replica) = &self.replica {
-            self.status = GroupStatus::of(replica, replace_after(&self.terms));
+            self.status = GroupStatus::of(replica, replace_after(&self.policy));
             self.next_publish = now + 200;
         }
     }
 
-    /// What the upkeep is shown.
-    pub fn view<'a>(&'a self, start: Instant, leaving: Option<&'a LeavingNodes>) -> GroupInput<'a> {
-        let listed = self.known.read_at.map(Duration::from_millis);
+    /// Returns the input of the group manager.
+    pub fn input<'a>(
+        &'a self,
+        start: Instant,
+        leaving: Option<&'a LeavingNodes>,
+    ) -> GroupInput<'a> {
+        let listed = self.cached.read_at.map(Duration::from_millis);
         GroupInput {
             listed_at: listed.map(|at| start + at),
             node: &self.name,
             status: &self.status,
-            candidates: &self.known.candidates,
+            candidates: &self.cached.candidates,
             leaving,
-            recorded: self.known.voters.as_ref().map(|(_, record)| record),
-            write_unconfirmed: self.known.doubtful == Some(self.known.revision()),
+            recorded: self.cached.voters.as_ref().map(|(_, record)| record),
+            write_unconfirmed: self.cached.unconfirmed == Some(self.cached.revision()),
         }
     }
 
     pub fn leaving(&self) -> Option<LeavingNodes> {
-        let wishes = self.known.wishes.as_ref()?;
+        let retirements = self.cached.retirements.as_ref()?;
         let mut leaving = LeavingNodes::default();
-        for (node, done) in wishes {
+        for (node, done) in retirements {
             match done {
                 true => leaving.done.insert(node.clone()),
                 false => leaving.open.insert(node.clone()),
@@ -228,9 +232,9 @@
         let applied = self.applied;
         if let Some(replica) = &mut self.replica
             && replica.log_bytes() > SNAPSHOT_AFTER_BYTES
-            && keeps_promises(&replica.status().membership, self.terms.min_disks)
+            && keeps_promises(&replica.status().membership, self.policy.min_disks)
         {
-            // The state is the index that was applied, padded to several parts.
+            // The applied index, padded so that the snapshot is sent in several chunks.
             let mut data = applied.to_be_bytes().to_vec();
             data.resize(100, 0);
             replica.compact(applied, data, BTreeSet::new());
@@ -238,6 +242,6 @@
     }
 }
 
-fn replace_after(terms: &GroupPolicy) -> u64 {
-    terms.catch_up.mul_f64(SILENCE_FRACTION).as_millis() as u64
+fn replace_after(policy: &GroupPolicy) -> u64 {
+    policy.catch_up.mul_f64(SILENCE_FRACTION).as_millis() as u64
 }
--- a/crates/firshore-node/tests/copies_world/mod.rs
+++ b/crates/firshore-node/tests/copies_world/mod.rs
@@ -1,5 +1,5 @@
-//! Machines with disks in virtual time: the product's own replicas and upkeep, a store, a network, and
-//! clients that have commands accepted.
+//! Simulation of machines with disks in virtual time. Replicas and group maintenance are the production code; the
+//! object store, the network and the clients are simulated.
 
 pub mod machine;
 mod readers;
@@ -13,32 +13,34 @@
 use firshore_replication::storage::StoredState;
 use firshore_replication::types::{DiskId, MembershipChange};
 use firshore_types::ids::NodeName;
-use machine::{Accepted, Condition, Disk, Machine};
+use machine::{AcceptedCommand, Disk, Machine, ProcessState};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use readers::Readers;
-use scene::{Event, Sheet};
+use scene::{Deployment, Event};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::{Duration, Instant};
 use store::Store;
 
-/// Time in which a new disk has to hold everything, in milliseconds.
-pub const CATCH_UP: u64 = 5_000;
+/// Time in which a new disk must hold all entries, in milliseconds.
+pub const CATCH_UP_MS: u64 = 5_000;
 
-/// Time after the last event in which the group has to be whole again, in milliseconds.
-const RECOVERY: u64 = 25_000;
+/// Time after the last event in which the group must have recovered, in milliseconds.
+const RECOVERY_MS: u64 = 25_000;
 
-/// Time between looks of a node's upkeep, in milliseconds.
-const LOOK: u64 = 250;
+/// Interval of a node's group maintenance, in milliseconds.
+const MAINTENANCE_INTERVAL_MS: u64 = 250;
 
-/// Time between a leader's readings of the store, in milliseconds.
-const REFRESH: u64 = 500;
+/// Interval at which a leader reads the store, in milliseconds.
+const REFRESH_INTERVAL_MS: u64 = 500;
 
-const TICK: u64 = 10;
-const CLIENT: u64 = 50;
+/// Step of the simulation, in milliseconds.
+const TICK_MS: u64 = 10;
+/// Interval of the clients' commands and reads, in milliseconds.
+const CLIENT_INTERVAL_MS: u64 = 50;
 
-/// A message on its way.
+/// A message in flight.
 struct InFlight {
     at: u64,
     number: u64,
@@ -47,36 +49,36 @@
     envelope: Envelope,
 }
 
-/// A disk that counts as lost for a while.
+/// A disk that counts as lost until its replacement had time to catch up.
 #[derive(Clone, Copy, Debug)]
 struct Loss {
     number: usize,
-    /// Machine that takes its place, once there is one.
+    /// Machine that replaces it, once there is one.
     machine: Option<usize>,
-    /// Since when nothing has troubled that machine, the others or the store, in milliseconds.
-    calm_since: u64,
+    /// Time of the last disruption of that machine, the others or the store, in milliseconds.
+    settled_since: u64,
 }
 
-/// What was broken, and when in milliseconds.
+/// A broken guarantee and its time in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub at: u64,
-    pub what: String,
+    pub description: String,
 }
 
-/// What was played.
+/// Counts of one run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct RunCounts {
     pub accepted: usize,
     pub read: usize,
     pub wiped: usize,
-    pub emptied: usize,
+    pub drained: usize,
 }
 
-/// A played deployment.
+/// A simulated deployment.
 pub struct World {
-    sheet: Sheet,
-    terms: GroupPolicy,
+    deployment: Deployment,
+    policy: GroupPolicy,
     random: ChaCha8Rng,
     start: Instant,
     now: u64,
@@ -87,43 +89,43 @@
     sent: u64,
     losses: Vec<Loss>,
     lost: usize,
-    /// Losses for which a machine comes at that time.
-    successors: Vec<(u64, usize)>,
-    /// Another machine loses its disk at that time.
+    /// Times in milliseconds at which a replacement machine is added, and the number of the loss.
+    replacements_due: Vec<(u64, usize)>,
+    /// Times in milliseconds at which another machine loses its disk.
     wipes_due: Vec<u64>,
-    /// Nodes after whose emptying another disk is lost.
+    /// Nodes after whose retirement another disk is lost.
     wipe_after: BTreeSet<NodeName>,
-    /// Until when something is in trouble.
-    trouble_until: u64,
-    /// The last command that was accepted.
-    accepted: Option<Accepted>,
-    tally: Tally,
-    /// Clients that read at whoever leads, where there are any.
+    /// Time in milliseconds at which the last disruption ends.
+    disrupted_until: u64,
+    /// The latest accepted command.
+    accepted: Option<AcceptedCommand>,
+    counts: RunCounts,
+    /// Clients that read from leaders, in scenarios with readers.
     readers: Option<Readers>,
-    /// Lines for a reader of a failure.
-    pub lines: Vec<String>,
+    /// Trace lines, printed after a failure.
+    pub trace: Vec<String>,
 }
 
 impl World {
-    /// A group founded on the first machines.
-    pub fn new(sheet: Sheet, seed: u64) -> Self {
+    /// Creates a deployment whose group is founded on the first machines.
+    pub fn new(deployment: Deployment, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let terms = GroupPolicy {
-            target_voters: placement::voters_for(sheet.losses),
-            min_disks: sheet.losses as usize + 1,
-            catch_up: Duration::from_millis(CATCH_UP),
+        let policy = GroupPolicy {
+            target_voters: placement::voters_for(deployment.losses),
+            min_disks: deployment.losses as usize + 1,
+            catch_up: Duration::from_millis(CATCH_UP_MS),
         };
-        let disks: Vec<DiskId> = (0..sheet.machines)
+        let disks: Vec<DiskId> = (0..deployment.machines)
             .map(|_| DiskId(random.next_u64()))
             .collect();
         let mut machines: Vec<Machine> = Vec::new();
         for (number, disk) in disks.iter().enumerate() {
-            let zone = number % sheet.zones;
-            machines.push(Machine::new(number, zone, Disk::empty(*disk), terms, 0));
+            let zone = number % deployment.zones;
+            machines.push(Machine::new(number, zone, Disk::empty(*disk), policy, 0));
         }
         let mut world = Self {
-            sheet,
-            terms,
+            deployment,
+            policy,
             random,
             start: Instant::now(),
             now: 0,
@@ -134,22 +136,22 @@
             sent: 0,
             losses: Vec::new(),
             lost: 0,
-            successors: Vec::new(),
+            replacements_due: Vec::new(),
             wipes_due: Vec::new(),
             wipe_after: BTreeSet::new(),
-            trouble_until: 0,
+            disrupted_until: 0,
             accepted: None,
-            tally: Tally::default(),
+            counts: RunCounts::default(),
             readers: None,
-            lines: Vec::new(),
+            trace: Vec::new(),
         };
-        world.found();
+        world.found_group();
         world
     }
 
-    fn found(&mut self) {
+    fn found_group(&mut self) {
         let all: Vec<Candidate> = self.machines.iter().map(candidate).collect();
-        let membership = placement::founders(&all, &all[0], self.terms.target_voters);
+        let membership = placement::founders(&all, &all[0], self.policy.target_voters);
         for machine in &mut self.machines {
             self.store
                 .nodes
@@ -162,65 +164,68 @@
         }
     }
 
-    /// Plays events until all is calm and recovered.
+    /// Applies events, and runs until the group had time to recover from the last one.
     ///
     /// # Errors
     ///
-    /// When something accepted is on too few disks, or the group does not recover.
-    pub fn play(&mut self, events: &[(u64, Event)]) -> Result<Tally, Broken> {
+    /// Returns an error if an accepted command is on too few disks, or the group does not recover.
+    pub fn run(&mut self, events: &[(u64, Event)]) -> Result<RunCounts, Violation> {
         let last = events.last().map_or(0, |(at, _)| *at);
         let mut events = events.iter().peekable();
         loop {
-            self.now += TICK;
+            self.now += TICK_MS;
             while let Some((_, event)) = events.next_if(|(at, _)| *at <= self.now) {
-                self.happen(*event);
+                self.apply_event(*event);
             }
-            self.machines_come_back();
+            self.restart_due_machines();
             self.store.tick(self.now);
             self.deliver();
             self.run_replicas();
-            self.look_all();
-            if self.now.is_multiple_of(CLIENT) {
-                self.ask();
-                self.ask_to_read();
+            self.run_maintenance();
+            if self.now.is_multiple_of(CLIENT_INTERVAL_MS) {
+                self.propose_commands();
+                self.start_reads();
             }
-            self.empty_machines();
-            self.forget_losses();
+            self.remove_drained();
+            self.expire_losses();
             self.check_copies()?;
             self.check_reads()?;
-            if self.now > last.max(self.trouble_until) + RECOVERY {
+            if self.now > last.max(self.disrupted_until) + RECOVERY_MS {
                 self.check_recovered()?;
-                return Ok(self.tally);
+                return Ok(self.counts);
             }
         }
     }
 
-    fn line(&mut self, text: String) {
-        self.lines.push(format!("{:>6} {text}", self.now));
+    fn trace_event(&mut self, text: String) {
+        self.trace.push(format!("{:>6} {text}", self.now));
     }
 
-    fn broken(&self, what: String) -> Broken {
-        Broken { at: self.now, what }
+    fn violation(&self, description: String) -> Violation {
+        Violation {
+            at: self.now,
+            description,
+        }
     }
 
-    // What happens to machines.
+    // Events.
 
-    fn happen(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         let for_ms = self.random.random_range(300..6_000);
         match event {
             Event::Wipe => self.wipe(false),
             Event::WipeVoter => self.wipe(true),
             Event::Retire => self.retire(false),
             Event::RetireThenWipe => self.retire(true),
-            Event::Cut(from_store) => self.cut(from_store, for_ms),
+            Event::Isolate(from_store) => self.isolate(from_store, for_ms),
             Event::Split => self.split(for_ms),
             Event::Freeze => self.freeze(for_ms),
             Event::Kill => {
-                if let Some(machine) = self.draw(|one| one.runs()) {
+                if let Some(machine) = self.pick_machine(|machine| machine.is_running()) {
                     let until = self.now + self.random.random_range(200..2_000);
-                    self.line(format!("{} is killed", self.machines[machine].name));
-                    self.machines[machine].stop(Condition::DownUntil(until));
-                    self.in_trouble(until);
+                    self.trace_event(format!("{} is killed", self.machines[machine].name));
+                    self.machines[machine].stop(ProcessState::DownUntil(until));
+                    self.extend_disruption(until);
                 }
             }
             Event::PowerLoss => self.lose_power(),
@@ -234,181 +239,191 @@
                 self.add(number);
             }
             Event::StoreDown => {
-                self.line(format!("the store is down for {for_ms} ms"));
+                self.trace_event(format!("the store is down for {for_ms} ms"));
                 self.store.down_until = self.now + for_ms;
-                self.in_trouble(self.now + for_ms);
+                self.extend_disruption(self.now + for_ms);
             }
         }
     }
 
-    fn draw(&mut self, fits: impl Fn(&Machine) -> bool) -> Option<usize> {
+    fn pick_machine(&mut self, fits: impl Fn(&Machine) -> bool) -> Option<usize> {
         let fitting: Vec<usize> = (0..self.machines.len())
             .filter(|machine| fits(&self.machines[*machine]))
             .collect();
-        let drawn = self.random.random_range(0..fitting.len().max(1));
-        fitting.get(drawn).copied()
+        let pick = self.random.random_range(0..fitting.len().max(1));
+        fitting.get(pick).copied()
     }
 
-    fn in_trouble(&mut self, until: u64) {
-        self.trouble_until = self.trouble_until.max(until);
+    fn extend_disruption(&mut self, until: u64) {
+        self.disrupted_until = self.disrupted_until.max(until);
         for loss in &mut self.losses {
-            loss.calm_since = loss.calm_since.max(until);
+            loss.settled_since = loss.settled_since.max(until);
         }
     }
 
-    /// Counts a disk as lost from now on, until a machine in its place has had time to catch up.
-    fn lose(&mut self, machine: Option<usize>, until: u64) -> usize {
+    /// Counts a disk as lost until its replacement had time to catch up, and returns the number of the loss.
+    fn record_loss(&mut self, machine: Option<usize>, until: u64) -> usize {
         self.lost += 1;
         self.losses
             .retain(|loss| machine.is_none() || loss.machine != machine);
         self.losses.push(Loss {
             number: self.lost,
             machine,
-            calm_since: until.max(self.trouble_until),
+            settled_since: until.max(self.disrupted_until),
         });
         self.lost
     }
 
-    fn forget_losses(&mut self) {
+    fn expire_losses(&mut self) {
         let now = self.now;
         self.losses
-            .retain(|loss| loss.machine.is_none() || now < loss.calm_since + CATCH_UP);
+            .retain(|loss| loss.machine.is_none() || now < loss.settled_since + CATCH_UP_MS);
     }
 
-    fn may_lose(&self) -> bool {
-        self.losses.len() < self.sheet.losses as usize
+    fn can_lose_disk(&self) -> bool {
+        self.losses.len() < self.deployment.losses as usize
     }
 
     fn wipe(&mut self, voter: bool) {
-        if !self.may_lose() {
+        if !self.can_lose_disk() {
             return;
         }
         let voters = self.voters();
-        let drawn = self.draw(|one| {
-            one.is_there()
-                && !matches!(one.condition, Condition::DownUntil(_))
-                && (!voter || voters.contains(&one.disk.id))
+        let machine = self.pick_machine(|machine| {
+            machine.is_present()
+                && !matches!(machine.state, ProcessState::DownUntil(_))
+                && (!voter || voters.contains(&machine.disk.id))
         });
-        let Some(machine) = drawn else { return };
+        let Some(machine) = machine else { return };
         let until = self.now + self.random.random_range(300..2_500);
         let disk = DiskId(self.random.next_u64());
-        self.line(format!("{} loses its disk", self.machines[machine].name));
-        self.machines[machine].stop(Condition::DownUntil(until));
+        self.trace_event(format!("{} loses its disk", self.machines[machine].name));
+        self.machines[machine].stop(ProcessState::DownUntil(until));
         self.machines[machine].disk = Disk::empty(disk);
-        self.tally.wiped += 1;
-        self.in_trouble(until);
-        self.lose(Some(machine), until);
+        self.counts.wiped += 1;
+        self.extend_disruption(until);
+        self.record_loss(Some(machine), until);
     }
 
-    /// Disks of those that vote, as a leader knows them.
+    /// Returns the disks of the voters according to the leader with the highest term.
     fn voters(&self) -> BTreeSet<DiskId> {
-        let leaders = self.machines.iter().filter(|one| one.status.leads);
-        let latest = leaders.max_by_key(|one| one.status.term);
-        latest.map_or_else(BTreeSet::new, |one| {
-            one.status.membership.voters().collect()
+        let leaders = self.machines.iter().filter(|machine| machine.status.leads);
+        let latest = leaders.max_by_key(|machine| machine.status.term);
+        latest.map_or_else(BTreeSet::new, |machine| {
+            machine.status.membership.voters().collect()
         })
     }
 
     fn retire(&mut self, then_wipe: bool) {
-        let wishes = self.store.wishes.clone();
-        let staying = |one: &Machine| one.is_there() && !wishes.contains_key(&one.name);
-        let count = self.machines.iter().filter(|one| staying(one)).count();
-        // Operators leave at least one.
+        let retirements = self.store.retirements.clone();
+        let remaining =
+            |machine: &Machine| machine.is_present() && !retirements.contains_key(&machine.name);
+        let count = self
+            .machines
+            .iter()
+            .filter(|machine| remaining(machine))
+            .count();
+        // Operators don't retire the last machine.
         if count < 2 {
             return;
         }
-        if let Some(machine) = self.draw(staying) {
+        if let Some(machine) = self.pick_machine(remaining) {
             let name = self.machines[machine].name.clone();
-            self.line(format!("{name} is to be emptied"));
+            self.trace_event(format!("{name} is being retired"));
             if then_wipe {
                 self.wipe_after.insert(name.clone());
             }
-            self.store.wishes.insert(name, false);
+            self.store.retirements.insert(name, false);
         }
     }
 
-    fn cut(&mut self, from_store: bool, for_ms: u64) {
-        if let Some(machine) = self.draw(Machine::is_there) {
+    fn isolate(&mut self, from_store: bool, for_ms: u64) {
+        if let Some(machine) = self.pick_machine(Machine::is_present) {
             let until = self.now + for_ms;
-            self.line(format!(
-                "{} is cut for {for_ms} ms",
+            self.trace_event(format!(
+                "{} is isolated for {for_ms} ms",
                 self.machines[machine].name
             ));
-            self.machines[machine].cut_until = until;
+            self.machines[machine].isolated_until = until;
             if from_store {
-                self.machines[machine].store_cut_until = until;
+                self.machines[machine].store_isolated_until = until;
             }
-            self.in_trouble(until);
+            self.extend_disruption(until);
         }
     }
 
     fn split(&mut self, for_ms: u64) {
         let until = self.now + for_ms;
-        self.line(format!("every other machine is cut for {for_ms} ms"));
+        self.trace_event(format!(
+            "about half of the machines are isolated for {for_ms} ms"
+        ));
         for machine in &mut self.machines {
             if self.random.random_bool(0.5) {
-                machine.cut_until = until;
+                machine.isolated_until = until;
             }
         }
-        self.in_trouble(until);
+        self.extend_disruption(until);
     }
 
     fn freeze(&mut self, for_ms: u64) {
-        if let Some(machine) = self.draw(Machine::runs) {
+        if let Some(machine) = self.pick_machine(Machine::is_running) {
             let until = self.now + for_ms;
-            self.line(format!(
+            self.trace_event(format!(
                 "{} freezes for {for_ms} ms",
                 self.machines[machine].name
             ));
-            self.machines[machine].condition = Condition::FrozenUntil(until);
-            self.in_trouble(until);
+            self.machines[machine].state = ProcessState::FrozenUntil(until);
+            self.extend_disruption(until);
         }
     }
 
     fn lose_power(&mut self) {
-        self.line("all lose power".to_owned());
+        self.trace_event("all machines lose power".to_owned());
         let until = self.now + self.random.random_range(300..1_500);
         for machine in &mut self.machines {
-            if machine.is_there() && !matches!(machine.condition, Condition::DownUntil(_)) {
-                machine.stop(Condition::DownUntil(until));
+            if machine.is_present() && !matches!(machine.state, ProcessState::DownUntil(_)) {
+                machine.stop(ProcessState::DownUntil(until));
             }
         }
-        self.in_trouble(until);
+        self.extend_disruption(until);
     }
 
     fn replace(&mut self) {
-        if !self.may_lose() {
+        if !self.can_lose_disk() {
             return;
         }
-        let Some(machine) = self.draw(Machine::is_there) else {
+        let Some(machine) = self.pick_machine(Machine::is_present) else {
             return;
         };
-        self.line(format!("{} goes for good", self.machines[machine].name));
-        self.machines[machine].stop(Condition::Gone);
+        self.trace_event(format!(
+            "{} is removed permanently",
+            self.machines[machine].name
+        ));
+        self.machines[machine].stop(ProcessState::Removed);
         let at = self.now + self.random.random_range(300..2_500);
-        let loss = self.lose(None, at);
-        self.successors.push((at, loss));
-        self.in_trouble(at);
+        let loss = self.record_loss(None, at);
+        self.replacements_due.push((at, loss));
+        self.extend_disruption(at);
     }
 
     fn add(&mut self, number: usize) -> usize {
         let disk = Disk::empty(DiskId(self.random.next_u64()));
-        let zone = self.random.random_range(0..self.sheet.zones);
-        let mut machine = Machine::new(number, zone, disk, self.terms, self.now);
+        let zone = self.random.random_range(0..self.deployment.zones);
+        let mut machine = Machine::new(number, zone, disk, self.policy, self.now);
         machine.start(self.now, self.random.next_u64());
-        self.line(format!("{} is added", machine.name));
+        self.trace_event(format!("{} is added", machine.name));
         self.machines.push(machine);
         self.machines.len() - 1
     }
 
-    fn machines_come_back(&mut self) {
+    fn restart_due_machines(&mut self) {
         let now = self.now;
-        let due = self.successors.extract_if(.., |(at, _)| *at <= now);
+        let due = self.replacements_due.extract_if(.., |(at, _)| *at <= now);
         for (_, loss) in due.collect::<Vec<_>>() {
             let number = self.machines.len();
             let machine = self.add(number);
             let mut losses = self.losses.iter_mut();
-            if let Some(loss) = losses.find(|one| one.number == loss) {
+            if let Some(loss) = losses.find(|entry| entry.number == loss) {
                 loss.machine = Some(machine);
             }
         }
@@ -419,34 +434,34 @@
         for index in 0..self.machines.len() {
             let seed = self.random.next_u64();
             let machine = &mut self.machines[index];
-            match machine.condition {
-                Condition::DownUntil(until) if until <= now => machine.start(now, seed),
-                Condition::FrozenUntil(until) if until <= now => {
-                    machine.condition = Condition::Runs;
+            match machine.state {
+                ProcessState::DownUntil(until) if until <= now => machine.start(now, seed),
+                ProcessState::FrozenUntil(until) if until <= now => {
+                    machine.state = ProcessState::Running;
                     for envelope in std::mem::take(&mut machine.backlog) {
                         if let Some(replica) = &mut machine.replica {
                             replica.receive(now, envelope);
                         }
                     }
-                    self.settle(index);
+                    self.process_output(index);
                 }
                 _ => {}
             }
         }
     }
 
-    /// What was reported as empty goes at once, with its disk.
-    fn empty_machines(&mut self) {
-        let mut gone = Vec::new();
+    /// Removes machines with their disks as soon as they are reported as drained.
+    fn remove_drained(&mut self) {
+        let mut removed = Vec::new();
         for machine in &mut self.machines {
-            if machine.is_there() && self.store.wishes.get(&machine.name) == Some(&true) {
-                machine.stop(Condition::Gone);
-                gone.push(machine.name.clone());
+            if machine.is_present() && self.store.retirements.get(&machine.name) == Some(&true) {
+                machine.stop(ProcessState::Removed);
+                removed.push(machine.name.clone());
             }
         }
-        for name in gone {
-            self.tally.emptied += 1;
-            self.line(format!("{name} is reported as empty, and goes"));
+        for name in removed {
+            self.counts.drained += 1;
+            self.trace_event(format!("{name} is reported as drained and removed"));
             if self.wipe_after.remove(&name) {
                 let at = self.now + self.random.random_range(0..300);
                 self.wipes_due.push(at);
@@ -456,32 +471,32 @@
 
     // Network and replicas.
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        let cut = |machine: usize| self.now < self.machines[machine].cut_until;
-        !cut(from) && !cut(to)
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        let is_isolated = |machine: usize| self.now < self.machines[machine].isolated_until;
+        !is_isolated(from) && !is_isolated(to)
     }
 
-    fn reaches_store(&self, machine: usize) -> bool {
-        self.now >= self.store.down_until && self.now >= self.machines[machine].store_cut_until
+    fn can_reach_store(&self, machine: usize) -> bool {
+        self.now >= self.store.down_until && self.now >= self.machines[machine].store_isolated_until
     }
 
     fn send(&mut self, from: usize, envelope: Envelope) {
         let Some(to) = self
             .machines
             .iter()
-            .position(|one| one.disk.id == envelope.to)
+            .position(|machine| machine.disk.id == envelope.to)
         else {
             return;
         };
-        // A node knows where the replicas of its group are, and who wrote to it.
+        // A node can reach the replicas of its group and those that sent it a message.
         let sender = &self.machines[from];
         let replica = sender.replica.as_ref();
-        let placed = replica.is_some_and(|one| one.node_of(envelope.to).is_some());
-        if !self.reaches(from, to) || !(placed || sender.senders.contains(&envelope.to)) {
+        let is_member = replica.is_some_and(|replica| replica.node_of(envelope.to).is_some());
+        if !self.can_reach(from, to) || !(is_member || sender.senders.contains(&envelope.to)) {
             return;
         }
         self.sent += 1;
-        let at = self.now + self.random.random_range(1..=2 * TICK);
+        let at = self.now + self.random.random_range(1..=2 * TICK_MS);
         let number = self.sent;
         self.network.push(Reverse((at, number, number as usize)));
         let message = InFlight {
@@ -503,40 +518,40 @@
                 continue;
             };
             debug_assert!(message.at <= self.now && message.number > 0);
-            if !self.reaches(message.from, message.to) {
+            if !self.can_reach(message.from, message.to) {
                 continue;
             }
             let now = self.now;
             let machine = &mut self.machines[message.to];
-            match machine.condition {
-                Condition::Runs => {
+            match machine.state {
+                ProcessState::Running => {
                     machine.senders.insert(message.envelope.from);
                     if let Some(replica) = &mut machine.replica {
                         replica.receive(now, message.envelope);
                     }
-                    self.settle(message.to);
+                    self.process_output(message.to);
                 }
-                Condition::FrozenUntil(_) => machine.backlog.push(message.envelope),
-                Condition::DownUntil(_) | Condition::Gone => {}
+                ProcessState::FrozenUntil(_) => machine.backlog.push(message.envelope),
+                ProcessState::DownUntil(_) | ProcessState::Removed => {}
             }
         }
     }
 
     fn run_replicas(&mut self) {
         for index in 0..self.machines.len() {
-            if !self.machines[index].runs() {
+            if !self.machines[index].is_running() {
                 continue;
             }
             let now = self.now;
             if let Some(replica) = &mut self.machines[index].replica {
                 replica.tick(now);
             }
-            self.settle(index);
+            self.process_output(index);
         }
     }
 
-    /// Carries out what a replica asks for, as a node's thread does.
-    fn settle(&mut self, index: usize) {
+    /// Processes a replica's output, as a node's thread does.
+    fn process_output(&mut self, index: usize) {
         loop {
             let Some(replica) = &mut self.machines[index].replica else {
                 return;
@@ -545,21 +560,24 @@
             if output.is_empty() {
                 break;
             }
-            self.carry_out(index, output);
+            self.apply_output(index, output);
         }
         let now = self.now;
         let machine = &mut self.machines[index];
         machine.compact_if_long();
-        let leads = machine.replica.as_ref().is_some_and(|one| one.leads());
-        if leads != machine.status.leads || now >= machine.next_publish {
-            if !leads {
-                machine.known.wishes = None;
+        let is_leader = machine
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads());
+        if is_leader != machine.status.leads || now >= machine.next_publish {
+            if !is_leader {
+                machine.cached.retirements = None;
             }
             machine.publish(now);
         }
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn apply_output(&mut self, index: usize, output: Output) {
         for envelope in output.early_messages {
             self.send(index, envelope);
         }
@@ -576,11 +594,12 @@
             let disk = machine.disk.id;
             return machine.restore(self.now, disk.0 ^ self.now);
         }
-        let reports = |token: &ReadToken| !readers::is_of_reader(*token);
-        let confirmed = output.reads.iter().any(|(token, _)| reports(token)) && machine.reports;
-        let failed = output.failed_reads.iter().any(reports);
+        let is_report = |token: &ReadToken| !readers::is_client_read(*token);
+        let confirmed =
+            output.reads.iter().any(|(token, _)| is_report(token)) && machine.report_pending;
+        let failed = output.failed_reads.iter().any(is_report);
         if confirmed || failed {
-            machine.reports = false;
+            machine.report_pending = false;
         }
         if let Some(snapshot) = &output.install {
             machine.applied = snapshot.header.position.index;
@@ -588,34 +607,34 @@
         }
         for entry in output.committed {
             machine.applied = entry.index;
-            let asked = machine.open.remove(&entry.index);
-            if let Some(position) = asked.filter(|asked| asked.term == entry.term) {
-                let accepted = Accepted {
+            let proposed = machine.open.remove(&entry.index);
+            if let Some(position) = proposed.filter(|proposed| proposed.term == entry.term) {
+                let accepted = AcceptedCommand {
                     position,
                     history: machine.disk.stored.hard_state.history,
                     content: entry.content,
                 };
-                self.tally.accepted += 1;
-                let known = self.accepted.as_ref();
-                if known.is_none_or(|one| one.position.index < position.index) {
+                self.counts.accepted += 1;
+                let latest = self.accepted.as_ref();
+                if latest.is_none_or(|latest| latest.position.index < position.index) {
                     self.accepted = Some(accepted);
                 }
             }
         }
         if confirmed {
             self.machines[index].publish(self.now);
-            self.report(index);
+            self.report_drained(index);
         }
-        self.take_reads(index, &output.reads);
+        self.record_reads(index, &output.reads);
     }
 
-    /// Clients ask every machine that says it leads and may promise.
-    fn ask(&mut self) {
+    /// Proposes a command on each machine that considers itself leader and can guarantee durability.
+    fn propose_commands(&mut self) {
         for index in 0..self.machines.len() {
             let command = self.random.next_u64().to_be_bytes().to_vec();
             let machine = &mut self.machines[index];
-            let promises = keeps_promises(&machine.status.membership, self.terms.min_disks);
-            if !machine.runs() || !machine.status.leads || !promises {
+            let is_durable = keeps_promises(&machine.status.membership, self.policy.min_disks);
+            if !machine.is_running() || !machine.status.leads || !is_durable {
                 continue;
             }
             if let Some(replica) = &mut machine.replica
@@ -623,122 +642,124 @@
             {
                 machine.open.insert(position.index, position);
             }
-            self.settle(index);
+            self.process_output(index);
         }
     }
 
-    // Upkeep.
+    // Group maintenance.
 
-    fn look_all(&mut self) {
+    fn run_maintenance(&mut self) {
         for index in 0..self.machines.len() {
-            if self.machines[index].runs() && self.now >= self.machines[index].next_look {
-                self.machines[index].next_look = self.now + LOOK;
-                self.look(index);
+            if self.machines[index].is_running()
+                && self.now >= self.machines[index].next_maintenance
+            {
+                self.machines[index].next_maintenance = self.now + MAINTENANCE_INTERVAL_MS;
+                self.maintain(index);
             }
         }
     }
 
-    fn look(&mut self, index: usize) {
+    fn maintain(&mut self, index: usize) {
         self.refresh(index);
-        if !self.registered(index) {
+        if !self.ensure_registered(index) {
             return;
         }
-        let knows_wishes = self.machines[index].status.leads;
-        let step = self.step(index, knows_wishes);
-        let step = match step {
-            GroupAction::ListLeaving if self.reaches_store(index) => {
-                self.machines[index].known.wishes = Some(self.store.wishes.clone());
-                self.step(index, true)
+        let knows_retirements = self.machines[index].status.leads;
+        let action = self.next_action(index, knows_retirements);
+        let action = match action {
+            GroupAction::ListLeaving if self.can_reach_store(index) => {
+                self.machines[index].cached.retirements = Some(self.store.retirements.clone());
+                self.next_action(index, true)
             }
-            step => step,
+            action => action,
         };
-        self.carry_out_step(index, step);
+        self.carry_out_action(index, action);
         let machine = &mut self.machines[index];
-        let open = self.store.wishes.values().any(|done| !done);
+        let any_open = self.store.retirements.values().any(|done| !done);
         if machine.status.leads
-            && open
+            && any_open
             && let Some(replica) = &mut machine.replica
         {
-            machine.reports = replica.read(self.now).is_ok();
-            self.settle(index);
+            machine.report_pending = replica.read(self.now).is_ok();
+            self.process_output(index);
         }
     }
 
-    /// A leader watches the store, another node reads it while it knows no leader.
+    /// Reads the store: on a leader at each interval, on other nodes while they know no leader or await a write.
     fn refresh(&mut self, index: usize) {
-        let reaches = self.reaches_store(index);
+        let can_reach = self.can_reach_store(index);
         let machine = &mut self.machines[index];
         let status = &machine.status;
-        if !reaches {
+        if !can_reach {
             return;
         }
         if status.leads && self.now >= machine.next_refresh {
-            machine.next_refresh = self.now + REFRESH;
-            machine.known.read_at = Some(self.now);
-            self.store.read(&mut machine.known);
-            machine.known.wishes = Some(self.store.wishes.clone());
-        } else if (!status.leads && status.leader.is_none()) || machine.known.unsettled {
-            machine.known.read_at = Some(self.now);
-            self.store.read(&mut machine.known);
+            machine.next_refresh = self.now + REFRESH_INTERVAL_MS;
+            machine.cached.read_at = Some(self.now);
+            self.store.read(&mut machine.cached);
+            machine.cached.retirements = Some(self.store.retirements.clone());
+        } else if (!status.leads && status.leader.is_none()) || machine.cached.write_pending {
+            machine.cached.read_at = Some(self.now);
+            self.store.read(&mut machine.cached);
         }
     }
 
-    /// Whether the node has read the store, where it writes itself if it is not listed as it is.
-    fn registered(&mut self, index: usize) -> bool {
-        let own = candidate(&self.machines[index]);
-        let known = &self.machines[index].known.candidates;
-        if known.is_empty() {
+    /// Returns whether the node has read the store; writes the node's record where it is missing or differs.
+    fn ensure_registered(&mut self, index: usize) -> bool {
+        let local = candidate(&self.machines[index]);
+        let candidates = &self.machines[index].cached.candidates;
+        if candidates.is_empty() {
             return false;
         }
-        if !known.contains(&own) && self.reaches_store(index) {
-            self.store.nodes.insert(own.node.clone(), own);
-            self.machines[index].known.unsettled = true;
+        if !candidates.contains(&local) && self.can_reach_store(index) {
+            self.store.nodes.insert(local.node.clone(), local);
+            self.machines[index].cached.write_pending = true;
         }
         true
     }
 
-    fn step(&mut self, index: usize, knows_wishes: bool) -> GroupAction {
+    fn next_action(&mut self, index: usize, knows_retirements: bool) -> GroupAction {
         let now = self.start + Duration::from_millis(self.now);
         let machine = &mut self.machines[index];
-        let leaving = machine.leaving().filter(|_| knows_wishes);
-        let mut keeper = std::mem::replace(
-            &mut machine.keeper,
-            firshore_node::journal::group_manager::GroupManager::new(machine.terms),
+        let leaving = machine.leaving().filter(|_| knows_retirements);
+        let mut manager = std::mem::replace(
+            &mut machine.manager,
+            firshore_node::journal::group_manager::GroupManager::new(machine.policy),
         );
-        let step = keeper.step(now, &machine.view(self.start, leaving.as_ref()));
-        machine.keeper = keeper;
-        step
+        let action = manager.step(now, &machine.input(self.start, leaving.as_ref()));
+        machine.manager = manager;
+        action
     }
 
-    fn carry_out_step(&mut self, index: usize, step: GroupAction) {
+    fn carry_out_action(&mut self, index: usize, action: GroupAction) {
         let name = self.machines[index].name.clone();
-        if step != GroupAction::Idle {
-            self.line(format!("{name}: {step:?}"));
+        if action != GroupAction::Idle {
+            self.trace_event(format!("{name}: {action:?}"));
         }
-        let late = self.random.random_bool(0.05);
+        let is_delayed = self.random.random_bool(0.05);
         let now = self.now;
-        let reaches = self.reaches_store(index);
+        let can_reach = self.can_reach_store(index);
         let machine = &mut self.machines[index];
         let Some(replica) = &mut machine.replica else {
             return;
         };
-        match step {
+        match action {
             GroupAction::Idle | GroupAction::ListLeaving => {}
-            GroupAction::StepAside(heir) => {
-                let _ = replica.transfer_leadership(heir);
+            GroupAction::StepAside(successor) => {
+                let _ = replica.transfer_leadership(successor);
             }
             GroupAction::Record(record) => {
-                if machine.known.unsettled || !reaches {
+                if machine.cached.write_pending || !can_reach {
                     return;
                 }
-                machine.known.unsettled = true;
-                let known = machine.known.revision();
-                if late {
-                    machine.known.doubtful = Some(known);
+                machine.cached.write_pending = true;
+                let expected = machine.cached.revision();
+                if is_delayed {
+                    machine.cached.unconfirmed = Some(expected);
                     let at = now + self.random.random_range(1_000..6_000);
-                    self.store.record_late(at, known, record);
+                    self.store.record_late(at, expected, record);
                 } else {
-                    self.store.record(known, record);
+                    self.store.record(expected, record);
                 }
             }
             GroupAction::Change(change) => {
@@ -754,88 +775,95 @@
             }
             GroupAction::JoinHistory(history) => replica.join_history(history),
         }
-        self.settle(index);
+        self.process_output(index);
     }
 
-    fn report(&mut self, index: usize) {
+    fn report_drained(&mut self, index: usize) {
         let machine = &self.machines[index];
-        if !self.reaches_store(index) || !machine.status.leads {
+        if !self.can_reach_store(index) || !machine.status.leads {
             return;
         }
         let Some(leaving) = machine.leaving() else {
             return;
         };
-        let view = machine.view(self.start, Some(&leaving));
-        let emptied: Vec<NodeName> = leaving
+        let input = machine.input(self.start, Some(&leaving));
+        let drained: Vec<NodeName> = leaving
             .open
             .iter()
-            .filter(|node| machine.keeper.is_drained(&view, node))
+            .filter(|node| machine.manager.is_drained(&input, node))
             .cloned()
             .collect();
-        for node in emptied {
-            self.store.wishes.insert(node, true);
+        for node in drained {
+            self.store.retirements.insert(node, true);
         }
     }
 
-    // What has to hold.
+    // Checks.
 
-    fn copies(&self, accepted: &Accepted) -> usize {
-        let there = self.machines.iter().filter(|one| one.is_there());
-        there.filter(|one| one.disk.holds(accepted)).count()
+    fn copies(&self, accepted: &AcceptedCommand) -> usize {
+        let present = self.machines.iter().filter(|machine| machine.is_present());
+        present
+            .filter(|machine| machine.disk.holds(accepted))
+            .count()
     }
 
-    /// What was accepted last lies on as many disks as may be lost beside those that are, and one more:
-    /// so does all that was accepted before, as a log that holds an entry holds all before it.
-    fn check_copies(&self) -> Result<(), Broken> {
+    /// Checks that the latest accepted command is on one disk more than may still be lost. As a log that holds an
+    /// entry holds all entries before it, the same follows for earlier commands.
+    fn check_copies(&self) -> Result<(), Violation> {
         let Some(accepted) = &self.accepted else {
             return Ok(());
         };
         let copies = self.copies(accepted);
-        let wanted = self.terms.min_disks - self.losses.len();
-        if copies >= wanted {
+        let required = self.policy.min_disks - self.losses.len();
+        if copies >= required {
             return Ok(());
         }
-        Err(self.broken(format!(
-            "entry {} of term {} is on {copies} disks, {wanted} are wanted",
+        Err(self.violation(format!(
+            "entry {} of term {} is on {copies} disks, {required} are required",
             accepted.position.index, accepted.position.term
         )))
     }
 
-    /// Once all is calm, a leader holds everything that was accepted, more is accepted where there are
-    /// enough disks, and nodes that can be emptied are.
-    fn check_recovered(&self) -> Result<(), Broken> {
+    /// Checks the state after recovery: one leader holds everything accepted, commands are accepted if there are
+    /// enough disks, and machines that can be drained are.
+    fn check_recovered(&self) -> Result<(), Violation> {
         let leaders: Vec<&Machine> = self
             .machines
             .iter()
-            .filter(|one| one.runs() && one.status.leads)
+            .filter(|machine| machine.is_running() && machine.status.leads)
             .collect();
         let [leader] = leaders[..] else {
-            let told: Vec<_> = self
+            let states: Vec<_> = self
                 .machines
                 .iter()
-                .filter(|one| one.is_there())
-                .map(|one| (&one.name, &one.status, &one.known.voters))
+                .filter(|machine| machine.is_present())
+                .map(|machine| (&machine.name, &machine.status, &machine.cached.voters))
                 .collect();
-            return Err(self.broken(format!("{} leaders after calm: {told:#?}", leaders.len())));
+            return Err(self.violation(format!(
+                "{} leaders after recovery: {states:#?}",
+                leaders.len()
+            )));
         };
         if let Some(accepted) = &self.accepted
             && (leader.applied < accepted.position.index || !leader.disk.holds(accepted))
         {
-            let lacks = accepted.position.index;
-            return Err(self.broken(format!("the leader lacks entry {lacks}")));
-        }
-        self.check_shown(leader)?;
-        let there = self.machines.iter().filter(|one| one.is_there());
-        let wishes = &self.store.wishes;
-        let (leaving, staying): (Vec<&Machine>, Vec<&Machine>) =
-            there.partition(|one| wishes.contains_key(&one.name));
+            let missing = accepted.position.index;
+            return Err(self.violation(format!("the leader lacks entry {missing}")));
+        }
+        self.check_returned(leader)?;
+        let present = self.machines.iter().filter(|machine| machine.is_present());
+        let retirements = &self.store.retirements;
+        let (leaving, remaining): (Vec<&Machine>, Vec<&Machine>) =
+            present.partition(|machine| retirements.contains_key(&machine.name));
         let voters = leader.status.membership.voters().count();
-        let enough = leaving.len() + staying.len() >= self.terms.min_disks;
-        if enough && !keeps_promises(&leader.status.membership, self.terms.min_disks) {
-            return Err(self.broken(format!("{voters} voters after calm, nothing is promised")));
-        }
-        if staying.len() >= self.terms.target_voters && !leaving.is_empty() {
-            return Err(self.broken(format!("{} is not emptied", leaving[0].name)));
+        let enough = leaving.len() + remaining.len() >= self.policy.min_disks;
+        if enough && !keeps_promises(&leader.status.membership, self.policy.min_disks) {
+            return Err(self.violation(format!(
+                "{voters} voters after recovery, durability is not guaranteed"
+            )));
+        }
+        if remaining.len() >= self.policy.target_voters && !leaving.is_empty() {
+            return Err(self.violation(format!("{} is not drained", leaving[0].name)));
         }
         Ok(())
     }
--- a/crates/firshore-node/tests/copies_world/readers.rs
+++ b/crates/firshore-node/tests/copies_world/readers.rs
@@ -1,64 +1,64 @@
-//! Clients that read at every machine that says it leads: what one was shown stays, and each sees what was
-//! accepted before it asked.
+//! Clients that read from every machine that considers itself leader. A read must return everything accepted before
+//! it started, and entries that a read has returned must not be lost.
 
-use super::machine::{Accepted, Machine};
-use super::{Broken, World};
+use super::machine::{AcceptedCommand, Machine};
+use super::{Violation, World};
 use firshore_log::placement;
 use firshore_replication::replica::ReadToken;
 use firshore_replication::types::{Entry, EntryContent, LogIndex, Position};
 use std::collections::BTreeMap;
 
-/// Marks the tokens of these clients; those of a node's own reads are the time in milliseconds.
+/// Bit that marks the clients' tokens; the tokens of a node's own reads are times in milliseconds.
 const READER: ReadToken = 1 << 63;
 
-pub fn is_of_reader(token: ReadToken) -> bool {
+pub fn is_client_read(token: ReadToken) -> bool {
     token & READER != 0
 }
 
-/// A question on its way.
+/// A read in flight.
 struct OpenRead {
     machine: usize,
-    /// What was accepted last when it was asked.
-    accepted: Option<Accepted>,
+    /// Latest accepted command when the read started.
+    accepted: Option<AcceptedCommand>,
 }
 
-/// The clients, and what they were shown.
+/// The clients' reads and their results.
 #[derive(Default)]
 pub struct Readers {
-    asked: u64,
+    count: u64,
     open: BTreeMap<ReadToken, OpenRead>,
-    /// The latest command that one was shown.
-    shown: Option<Accepted>,
-    /// What one was not shown though it was accepted before, and by whom.
+    /// Latest command that a read returned.
+    returned: Option<AcceptedCommand>,
+    /// Description of a read that missed a command accepted before it.
     missed: Option<String>,
 }
 
 fn command_at_most(entries: &[Entry], index: LogIndex) -> Option<&Entry> {
     let mut entries = entries.iter().rev();
-    entries.find(|one| one.index <= index && matches!(one.content, EntryContent::Command(_)))
+    entries.find(|entry| entry.index <= index && matches!(entry.content, EntryContent::Command(_)))
 }
 
 impl World {
-    /// The same, with clients that read.
+    /// Adds clients that read.
     pub fn with_readers(mut self) -> Self {
         self.readers = Some(Readers::default());
         self
     }
 
-    pub(super) fn ask_to_read(&mut self) {
+    pub(super) fn start_reads(&mut self) {
         if self.readers.is_none() {
             return;
         }
         for index in 0..self.machines.len() {
-            if !self.machines[index].runs() || !self.may_answer(index) {
+            if !self.machines[index].is_running() || !self.can_answer_reads(index) {
                 continue;
             }
             let accepted = self.accepted.clone();
             let Some(readers) = &mut self.readers else {
                 return;
             };
-            readers.asked += 1;
-            let token = READER | readers.asked;
+            readers.count += 1;
+            let token = READER | readers.count;
             let Some(replica) = &mut self.machines[index].replica else {
                 continue;
             };
@@ -66,22 +66,22 @@
                 let machine = index;
                 readers.open.insert(token, OpenRead { machine, accepted });
             }
-            self.settle(index);
+            self.process_output(index);
         }
     }
 
-    /// Whether a node's thread answers what is read there.
-    fn may_answer(&self, index: usize) -> bool {
+    /// Returns whether a node's thread would respond to reads.
+    fn can_answer_reads(&self, index: usize) -> bool {
         let Some(replica) = &self.machines[index].replica else {
             return false;
         };
         let status = replica.status();
-        let least = self.terms.min_disks;
-        placement::may_show(&status.membership, &status.committed_membership, least)
+        let min_disks = self.policy.min_disks;
+        placement::may_show(&status.membership, &status.committed_membership, min_disks)
     }
 
-    pub(super) fn take_reads(&mut self, index: usize, reads: &[(ReadToken, LogIndex)]) {
-        if !self.may_answer(index) {
+    pub(super) fn record_reads(&mut self, index: usize, reads: &[(ReadToken, LogIndex)]) {
+        if !self.can_answer_reads(index) {
             return;
         }
         for (token, through) in reads {
@@ -92,20 +92,20 @@
             let Some(read) = readers.open.remove(token) else {
                 continue;
             };
-            self.tally.read += 1;
+            self.counts.read += 1;
             if let Some(accepted) = &read.accepted
                 && (*through < accepted.position.index || !machine.disk.holds(accepted))
             {
-                let lacks = accepted.position.index;
+                let missing = accepted.position.index;
                 let by = &self.machines[read.machine].name;
-                readers.missed = Some(format!("a read at {by} misses entry {lacks}"));
+                readers.missed = Some(format!("a read at {by} misses entry {missing}"));
             }
             let Some(entry) = command_at_most(&machine.disk.stored.entries, *through) else {
                 continue;
             };
-            let shown = readers.shown.as_ref();
-            if shown.is_none_or(|shown| shown.position.index < entry.index) {
-                readers.shown = Some(Accepted {
+            let returned = readers.returned.as_ref();
+            if returned.is_none_or(|returned| returned.position.index < entry.index) {
+                readers.returned = Some(AcceptedCommand {
                     position: Position {
                         index: entry.index,
                         term: entry.term,
@@ -117,37 +117,41 @@
         }
     }
 
-    /// What was shown lies on as many disks as what was accepted has to.
-    pub(super) fn check_reads(&self) -> Result<(), Broken> {
+    /// Checks that entries returned by reads are on as many disks as accepted commands must be.
+    pub(super) fn check_reads(&self) -> Result<(), Violation> {
         let Some(readers) = &self.readers else {
             return Ok(());
         };
         if let Some(missed) = &readers.missed {
-            return Err(self.broken(missed.clone()));
+            return Err(self.violation(missed.clone()));
         }
-        let Some(shown) = &readers.shown else {
+        let Some(returned) = &readers.returned else {
             return Ok(());
         };
-        let copies = self.copies(shown);
-        let wanted = self.terms.min_disks - self.losses.len();
-        if copies >= wanted {
+        let copies = self.copies(returned);
+        let required = self.policy.min_disks - self.losses.len();
+        if copies >= required {
             return Ok(());
         }
-        Err(self.broken(format!(
-            "entry {} of term {}, which was read, is on {copies} disks, {wanted} are wanted",
-            shown.position.index, shown.position.term
+        Err(self.violation(format!(
+            "entry {} of term {}, which was read, is on {copies} disks, {required} are required",
+            returned.position.index, returned.position.term
         )))
     }
 
-    /// Once all is calm, the leader holds what was shown.
-    pub(super) fn check_shown(&self, leader: &Machine) -> Result<(), Broken> {
-        let shown = self.readers.as_ref().and_then(|one| one.shown.as_ref());
-        let lacks = shown
-            .filter(|shown| leader.applied < shown.position.index || !leader.disk.holds(shown));
-        match lacks {
-            Some(shown) => Err(self.broken(format!(
+    /// Checks after recovery that the leader holds the entries returned by reads.
+    pub(super) fn check_returned(&self, leader: &Machine) -> Result<(), Violation> {
+        let returned = self
+            .readers
+            .as_ref()
+            .and_then(|readers| readers.returned.as_ref());
+        let missing = returned.filter(|returned| {
+            leader.applied < returned.position.index || !leader.disk.holds(returned)
+        });
+        match missing {
+            Some(returned) => Err(self.violation(format!(
                 "the leader lacks entry {}, which was read",
-                shown.position.index
+                returned.position.index
             ))),
             None => Ok(()),
         }
--- a/crates/firshore-node/tests/copies_world/scene.rs
+++ b/crates/firshore-node/tests/copies_world/scene.rs
@@ -1,47 +1,49 @@
-//! What happens to the machines, drawn from a seed.
+//! Deployments, and events drawn from a seed.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// A deployment.
+/// Size and durability guarantee of a deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Sheet {
-    /// Machines with a disk at the start.
+pub struct Deployment {
+    /// Number of machines at the start, each with a disk.
     pub machines: usize,
     pub zones: usize,
-    /// Disks that may be lost at once.
+    /// Number of disks that may be lost at the same time.
     pub losses: u32,
 }
 
 /// One event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A disk is lost; its machine comes back with an empty one.
+    /// A disk is lost; its machine restarts with an empty one.
     Wipe,
-    /// The same, of a machine that votes.
+    /// As `Wipe`, for the disk of a voter.
     WipeVoter,
-    /// A machine is to be emptied; once it is reported so it goes with its disk.
+    /// A machine is retired; it is removed with its disk once it is reported as drained.
     Retire,
-    /// The same, and another machine loses its disk right after the report.
+    /// As `Retire`, and another machine loses its disk right after the report.
     RetireThenWipe,
-    /// A machine is cut from the others; with `true`, from the store as well.
-    Cut(bool),
-    /// The machines are cut into two halves.
+    /// A machine is isolated from the others; with `true`, from the store as well.
+    Isolate(bool),
+    /// About half of the machines are isolated.
     Split,
+    /// A process is suspended.
     Freeze,
+    /// A process is killed and restarts.
     Kill,
-    /// All machines lose power.
+    /// All processes stop at the same time and restart.
     PowerLoss,
     /// All machines lose power and one loses its disk.
     PowerLossThenWipe,
-    /// A machine goes for good, and an empty one comes in its place under another name.
+    /// A machine is removed permanently, and an empty one with another name replaces it.
     Replace,
     /// An empty machine is added.
     Add,
     StoreDown,
 }
 
-/// Events of each kind, by how often they come.
+/// Events to choose from; repetition sets their relative frequency.
 const EVENTS: [Event; 19] = [
     Event::Wipe,
     Event::WipeVoter,
@@ -51,9 +53,9 @@
     Event::RetireThenWipe,
     Event::RetireThenWipe,
     Event::RetireThenWipe,
-    Event::Cut(false),
-    Event::Cut(true),
-    Event::Cut(false),
+    Event::Isolate(false),
+    Event::Isolate(true),
+    Event::Isolate(false),
     Event::Split,
     Event::Freeze,
     Event::Kill,
@@ -64,14 +66,14 @@
     Event::StoreDown,
 ];
 
-/// Events with the milliseconds at which they come.
-pub fn draw(random: &mut ChaCha8Rng, until: u64) -> Vec<(u64, Event)> {
+/// Returns random events with their times in milliseconds, up to `until`.
+pub fn random_events(random: &mut ChaCha8Rng, until: u64) -> Vec<(u64, Event)> {
     let mut events = Vec::new();
     let mut at = 3_000 + random.random_range(0..2_000);
     while at < until {
         let event = EVENTS[random.random_range(0..EVENTS.len())];
         events.push((at, event));
-        // Often close together, now and then with time to recover.
+        // Half of the intervals are too short to recover in.
         at += match random.random_bool(0.5) {
             true => random.random_range(50..1_500),
             false => random.random_range(1_500..9_000),
--- a/crates/firshore-node/tests/crash_world/backends.rs
+++ b/crates/firshore-node/tests/crash_world/backends.rs
@@ -1,7 +1,7 @@
-//! Back ends: they run requests, end, and are back at their address under another name, or under their own
-//! with a later start.
+//! Simulated back ends: they serve requests, exit and restart at the same address, with a new name or with the
+//! same name and a later start time.
 
-use super::{OwnEnds, World, spawn};
+use super::{ExitPattern, World, spawn};
 use firshore_adapter::backend::Backend;
 use firshore_adapter::incarnation::{Incarnation, StartTime};
 use std::cell::{Cell, RefCell};
@@ -12,192 +12,207 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// Time after its end at which a back end's entry goes.
-const LAPSE: Duration = Duration::from_millis(3_600);
+/// Time between a back end's exit and the removal of its entry from the listing.
+const UNLIST_DELAY: Duration = Duration::from_millis(3_600);
 
-/// Milliseconds after its end at which a back end is back.
-const BACK_AFTER: std::ops::Range<u64> = 1_000..4_500;
+/// Milliseconds between a back end's exit and its restart.
+const RESTART_DELAY_MS: std::ops::Range<u64> = 1_000..4_500;
 
-/// Milliseconds for which a back end that comes and goes is up.
-const UP: std::ops::Range<u64> = 2_000..7_000;
+/// Milliseconds that a flapping back end runs before it exits.
+const FLAP_UPTIME_MS: std::ops::Range<u64> = 2_000..7_000;
 
-/// One life of a back end.
-pub struct Life {
+/// One incarnation of a back end, from its start to its exit.
+pub struct BackendInstance {
     pub backend: Backend,
-    pub ended: watch::Sender<bool>,
+    pub exited: watch::Sender<bool>,
 }
 
-impl Life {
-    fn new(place: usize, count: usize, keeps_name: bool) -> Rc<Self> {
-        let incarnation = match keeps_name {
-            true => Incarnation::started(format!("b{place}"), StartTime(count as u64)),
-            false => Incarnation::named(format!("b{place}-{count}")),
+impl BackendInstance {
+    fn new(index: usize, count: usize, reuses_name: bool) -> Rc<Self> {
+        let incarnation = match reuses_name {
+            true => Incarnation::started(format!("b{index}"), StartTime(count as u64)),
+            false => Incarnation::named(format!("b{index}-{count}")),
         };
         let backend = Backend {
             incarnation,
             service: "s".into(),
-            address: address(place),
+            address: address(index),
             zone: "z0".into(),
             slots: 12,
             leaving: false,
         };
         Rc::new(Self {
             backend,
-            ended: watch::Sender::new(false),
+            exited: watch::Sender::new(false),
         })
     }
 
-    pub fn has_ended(&self) -> bool {
-        *self.ended.borrow()
+    pub fn has_exited(&self) -> bool {
+        *self.exited.borrow()
     }
 }
 
-/// A name for a back end's machine; nothing listens there.
-fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 1, 1], 1 + place as u16))
+/// Returns the address that identifies a back end's machine; no socket is opened.
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 1, 1], 1 + index as u16))
 }
 
-/// All back ends.
-pub struct BackendPark {
-    /// What runs, or ran last, at each place.
-    lives: RefCell<Vec<Rc<Life>>>,
-    /// Whether back ends start again under their names.
-    keeps_names: bool,
+/// All back ends, running or exited.
+pub struct BackendPool {
+    /// Latest instance at each index.
+    instances: RefCell<Vec<Rc<BackendInstance>>>,
+    /// Whether back ends restart with the same name.
+    reuses_names: bool,
     count: Cell<usize>,
-    /// Counts changes of what is listed.
-    pub listed: watch::Sender<u64>,
-    /// Lives that are listed.
-    listing: RefCell<Vec<Rc<Life>>>,
-    /// When back ends ended under each request that crashes them.
-    under: RefCell<BTreeMap<usize, Vec<Instant>>>,
+    /// Incremented with each change of the listing.
+    pub listing_version: watch::Sender<u64>,
+    /// Instances in the object store's listing.
+    listing: RefCell<Vec<Rc<BackendInstance>>>,
+    /// Times of back-end crashes, by fatal request.
+    crashes: RefCell<BTreeMap<usize, Vec<Instant>>>,
 }
 
-impl BackendPark {
-    pub fn new(count: usize, keeps_names: bool) -> Rc<Self> {
-        let lives = (0..count).map(|place| Life::new(place, 0, keeps_names));
-        let lives: Vec<Rc<Life>> = lives.collect();
+impl BackendPool {
+    pub fn new(count: usize, reuses_names: bool) -> Rc<Self> {
+        let instances = (0..count).map(|index| BackendInstance::new(index, 0, reuses_names));
+        let instances: Vec<Rc<BackendInstance>> = instances.collect();
         Rc::new(Self {
-            keeps_names,
-            listing: RefCell::new(lives.clone()),
-            lives: RefCell::new(lives),
+            reuses_names,
+            listing: RefCell::new(instances.clone()),
+            instances: RefCell::new(instances),
             count: Cell::new(0),
-            listed: watch::Sender::new(0),
-            under: RefCell::default(),
+            listing_version: watch::Sender::new(0),
+            crashes: RefCell::default(),
         })
     }
 
-    /// What the store lists.
-    pub fn listing(&self) -> Vec<Rc<Life>> {
+    /// Returns the instances that the object store lists.
+    pub fn listing(&self) -> Vec<Rc<BackendInstance>> {
         self.listing.borrow().clone()
     }
 
     pub fn backends(&self) -> Vec<Backend> {
         let listing = self.listing.borrow();
-        listing.iter().map(|life| life.backend.clone()).collect()
+        listing
+            .iter()
+            .map(|instance| instance.backend.clone())
+            .collect()
     }
 
-    /// Whether connections to an address are refused.
+    /// Returns whether connections to an address are refused.
     pub fn is_refused(&self, at: SocketAddr) -> bool {
-        let lives = self.lives.borrow();
-        let mut there = lives.iter().filter(|life| life.backend.address == at);
-        there.all(|life| life.has_ended())
+        let instances = self.instances.borrow();
+        let mut at_address = instances
+            .iter()
+            .filter(|instance| instance.backend.address == at);
+        at_address.all(|instance| instance.has_exited())
     }
 
-    /// Times at which back ends ended under a request.
-    pub fn ends_under(&self, fatal: usize) -> Vec<Instant> {
-        let under = self.under.borrow();
-        under.get(&fatal).cloned().unwrap_or_default()
+    /// Returns the times at which back ends crashed under a fatal request.
+    pub fn crash_times(&self, fatal: usize) -> Vec<Instant> {
+        let crashes = self.crashes.borrow();
+        crashes.get(&fatal).cloned().unwrap_or_default()
     }
 
-    /// A back end ends, under a request that crashes it or by itself. It is back after a while.
-    pub fn end(self: &Rc<Self>, world: &Rc<World>, life: &Rc<Life>, fatal: Option<usize>) {
-        if life.ended.send_replace(true) {
+    /// Ends an instance, under a fatal request or spontaneously, and schedules its restart.
+    pub fn exit(
+        self: &Rc<Self>,
+        world: &Rc<World>,
+        instance: &Rc<BackendInstance>,
+        fatal: Option<usize>,
+    ) {
+        if instance.exited.send_replace(true) {
             return;
         }
         if let Some(fatal) = fatal {
-            let mut under = self.under.borrow_mut();
-            under.entry(fatal).or_default().push(Instant::now());
+            let mut crashes = self.crashes.borrow_mut();
+            crashes.entry(fatal).or_default().push(Instant::now());
         }
-        let (park, world, life) = (self.clone(), world.clone(), life.clone());
-        let back_after = Duration::from_millis(world.draw(BACK_AFTER));
-        let gone = life.clone();
-        let unlisting = park.clone();
+        let (pool, world, instance) = (self.clone(), world.clone(), instance.clone());
+        let restart_delay = Duration::from_millis(world.random_in(RESTART_DELAY_MS));
+        let removed = instance.clone();
+        let listing_pool = pool.clone();
         spawn(async move {
-            sleep(LAPSE).await;
-            unlisting
+            sleep(UNLIST_DELAY).await;
+            listing_pool
                 .listing
                 .borrow_mut()
-                .retain(|one| !Rc::ptr_eq(one, &gone));
-            unlisting.listed.send_modify(|count| *count += 1);
+                .retain(|instance| !Rc::ptr_eq(instance, &removed));
+            listing_pool
+                .listing_version
+                .send_modify(|count| *count += 1);
         });
         spawn(async move {
-            sleep(back_after).await;
-            park.come_back(&life);
+            sleep(restart_delay).await;
+            pool.restart(&instance);
         });
     }
 
-    fn come_back(&self, life: &Rc<Life>) {
-        let mut lives = self.lives.borrow_mut();
-        let place = lives.iter().position(|one| Rc::ptr_eq(one, life));
-        let place = place.expect("a life has its place");
+    fn restart(&self, instance: &Rc<BackendInstance>) {
+        let mut instances = self.instances.borrow_mut();
+        let index = instances
+            .iter()
+            .position(|other| Rc::ptr_eq(other, instance));
+        let index = index.expect("every instance has an index");
         self.count.set(self.count.get() + 1);
-        let next = Life::new(place, self.count.get(), self.keeps_names);
-        lives[place] = next.clone();
+        let next = BackendInstance::new(index, self.count.get(), self.reuses_names);
+        instances[index] = next.clone();
         let mut listing = self.listing.borrow_mut();
-        // An entry under the same name takes the place of the former one.
-        listing.retain(|one| one.backend.incarnation.name != next.backend.incarnation.name);
+        // A new entry replaces the entry with the same name.
+        listing
+            .retain(|instance| instance.backend.incarnation.name != next.backend.incarnation.name);
         listing.push(next);
         drop(listing);
-        self.listed.send_modify(|count| *count += 1);
+        self.listing_version.send_modify(|count| *count += 1);
     }
 
-    fn up(&self) -> Vec<Rc<Life>> {
-        let lives = self.lives.borrow();
-        lives
+    fn running(&self) -> Vec<Rc<BackendInstance>> {
+        let instances = self.instances.borrow();
+        instances
             .iter()
-            .filter(|life| !life.has_ended())
+            .filter(|instance| !instance.has_exited())
             .cloned()
             .collect()
     }
 }
 
-/// Lets back ends end for reasons of their own, until the play is over.
-pub async fn end_by_themselves(world: Rc<World>) {
-    match world.scene.own_ends {
-        OwnEnds::None => {}
-        OwnEnds::Single => {
-            while !world.is_over.get() {
-                world.pause(500..1_500).await;
-                end_some(&world, 1);
+/// Makes back ends exit without a fatal request until the run is finished.
+pub async fn run_spontaneous_exits(world: Rc<World>) {
+    match world.scenario.exit_pattern {
+        ExitPattern::None => {}
+        ExitPattern::Single => {
+            while !world.is_finished.get() {
+                world.sleep_random(500..1_500).await;
+                exit_some(&world, 1);
             }
         }
-        OwnEnds::Mass => {
-            while !world.is_over.get() {
-                world.pause(4_000..6_000).await;
-                end_some(&world, world.scene.backends / 2);
+        ExitPattern::Mass => {
+            while !world.is_finished.get() {
+                world.sleep_random(4_000..6_000).await;
+                exit_some(&world, world.scenario.backends / 2);
             }
         }
-        OwnEnds::Flapping => {
-            for place in 0..world.scene.backends {
-                spawn(flap(world.clone(), place));
+        ExitPattern::Flapping => {
+            for index in 0..world.scenario.backends {
+                spawn(flap(world.clone(), index));
             }
         }
     }
 }
 
-async fn flap(world: Rc<World>, place: usize) {
-    while !world.is_over.get() {
-        world.pause(UP).await;
-        let life = world.park.lives.borrow()[place].clone();
-        world.park.end(&world, &life, None);
+async fn flap(world: Rc<World>, index: usize) {
+    while !world.is_finished.get() {
+        world.sleep_random(FLAP_UPTIME_MS).await;
+        let instance = world.pool.instances.borrow()[index].clone();
+        world.pool.exit(&world, &instance, None);
     }
 }
 
-fn end_some(world: &Rc<World>, count: usize) {
-    let mut up = world.park.up();
-    for _ in 0..count.min(up.len()) {
-        let drawn = world.draw(0..up.len() as u64) as usize;
-        let life = up.swap_remove(drawn);
-        world.park.end(world, &life, None);
+fn exit_some(world: &Rc<World>, count: usize) {
+    let mut running = world.pool.running();
+    for _ in 0..count.min(running.len()) {
+        let pick = world.random_in(0..running.len() as u64) as usize;
+        let instance = running.swap_remove(pick);
+        world.pool.exit(world, &instance, None);
     }
 }
--- a/crates/firshore-node/tests/crash_world/callers.rs
+++ b/crates/firshore-node/tests/crash_world/callers.rs
@@ -1,7 +1,7 @@
-//! Callers: of requests that crash back ends, of popular ones that harm nobody, of others that come once, and
-//! of long items that go on where they broke off.
+//! Simulated clients. They send fatal requests (each crashes the back end that runs it), popular harmless requests,
+//! unique harmless requests and long items that resume after an interruption.
 
-use super::backends::Life;
+use super::backends::BackendInstance;
 use super::nodes::SimNode;
 use super::{World, spawn};
 use firshore_crashes::fingerprint::{FingerprintInput, FingerprintKey, RequestFingerprint};
@@ -12,42 +12,42 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout};
 
-/// Milliseconds after which a back end ends under a request that crashes it.
-const FATAL_RUN: std::ops::Range<u64> = 10..160;
+/// Milliseconds that a back end runs a fatal request before it crashes.
+const FATAL_RUN_MS: std::ops::Range<u64> = 10..160;
 
-/// Popular requests that harm nobody.
-const POPULAR: usize = 6;
+/// Number of popular harmless requests.
+const POPULAR_REQUESTS: usize = 6;
 
-/// Requests that come once, as many at a time, and how often their callers try again.
-const SINGLE: usize = 30;
-const RETRIES: usize = 3;
+/// Number of clients that send unique requests one after the other, and their retries of each.
+const UNIQUE_CLIENTS: usize = 30;
+const UNIQUE_RETRIES: usize = 3;
 
-/// Items that go on where they broke off, as many at a time.
-const ITEMS: usize = 20;
-const ITEM: &str = "item";
+/// Number of clients that run resumable items one after the other, and the items' name prefix.
+const ITEM_CLIENTS: usize = 20;
+const ITEM_PREFIX: &str = "item";
 
-/// Milliseconds that requests and items run for; for as many milliseconds nothing arrives at first.
-const RUN: std::ops::Range<u64> = 150..1_500;
-const ITEM_RUN: std::ops::Range<u64> = 1_000..8_000;
-const SILENT_AT_FIRST: u64 = 80;
+/// Milliseconds that harmless requests and items run, and the delay of the first response byte.
+const RUN_MS: std::ops::Range<u64> = 150..1_500;
+const ITEM_RUN_MS: std::ops::Range<u64> = 1_000..8_000;
+const FIRST_BYTE_DELAY_MS: u64 = 80;
 
-/// Bytes of an answer that arrive in a millisecond.
+/// Response bytes received per millisecond.
 const BYTES_PER_MILLISECOND: u64 = 2;
 
-/// Pause of a caller before it tries again.
-const RETRY_PAUSE: std::ops::Range<u64> = 20..300;
+/// Milliseconds before a client's next attempt.
+const RETRY_BACKOFF_MS: std::ops::Range<u64> = 20..300;
 
-/// How a try ended.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TryEnd {
+enum AttemptEnd {
     Completed,
-    /// With so many bytes of the answer.
+    /// Interrupted after this many response bytes.
     Lost(u64),
-    HeldBack,
+    Quarantined,
     NotSent,
 }
 
-fn print(name: &str) -> RequestFingerprint {
+fn fingerprint(name: &str) -> RequestFingerprint {
     FingerprintKey::new(b"secret").fingerprint(&FingerprintInput {
         tenant: None,
         host: "a.example",
@@ -57,38 +57,38 @@
     })
 }
 
-/// Starts all callers.
+/// Starts all clients and returns their tasks.
 pub fn start(world: &Rc<World>) -> Vec<JoinHandle<()>> {
     let mut tasks = Vec::new();
-    for fatal in 0..world.scene.fatal {
+    for fatal in 0..world.scenario.fatal {
         tasks.push(spawn(send_fatal(world.clone(), fatal)));
     }
-    for number in 0..POPULAR {
+    for number in 0..POPULAR_REQUESTS {
         tasks.push(spawn(send_popular(
             world.clone(),
             format!("popular-{number}"),
         )));
     }
-    for number in 0..SINGLE {
-        tasks.push(spawn(send_single(world.clone(), number)));
+    for number in 0..UNIQUE_CLIENTS {
+        tasks.push(spawn(send_unique(world.clone(), number)));
     }
-    for number in 0..ITEMS {
+    for number in 0..ITEM_CLIENTS {
         tasks.push(spawn(run_items(world.clone(), number)));
     }
     tasks
 }
 
 async fn send_fatal(world: Rc<World>, fatal: usize) {
-    let print = print(&format!("fatal-{fatal}"));
-    while !world.is_over.get() {
-        let node = drawn_node(&world);
-        let world_now = world.clone();
-        spawn(async move { fatal_try(world_now, node, print, fatal).await });
-        world.pause(0..world.scene.longest_pause).await;
+    let fingerprint = fingerprint(&format!("fatal-{fatal}"));
+    while !world.is_finished.get() {
+        let node = random_node(&world);
+        let task_world = world.clone();
+        spawn(async move { attempt_fatal(task_world, node, fingerprint, fatal).await });
+        world.sleep_random(0..world.scenario.max_interval_ms).await;
     }
 }
 
-async fn fatal_try(
+async fn attempt_fatal(
     world: Rc<World>,
     node: Rc<SimNode>,
     fingerprint: RequestFingerprint,
@@ -100,20 +100,23 @@
     if monitor.quarantined_for(&fingerprint).is_some() {
         return;
     }
-    let Some(life) = drawn_backend(&world) else {
+    let Some(instance) = random_backend(&world) else {
         return;
     };
-    if node.is_in_touch(world.scene.contact) {
+    if node.is_settled(world.scenario.propagation_bound) {
         let mut sends = world.fatal_sends.borrow_mut();
         sends.entry(fatal).or_default().push(Instant::now());
     }
-    let run = Duration::from_millis(world.draw(FATAL_RUN));
-    let mut ended = life.ended.subscribe();
-    if timeout(run, ended.wait_for(|ended| *ended)).await.is_err() {
-        world.park.end(&world, &life, Some(fatal));
+    let run = Duration::from_millis(world.random_in(FATAL_RUN_MS));
+    let mut exited = instance.exited.subscribe();
+    if timeout(run, exited.wait_for(|exited| *exited))
+        .await
+        .is_err()
+    {
+        world.pool.exit(&world, &instance, Some(fatal));
     }
     monitor.record_lost_run(
-        &life.backend,
+        &instance.backend,
         LostRun {
             fingerprint,
             reached: 0,
@@ -122,25 +125,27 @@
 }
 
 async fn send_popular(world: Rc<World>, name: String) {
-    while !world.is_over.get() {
-        let (world_now, name) = (world.clone(), name.clone());
+    while !world.is_finished.get() {
+        let (task_world, name) = (world.clone(), name.clone());
         spawn(async move {
-            innocent_try(&world_now, &name, RUN, 0).await;
+            attempt_harmless(&task_world, &name, RUN_MS, 0).await;
         });
-        world.pause(0..world.scene.popular_pause).await;
+        world
+            .sleep_random(0..world.scenario.popular_interval_ms)
+            .await;
     }
 }
 
-async fn send_single(world: Rc<World>, number: usize) {
+async fn send_unique(world: Rc<World>, number: usize) {
     for count in 0.. {
-        if world.is_over.get() {
+        if world.is_finished.get() {
             return;
         }
         let name = format!("single-{number}-{count}");
-        for _ in 0..=RETRIES {
-            match innocent_try(&world, &name, RUN, 0).await {
-                TryEnd::Completed => break,
-                _ => world.pause(RETRY_PAUSE).await,
+        for _ in 0..=UNIQUE_RETRIES {
+            match attempt_harmless(&world, &name, RUN_MS, 0).await {
+                AttemptEnd::Completed => break,
+                _ => world.sleep_random(RETRY_BACKOFF_MS).await,
             }
         }
     }
@@ -148,93 +153,96 @@
 
 async fn run_items(world: Rc<World>, number: usize) {
     for count in 0.. {
-        let name = format!("{ITEM}-{number}-{count}");
-        let mut held = 0;
+        let name = format!("{ITEM_PREFIX}-{number}-{count}");
+        let mut received = 0;
         loop {
-            if world.is_over.get() {
+            if world.is_finished.get() {
                 return;
             }
-            match innocent_try(&world, &name, ITEM_RUN, held).await {
-                TryEnd::Completed => break,
-                TryEnd::Lost(reached) => held = reached,
+            match attempt_harmless(&world, &name, ITEM_RUN_MS, received).await {
+                AttemptEnd::Completed => break,
+                AttemptEnd::Lost(reached) => received = reached,
                 _ => {}
             }
-            world.pause(RETRY_PAUSE).await;
+            world.sleep_random(RETRY_BACKOFF_MS).await;
         }
     }
 }
 
-/// Runs a request that harms nobody, of whose answer `held` bytes are there already.
-async fn innocent_try(
+/// Runs a harmless request, of whose response earlier attempts received `received` bytes.
+async fn attempt_harmless(
     world: &Rc<World>,
     name: &str,
     run: std::ops::Range<u64>,
-    held: u64,
-) -> TryEnd {
-    let node = drawn_node(world);
+    received: u64,
+) -> AttemptEnd {
+    let node = random_node(world);
     let Some(monitor) = running_monitor(&node) else {
-        return TryEnd::NotSent;
+        return AttemptEnd::NotSent;
     };
-    let fingerprint = print(name);
-    world.tries.set(world.tries.get() + 1);
+    let fingerprint = fingerprint(name);
+    world.attempts.set(world.attempts.get() + 1);
     if monitor.quarantined_for(&fingerprint).is_some() {
-        world.condemned.borrow_mut().insert(name.to_owned());
-        return TryEnd::HeldBack;
+        world.quarantined.borrow_mut().insert(name.to_owned());
+        return AttemptEnd::Quarantined;
     }
-    let Some(life) = drawn_backend(world) else {
-        return TryEnd::NotSent;
+    let Some(instance) = random_backend(world) else {
+        return AttemptEnd::NotSent;
     };
-    let mut run = world.draw(run);
-    let is_reset = world.draw(0..1_000) < u64::from(world.scene.resets);
+    let mut run = world.random_in(run);
+    let is_reset = world.random_in(0..1_000) < u64::from(world.scenario.resets);
     if is_reset {
         run /= 2;
     }
-    let began = Instant::now();
-    let mut ended = life.ended.subscribe();
-    let is_lost = timeout(Duration::from_millis(run), ended.wait_for(|ended| *ended))
-        .await
-        .is_ok();
+    let started = Instant::now();
+    let mut exited = instance.exited.subscribe();
+    let is_lost = timeout(
+        Duration::from_millis(run),
+        exited.wait_for(|exited| *exited),
+    )
+    .await
+    .is_ok();
     if !is_lost && !is_reset {
         monitor.completed(fingerprint);
-        return TryEnd::Completed;
+        return AttemptEnd::Completed;
     }
-    let ran = began.elapsed().as_millis() as u64;
-    let arrived = ran.saturating_sub(SILENT_AT_FIRST) * BYTES_PER_MILLISECOND;
-    let reached = held + arrived;
-    // As the product does with items: a run that brought one further says nothing against it.
-    if name.starts_with(ITEM) && arrived > 0 {
-        return TryEnd::Lost(reached);
+    let elapsed_ms = started.elapsed().as_millis() as u64;
+    let new_bytes = elapsed_ms.saturating_sub(FIRST_BYTE_DELAY_MS) * BYTES_PER_MILLISECOND;
+    let reached = received + new_bytes;
+    // As in production, a lost item run that made progress isn't recorded against the item.
+    if name.starts_with(ITEM_PREFIX) && new_bytes > 0 {
+        return AttemptEnd::Lost(reached);
     }
     monitor.record_lost_run(
-        &life.backend,
+        &instance.backend,
         LostRun {
             fingerprint,
             reached,
         },
     );
-    TryEnd::Lost(reached)
+    AttemptEnd::Lost(reached)
 }
 
-fn drawn_node(world: &World) -> Rc<SimNode> {
-    let drawn = world.draw(0..world.front().len() as u64) as usize;
-    world.front()[drawn].clone()
+fn random_node(world: &World) -> Rc<SimNode> {
+    let index = world.random_in(0..world.gateways().len() as u64) as usize;
+    world.gateways()[index].clone()
 }
 
 fn running_monitor(node: &SimNode) -> Option<Rc<CrashMonitor>> {
-    let runs = node.health.get() == super::nodes::Health::Up;
-    node.monitor().filter(|_| runs)
+    let is_running = node.health.get() == super::nodes::Health::Up;
+    node.monitor().filter(|_| is_running)
 }
 
-/// A back end that takes connections: a node tries some until one does.
-fn drawn_backend(world: &World) -> Option<Rc<Life>> {
-    let listing = world.park.listing();
-    let up: Vec<Rc<Life>> = listing
+/// Returns a running back end of the listing; a node would retry until a connection succeeds.
+fn random_backend(world: &World) -> Option<Rc<BackendInstance>> {
+    let listing = world.pool.listing();
+    let running: Vec<Rc<BackendInstance>> = listing
         .into_iter()
-        .filter(|life| !life.has_ended())
+        .filter(|instance| !instance.has_exited())
         .collect();
-    if up.is_empty() {
+    if running.is_empty() {
         return None;
     }
-    let drawn = world.draw(0..up.len() as u64) as usize;
-    Some(up[drawn].clone())
+    let index = world.random_in(0..running.len() as u64) as usize;
+    Some(running[index].clone())
 }
--- a/crates/firshore-node/tests/crash_world/mod.rs
+++ b/crates/firshore-node/tests/crash_world/mod.rs
@@ -1,11 +1,11 @@
-//! Nodes, relays, back ends and callers in virtual time: no sockets, no disks. What nodes keep of back ends
-//! that ended, and how they tell each other, is the product's own code.
+//! Simulation of nodes, relays, back ends and clients in virtual time, without sockets or disks. The tracking of
+//! crashes and their exchange between nodes are the production code.
 
 pub mod backends;
 pub mod callers;
 pub mod nodes;
 
-use backends::BackendPark;
+use backends::BackendPool;
 use firshore_node::journal::registry::{KIND, NodeRecord};
 use firshore_replication::types::DiskId;
 use firshore_stand_in::store::MemoryStore;
@@ -22,112 +22,111 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::{Instant, sleep};
 
-/// Zones that nodes and relays stand in.
+/// Number of zones over which nodes and relays are spread.
 pub const ZONES: usize = 3;
 
-/// Back ends that end under a request before its further sends are counted.
-const ENDS: usize = 3;
+/// Crashes under a request after which it must be quarantined.
+const CRASHES_UNTIL_QUARANTINE: usize = 3;
 
-/// Time after the last request in which what is under way ends.
-const AFTERWARDS: Duration = Duration::from_secs(8);
+/// Time after the last request in which attempts in flight end.
+const DRAIN_TIME: Duration = Duration::from_secs(8);
 
 pub fn log() -> Logger {
     Logger::root(Discard, o!())
 }
 
-/// Why back ends end beside the requests that crash them.
+/// How back ends exit without a fatal request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnEnds {
-    /// They do not.
+pub enum ExitPattern {
+    /// No such exits.
     None,
-    /// One each second, about.
+    /// About one per second.
     Single,
-    /// Each goes down and comes up by turns.
+    /// Each alternates between running and down.
     Flapping,
-    /// Half of them at the same moment, each five seconds.
+    /// Half of them simultaneously, about every five seconds.
     Mass,
 }
 
-/// What happens to nodes, relays and the ways between them, again and again.
+/// Recurring fault of nodes, relays and the network between them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum FaultKind {
     None,
-    /// Nodes start again and know nothing.
+    /// Some nodes restart and lose their state.
     Restarts,
-    /// All relays are killed and start again.
+    /// All relays are killed and restart.
     RelaysKilled,
-    /// All relays say nothing for a while.
+    /// All relays are unresponsive for a while.
     RelaysDark,
-    /// A zone is cut off from the others.
+    /// One zone is isolated from the others.
     ZoneCut,
-    /// Nodes stand still for a while.
+    /// Some nodes are unresponsive for a while.
     Pauses,
 }
 
-/// What is played.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene {
+pub struct Scenario {
     pub seed: u64,
     pub nodes: usize,
     pub relays: usize,
     pub backends: usize,
-    /// Whether back ends start again under their names, and tell when.
-    pub keeps_names: bool,
-    /// Requests that crash back ends.
+    /// Whether back ends restart with the same name and a later start time.
+    pub reuses_names: bool,
+    /// Number of fatal requests.
     pub fatal: usize,
-    /// Longest pause between two repeats of each, in milliseconds.
-    pub longest_pause: u64,
-    /// Longest pause between two repeats of each popular request that harms nobody, in milliseconds.
-    pub popular_pause: u64,
-    pub own_ends: OwnEnds,
-    pub trouble: Trouble,
-    /// Of a thousand runs so many break off while their back end lives.
+    /// Maximum interval between two sends of a fatal request, in milliseconds.
+    pub max_interval_ms: u64,
+    /// Maximum interval between two sends of a popular harmless request, in milliseconds.
+    pub popular_interval_ms: u64,
+    pub exit_pattern: ExitPattern,
+    pub fault: FaultKind,
+    /// Runs per thousand that are interrupted while their back end keeps running.
     pub resets: u32,
-    /// Time after which what disturbed a node excuses nothing any more.
-    pub contact: Duration,
-    pub length: Duration,
+    /// Time within which a node must know of a quarantine, counted from the third crash or the last fault.
+    pub propagation_bound: Duration,
+    pub duration: Duration,
 }
 
-/// What came of it.
+/// Result of one run.
 #[derive(Debug, Default)]
-pub struct Played {
-    /// Of each request that crashes back ends: sends by nodes in touch, later than the bound after the third
-    /// end under it.
-    pub later: Vec<usize>,
-    /// Back ends that ended under each.
-    pub ended: Vec<usize>,
-    /// Innocent requests that were held back somewhere.
-    pub condemned: usize,
-    /// Tries of innocent requests.
-    pub tries: usize,
+pub struct RunReport {
+    /// For each fatal request: sends by settled nodes after the propagation bound that follows its third crash.
+    pub late_sends: Vec<usize>,
+    /// For each fatal request: back ends that crashed.
+    pub crashed: Vec<usize>,
+    /// Harmless requests that any node quarantined.
+    pub quarantined: usize,
+    /// Attempts of harmless requests.
+    pub attempts: usize,
     /// Calls between nodes.
     pub calls: u64,
 }
 
-/// All of a play.
+/// State of one run.
 pub struct World {
-    pub scene: Scene,
+    pub scenario: Scenario,
     pub network: Rc<Network>,
-    pub park: Rc<BackendPark>,
-    /// The relays come first.
+    pub pool: Rc<BackendPool>,
+    /// Relays, followed by the gateway nodes.
     pub nodes: Vec<Rc<SimNode>>,
     random: RefCell<StdRng>,
-    pub is_over: Cell<bool>,
-    /// Sends of each request that crashes back ends, by nodes in touch.
+    pub is_finished: Cell<bool>,
+    /// Send times of each fatal request, from settled nodes only.
     pub fatal_sends: RefCell<BTreeMap<usize, Vec<Instant>>>,
-    /// Innocent requests that were held back, by name.
-    pub condemned: RefCell<BTreeSet<String>>,
-    pub tries: Cell<usize>,
+    /// Names of harmless requests that were quarantined.
+    pub quarantined: RefCell<BTreeSet<String>>,
+    pub attempts: Cell<usize>,
 }
 
-/// Plays a scene.
-pub fn play(scene: Scene) -> Played {
+/// Runs a scenario in virtual time.
+pub fn simulate(scenario: Scenario) -> RunReport {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build()
         .expect("a runtime");
-    LocalSet::new().block_on(&runtime, async { World::start(scene).play().await })
+    LocalSet::new().block_on(&runtime, async { World::start(scenario).simulate().await })
 }
 
 fn record(number: usize) -> serde_json::Value {
@@ -136,92 +135,92 @@
         zone: nodes::zone(number),
         disk: DiskId(number as u64),
     };
-    serde_json::to_value(record).expect("records serialise")
+    serde_json::to_value(record).expect("node records serialize")
 }
 
 impl World {
-    fn start(scene: Scene) -> Rc<Self> {
+    fn start(scenario: Scenario) -> Rc<Self> {
         let store = MemoryStore::new();
-        for number in 0..scene.relays {
+        for number in 0..scenario.relays {
             store.put(KIND, &format!("node.n{number}"), record(number));
         }
-        let network = Network::new(scene.relays);
-        let park = BackendPark::new(scene.backends, scene.keeps_names);
-        let nodes: Vec<Rc<SimNode>> = (0..scene.relays + scene.nodes)
-            .map(|number| SimNode::new(number, scene.seed, &network, &park, &store))
+        let network = Network::new(scenario.relays);
+        let pool = BackendPool::new(scenario.backends, scenario.reuses_names);
+        let nodes: Vec<Rc<SimNode>> = (0..scenario.relays + scenario.nodes)
+            .map(|number| SimNode::new(number, scenario.seed, &network, &pool, &store))
             .collect();
         network.nodes.borrow_mut().extend(nodes.iter().cloned());
         Rc::new(Self {
-            scene,
+            scenario,
             network,
-            park,
+            pool,
             nodes,
-            random: RefCell::new(StdRng::seed_from_u64(scene.seed)),
-            is_over: Cell::new(false),
+            random: RefCell::new(StdRng::seed_from_u64(scenario.seed)),
+            is_finished: Cell::new(false),
             fatal_sends: RefCell::default(),
-            condemned: RefCell::default(),
-            tries: Cell::new(0),
+            quarantined: RefCell::default(),
+            attempts: Cell::new(0),
         })
     }
 
-    /// Draws a number.
-    pub fn draw(&self, range: std::ops::Range<u64>) -> u64 {
+    /// Returns a random number within a range.
+    pub fn random_in(&self, range: std::ops::Range<u64>) -> u64 {
         self.random.borrow_mut().random_range(range)
     }
 
-    /// Waits for a drawn number of milliseconds.
-    pub async fn pause(&self, range: std::ops::Range<u64>) {
-        let span = Duration::from_millis(self.draw(range));
+    /// Sleeps for a random number of milliseconds within a range.
+    pub async fn sleep_random(&self, range: std::ops::Range<u64>) {
+        let span = Duration::from_millis(self.random_in(range));
         sleep(span).await;
     }
 
-    /// The nodes that serve callers.
-    pub fn front(&self) -> &[Rc<SimNode>] {
-        &self.nodes[self.scene.relays..]
+    /// Returns the nodes that serve clients.
+    pub fn gateways(&self) -> &[Rc<SimNode>] {
+        &self.nodes[self.scenario.relays..]
     }
 
-    async fn play(self: Rc<Self>) -> Played {
+    async fn simulate(self: Rc<Self>) -> RunReport {
         for node in &self.nodes {
             node.start();
         }
         let mut tasks = callers::start(&self);
-        tasks.push(spawn(backends::end_by_themselves(self.clone())));
-        tasks.push(spawn(nodes::trouble(self.clone())));
-        sleep(self.scene.length).await;
-        self.is_over.set(true);
-        sleep(AFTERWARDS).await;
-        let played = self.judge();
+        tasks.push(spawn(backends::run_spontaneous_exits(self.clone())));
+        tasks.push(spawn(nodes::run_faults(self.clone())));
+        sleep(self.scenario.duration).await;
+        self.is_finished.set(true);
+        sleep(DRAIN_TIME).await;
+        let report = self.evaluate();
         tasks.iter().for_each(JoinHandle::abort);
-        self.nodes.iter().for_each(|node| node.end());
-        played
+        self.nodes.iter().for_each(|node| node.stop());
+        report
     }
 
-    fn judge(&self) -> Played {
-        let mut played = Played {
-            tries: self.tries.get(),
+    fn evaluate(&self) -> RunReport {
+        let mut report = RunReport {
+            attempts: self.attempts.get(),
             calls: self.network.calls.get(),
-            condemned: self.condemned.borrow().len(),
-            ..Played::default()
+            quarantined: self.quarantined.borrow().len(),
+            ..RunReport::default()
         };
-        for fatal in 0..self.scene.fatal {
-            let ends = self.park.ends_under(fatal);
+        for fatal in 0..self.scenario.fatal {
+            let crashes = self.pool.crash_times(fatal);
             let sends = self.fatal_sends.borrow();
             let sends = sends.get(&fatal).map_or(&[][..], Vec::as_slice);
-            let later = match ends.get(ENDS - 1) {
+            let late_sends = match crashes.get(CRASHES_UNTIL_QUARANTINE - 1) {
                 Some(third) => {
-                    let bound = *third + self.scene.contact;
+                    let bound = *third + self.scenario.propagation_bound;
                     sends.iter().filter(|at| **at > bound).count()
                 }
                 None => 0,
             };
-            played.later.push(later);
-            played.ended.push(ends.len());
+            report.late_sends.push(late_sends);
+            report.crashed.push(crashes.len());
         }
-        played
+        report
     }
 }
 
-/// Starts a task of the play.
+/// Spawns a task on the local set.
 pub fn spawn(work: impl Future<Output = ()> + 'static) -> JoinHandle<()> {
     tokio::task::spawn_local(work)
 }
--- a/crates/firshore-node/tests/crash_world/nodes.rs
+++ b/crates/firshore-node/tests/crash_world/nodes.rs
@@ -1,7 +1,7 @@
-//! Nodes and relays, and the ways between them.
+//! Simulated nodes and relays, and the network between them.
 
-use super::backends::BackendPark;
-use super::{Trouble, World, ZONES, log, spawn};
+use super::backends::BackendPool;
+use super::{FaultKind, World, ZONES, log, spawn};
 use firshore_gateway::crash_monitor::{CrashCounters, CrashMonitor};
 use firshore_gateway::fleet::Fleet;
 use firshore_link::client::{self, PeerError};
@@ -21,44 +21,44 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Time that a call between nodes takes each way.
+/// One-way network latency.
 const LATENCY: Duration = Duration::from_millis(2);
 
-/// Time between questions of a node to its relay: what a relay holds a question for, about.
-const POLL: Duration = Duration::from_millis(400);
+/// Interval between a node's queries to its relay, about as long as a relay holds a query.
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time in which a relay must answer such a question.
+/// Timeout of a query to a relay.
 const POLL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Milliseconds after which a node knows what the store lists.
-const LISTING_LAG: u64 = 300;
+/// Upper bound of a node's delay in following the store's listing, in milliseconds.
+const MAX_LISTING_LAG_MS: u64 = 300;
 
-/// Milliseconds between two troubles, and that one lasts.
-const BETWEEN: std::ops::Range<u64> = 1_500..5_000;
-const LASTS: std::ops::Range<u64> = 300..3_500;
+/// Milliseconds between two faults, and the duration of one.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 1_500..5_000;
+const FAULT_LENGTH_MS: std::ops::Range<u64> = 300..3_500;
 
-/// How a machine is reached.
+/// Reachability of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Up,
     /// Calls fail at once.
     Down,
-    /// Nothing is answered.
-    Dark,
+    /// Calls get no response.
+    Unresponsive,
 }
 
-/// What lies between nodes.
+/// Network between the nodes.
 pub struct Network {
     relays: usize,
     pub nodes: RefCell<Vec<Rc<SimNode>>>,
-    /// Zone that is cut off from the others.
-    cut: Cell<Option<usize>>,
+    /// Zone that is isolated from the others.
+    isolated_zone: Cell<Option<usize>>,
     pub calls: Cell<u64>,
-    /// When a relay was disturbed last.
-    relays_disturbed_at: Cell<Option<Instant>>,
+    /// Time of the latest fault of a relay.
+    relay_fault_at: Cell<Option<Instant>>,
 }
 
-/// A name for a node's machine; nothing listens there.
+/// Returns the address that identifies a node; no socket is opened.
 pub fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1 + number as u16))
 }
@@ -80,15 +80,15 @@
         Rc::new(Self {
             relays,
             nodes: RefCell::default(),
-            cut: Cell::default(),
+            isolated_zone: Cell::default(),
             calls: Cell::new(0),
-            relays_disturbed_at: Cell::default(),
+            relay_fault_at: Cell::default(),
         })
     }
 
-    fn is_cut(&self, one: usize, other: usize) -> bool {
-        let cut = self.cut.get();
-        cut.is_some_and(|zone| (one % ZONES == zone) != (other % ZONES == zone))
+    fn is_separated(&self, one: usize, other: usize) -> bool {
+        let isolated_zone = self.isolated_zone.get();
+        isolated_zone.is_some_and(|zone| (one % ZONES == zone) != (other % ZONES == zone))
     }
 
     async fn call(
@@ -100,42 +100,42 @@
         self.calls.set(self.calls.get() + 1);
         sleep(LATENCY).await;
         let peer = self.nodes.borrow()[to].clone();
-        if self.is_cut(from, to) || peer.health.get() == Health::Dark {
+        if self.is_separated(from, to) || peer.health.get() == Health::Unresponsive {
             return pending().await;
         }
         let monitor = peer.monitor();
         let (Health::Up, Some(monitor)) = (peer.health.get(), monitor) else {
             return Err(PeerError::NotSent);
         };
-        let PeerRequest::Crashes(question) = request else {
+        let PeerRequest::Crashes(query) = request else {
             panic!("{request:?}");
         };
-        let answer = monitor.handle_request(&question);
+        let response = monitor.handle_request(&query);
         sleep(LATENCY).await;
-        match self.is_cut(from, to) {
+        match self.is_separated(from, to) {
             true => pending().await,
-            false => Ok(PeerResponse::Crashes(answer)),
+            false => Ok(PeerResponse::Crashes(response)),
         }
     }
 }
 
-/// What runs on a node from its start to its end.
-struct NodeLife {
+/// Monitor and tasks of a running node.
+struct NodeProcess {
     monitor: Rc<CrashMonitor>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// A node.
+/// A simulated node or relay.
 pub struct SimNode {
     pub number: usize,
     seed: u64,
     network: Rc<Network>,
-    park: Rc<BackendPark>,
+    pool: Rc<BackendPool>,
     store: Rc<MemoryStore>,
     pub health: Cell<Health>,
     starts: Cell<u64>,
-    life: RefCell<Option<NodeLife>>,
-    disturbed_at: Cell<Option<Instant>>,
+    process: RefCell<Option<NodeProcess>>,
+    last_fault_at: Cell<Option<Instant>>,
 }
 
 impl SimNode {
@@ -143,50 +143,50 @@
         number: usize,
         seed: u64,
         network: &Rc<Network>,
-        park: &Rc<BackendPark>,
+        pool: &Rc<BackendPool>,
         store: &Rc<MemoryStore>,
     ) -> Rc<Self> {
         Rc::new(Self {
             number,
             seed,
             network: network.clone(),
-            park: park.clone(),
+            pool: pool.clone(),
             store: store.clone(),
             health: Cell::new(Health::Up),
             starts: Cell::new(0),
-            life: RefCell::default(),
-            disturbed_at: Cell::default(),
+            process: RefCell::default(),
+            last_fault_at: Cell::default(),
         })
     }
 
     pub fn monitor(&self) -> Option<Rc<CrashMonitor>> {
-        let life = self.life.borrow();
-        life.as_ref().map(|life| life.monitor.clone())
+        let process = self.process.borrow();
+        process.as_ref().map(|process| process.monitor.clone())
     }
 
-    /// Ends what runs: all that was known is lost.
-    pub fn end(&self) {
-        if let Some(life) = self.life.take() {
-            life.tasks.iter().for_each(JoinHandle::abort);
+    /// Stops the node; its state is lost.
+    pub fn stop(&self) {
+        if let Some(process) = self.process.take() {
+            process.tasks.iter().for_each(JoinHandle::abort);
         }
     }
 
     pub fn start(&self) {
-        self.end();
+        self.stop();
         self.starts.set(self.starts.get() + 1);
         let epoch = self.seed << 24 | (self.number as u64) << 8 | self.starts.get();
         let fleet = Rc::new(RefCell::new(Fleet::new(zone(self.number))));
-        let park = self.park.clone();
+        let pool = self.pool.clone();
         let monitor = Rc::new(CrashMonitor::with_probe(
             log(),
             fleet.clone(),
             epoch,
             CrashCounters::default(),
             Rc::new(move |address| {
-                let park = park.clone();
+                let pool = pool.clone();
                 async move {
                     sleep(LATENCY).await;
-                    park.is_refused(address)
+                    pool.is_refused(address)
                 }
                 .boxed_local()
             }),
@@ -201,72 +201,75 @@
             self.peers(),
             log(),
         );
-        let asks = self.number >= self.network.relays;
+        let polls_relay = self.number >= self.network.relays;
         let mut tasks = vec![
             spawn(exchange.clone().run()),
-            spawn(follow(
-                self.park.clone(),
+            spawn(follow_listing(
+                self.pool.clone(),
                 fleet,
                 self.seed + self.number as u64,
             )),
         ];
-        if asks {
+        if polls_relay {
             let network = self.network.clone();
-            tasks.push(spawn(poll(network, self.number, registry, exchange)));
+            tasks.push(spawn(poll_relay(network, self.number, registry, exchange)));
         } else {
-            // Relays know each other before anything happens.
+            // Relays read the registry once, before the first fault.
             tasks.push(spawn(async move {
                 registry.refresh().await;
             }));
         }
-        self.life.replace(Some(NodeLife { monitor, tasks }));
+        self.process.replace(Some(NodeProcess { monitor, tasks }));
     }
 
     fn peers(&self) -> PeerClient {
         let (peers, calls) = PeerClient::new();
         let (network, from) = (self.network.clone(), self.number);
-        let answer = move |address: SocketAddr, request: PeerRequest| {
+        let handler = move |address: SocketAddr, request: PeerRequest| {
             network
                 .clone()
                 .call(from, number(address), request)
                 .boxed_local()
         };
-        spawn(client::serve_with(calls, answer));
+        spawn(client::serve_with(calls, handler));
         peers
     }
 
-    /// Notes that what happens now excuses the node for a while.
-    fn disturb(&self) {
-        self.disturbed_at.set(Some(Instant::now()));
+    /// Records a fault of the node; its sends aren't counted until it has settled.
+    fn record_fault(&self) {
+        self.last_fault_at.set(Some(Instant::now()));
         if self.number < self.network.relays {
-            self.network.relays_disturbed_at.set(Some(Instant::now()));
+            self.network.relay_fault_at.set(Some(Instant::now()));
         }
     }
 
-    /// Whether nothing has disturbed the node or the relays for so long.
-    pub fn is_in_touch(&self, contact: Duration) -> bool {
-        let is_old = |at: Instant| at.elapsed() >= contact;
-        let relays_stable = self.network.relays_disturbed_at.get().is_none_or(is_old);
-        let runs = self.health.get() == Health::Up && self.life.borrow().is_some();
-        let is_cut = self.network.cut.get().is_some();
-        runs && !is_cut && relays_stable && self.disturbed_at.get().is_none_or(is_old)
+    /// Returns whether the node runs and neither it nor a relay had a fault within the given time.
+    pub fn is_settled(&self, propagation_bound: Duration) -> bool {
+        let has_settled = |at: Instant| at.elapsed() >= propagation_bound;
+        let relays_stable = self.network.relay_fault_at.get().is_none_or(has_settled);
+        let is_running = self.health.get() == Health::Up && self.process.borrow().is_some();
+        let any_isolated = self.network.isolated_zone.get().is_some();
+        is_running
+            && !any_isolated
+            && relays_stable
+            && self.last_fault_at.get().is_none_or(has_settled)
     }
 }
 
-/// Keeps what a node knows of back ends, a little late.
-async fn follow(park: Rc<BackendPark>, fleet: Rc<RefCell<Fleet>>, seed: u64) {
-    let mut listed = park.listed.subscribe();
+/// Copies the store's listing into a node's fleet, with a delay.
+async fn follow_listing(pool: Rc<BackendPool>, fleet: Rc<RefCell<Fleet>>, seed: u64) {
+    let mut listing_version = pool.listing_version.subscribe();
     loop {
-        fleet.borrow_mut().replace(park.backends());
-        if listed.changed().await.is_err() {
+        fleet.borrow_mut().replace(pool.backends());
+        if listing_version.changed().await.is_err() {
             return;
         }
-        sleep(Duration::from_millis(seed * 37 % LISTING_LAG)).await;
+        sleep(Duration::from_millis(seed * 37 % MAX_LISTING_LAG_MS)).await;
     }
 }
 
-/// Asks the first relay that answers how far its table is, as answers to other questions tell it.
-async fn poll(
+/// Reads the cursor of the first relay that responds; in production, responses to other queries carry it.
+async fn poll_relay(
     network: Rc<Network>,
     from: usize,
     registry: Rc<Registry>,
@@ -280,75 +283,77 @@
                 .address(&relay)
                 .map(number)
                 .expect("relays are listed");
-            let asked = async {
+            let query = async {
                 sleep(LATENCY).await;
                 let peer = network.nodes.borrow()[to].clone();
-                if network.is_cut(from, to) || peer.health.get() == Health::Dark {
+                if network.is_separated(from, to) || peer.health.get() == Health::Unresponsive {
                     return pending().await;
                 }
                 peer.monitor().map(|monitor| monitor.cursor())
             };
-            if let Ok(Some(cursor)) = timeout(POLL_TIMEOUT, asked).await {
+            if let Ok(Some(cursor)) = timeout(POLL_TIMEOUT, query).await {
                 exchange.update_cursor(&relay, cursor);
                 break;
             }
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Lets the trouble of the scene happen again and again, until the play is over.
-pub async fn trouble(world: Rc<World>) {
-    let relays = 0..world.scene.relays;
-    while !world.is_over.get() && world.scene.trouble != Trouble::None {
-        world.pause(BETWEEN).await;
-        match world.scene.trouble {
-            Trouble::None => {}
-            Trouble::Restarts => {
+/// Applies the scenario's fault repeatedly until the run is finished.
+pub async fn run_faults(world: Rc<World>) {
+    let relays = 0..world.scenario.relays;
+    while !world.is_finished.get() && world.scenario.fault != FaultKind::None {
+        world.sleep_random(FAULT_INTERVAL_MS).await;
+        match world.scenario.fault {
+            FaultKind::None => {}
+            FaultKind::Restarts => {
                 for _ in 0..5 {
-                    let drawn = world.draw(0..world.nodes.len() as u64) as usize;
-                    let node = &world.nodes[drawn];
-                    node.disturb();
+                    let index = world.random_in(0..world.nodes.len() as u64) as usize;
+                    let node = &world.nodes[index];
+                    node.record_fault();
                     node.start();
                 }
             }
-            Trouble::RelaysKilled => {
-                lasts(&world, relays.clone(), Health::Down).await;
+            FaultKind::RelaysKilled => {
+                apply_fault(&world, relays.clone(), Health::Down).await;
                 relays
                     .clone()
                     .for_each(|number| world.nodes[number].start());
             }
-            Trouble::RelaysDark => lasts(&world, relays.clone(), Health::Dark).await,
-            Trouble::Pauses => {
-                let first = world.draw(0..world.nodes.len() as u64 - 5) as usize;
-                lasts(&world, first..first + 5, Health::Dark).await;
+            FaultKind::RelaysDark => {
+                apply_fault(&world, relays.clone(), Health::Unresponsive).await
             }
-            Trouble::ZoneCut => {
-                world.nodes.iter().for_each(|node| node.disturb());
+            FaultKind::Pauses => {
+                let first = world.random_in(0..world.nodes.len() as u64 - 5) as usize;
+                apply_fault(&world, first..first + 5, Health::Unresponsive).await;
+            }
+            FaultKind::ZoneCut => {
+                world.nodes.iter().for_each(|node| node.record_fault());
                 world
                     .network
-                    .cut
-                    .set(Some(world.draw(0..ZONES as u64) as usize));
-                world.pause(LASTS).await;
-                world.network.cut.set(None);
-                world.nodes.iter().for_each(|node| node.disturb());
+                    .isolated_zone
+                    .set(Some(world.random_in(0..ZONES as u64) as usize));
+                world.sleep_random(FAULT_LENGTH_MS).await;
+                world.network.isolated_zone.set(None);
+                world.nodes.iter().for_each(|node| node.record_fault());
             }
         }
     }
 }
 
-async fn lasts(world: &World, nodes: std::ops::Range<usize>, health: Health) {
-    let each = |health: Health| {
+async fn apply_fault(world: &World, nodes: std::ops::Range<usize>, health: Health) {
+    let set_health = |health: Health| {
         for number in nodes.clone() {
             let node = &world.nodes[number];
-            node.disturb();
+            node.record_fault();
             node.health.set(health);
             if health == Health::Down {
-                node.end();
+                node.stop();
             }
         }
     };
-    each(health);
-    world.pause(LASTS).await;
-    each(Health::Up);
+    set_health(health);
+    world.sleep_random(FAULT_LENGTH_MS).await;
+    set_health(Health::Up);
 }
--- a/crates/firshore-node/tests/crashing_requests.rs
+++ b/crates/firshore-node/tests/crashing_requests.rs
@@ -1,37 +1,31 @@
-//! Requests under which back ends end, before some 50 nodes in virtual time: each node sees a part of what
-//! they do, and none sends them on for long.
-//!
-//! Two requests came back with a new identifier each time, at any of seven gateways, and ended 17 and 23 back
-//! ends; later than the bound after the third they were sent 10 and 16 times more, 3 being allowed. Nothing
-//! knew a request by what it asks, and no gateway heard of what another one had seen: `forward: Answer lost.`
-//! named another request each time. The same must not be said of requests that harm nobody and are lost
-//! because back ends end for reasons of their own.
+//! Requests that crash back ends must be quarantined on all nodes after their third crash, even where each node sees
+//! only some of the crashes. Harmless requests that are lost when back ends exit must not be quarantined.
 
 mod crash_world;
 
-use crash_world::{OwnEnds, Played, Scene, Trouble, play};
+use crash_world::{ExitPattern, FaultKind, RunReport, Scenario, simulate};
 use std::time::Duration;
 
-/// Seeds that are played of each class: `FIRSHORE_CRASH_SEEDS`, or so many.
+/// Seeds per class without `FIRSHORE_CRASH_SEEDS`.
 const SEEDS: u64 = 3;
 
-/// Sends later than the bound that are allowed.
-const MOST_LATER: usize = 3;
+/// Sends of a fatal request allowed after the propagation bound.
+const MAX_LATE_SENDS: usize = 3;
 
-const CALM: Scene = Scene {
+const CALM: Scenario = Scenario {
     seed: 0,
     nodes: 46,
     relays: 6,
     backends: 24,
-    keeps_names: false,
+    reuses_names: false,
     fatal: 1,
-    longest_pause: 500,
-    popular_pause: 400,
-    own_ends: OwnEnds::None,
-    trouble: Trouble::None,
+    max_interval_ms: 500,
+    popular_interval_ms: 400,
+    exit_pattern: ExitPattern::None,
+    fault: FaultKind::None,
     resets: 0,
-    contact: Duration::from_secs(3),
-    length: Duration::from_secs(25),
+    propagation_bound: Duration::from_secs(3),
+    duration: Duration::from_secs(25),
 };
 
 fn seeds() -> u64 {
@@ -39,163 +33,183 @@
     wanted.map_or(SEEDS, |seeds| seeds.parse().expect("a number of seeds"))
 }
 
-/// Plays a class with each seed, and prints what came of it.
-fn played(class: &str, scene: Scene) -> Vec<Played> {
+/// Runs a class with each seed, and prints the results.
+fn run_seeds(class: &str, scenario: Scenario) -> Vec<RunReport> {
     let mut all = Vec::new();
     for seed in 1..=seeds() {
-        let played = play(Scene { seed, ..scene });
-        eprintln!("{class}, seed {seed}: {played:?}");
-        all.push(played);
+        let report = simulate(Scenario { seed, ..scenario });
+        eprintln!("{class}, seed {seed}: {report:?}");
+        all.push(report);
     }
     all
 }
 
-/// Plays a class, and checks that no request is sent on for long and none that harms nobody is held back.
-fn hold(class: &str, scene: Scene) {
-    for (idx, played) in played(class, scene).iter().enumerate() {
+/// Checks that fatal requests are quarantined in time and that no harmless request is quarantined.
+fn check(class: &str, scenario: Scenario) {
+    for (idx, report) in run_seeds(class, scenario).iter().enumerate() {
         let seed = idx + 1;
-        let most = played.later.iter().max().copied().unwrap_or(0);
-        assert!(most <= MOST_LATER, "{class}, seed {seed}: {played:?}");
-        assert_eq!(played.condemned, 0, "{class}, seed {seed}: {played:?}");
-        assert!(played.tries > 500, "{class}, seed {seed}: {played:?}");
+        let max_late = report.late_sends.iter().max().copied().unwrap_or(0);
+        assert!(
+            max_late <= MAX_LATE_SENDS,
+            "{class}, seed {seed}: {report:?}"
+        );
+        assert_eq!(report.quarantined, 0, "{class}, seed {seed}: {report:?}");
+        assert!(report.attempts > 500, "{class}, seed {seed}: {report:?}");
     }
 }
 
 #[test]
-fn one_request_that_crashes_back_ends_is_held_back() {
-    hold("often", CALM);
-    hold(
+fn one_fatal_request_is_quarantined() {
+    check("often", CALM);
+    check(
         "at once",
-        Scene {
-            longest_pause: 60,
+        Scenario {
+            max_interval_ms: 60,
             ..CALM
         },
     );
-    hold(
+    check(
         "seldom",
-        Scene {
-            longest_pause: 6_000,
-            length: Duration::from_secs(60),
+        Scenario {
+            max_interval_ms: 6_000,
+            duration: Duration::from_secs(60),
             ..CALM
         },
     );
-    hold(
+    check(
         "longer bound",
-        Scene {
-            contact: Duration::from_secs(5),
+        Scenario {
+            propagation_bound: Duration::from_secs(5),
             ..CALM
         },
     );
 }
 
 #[test]
-fn several_requests_that_crash_back_ends_are_held_back() {
-    hold("two", Scene { fatal: 2, ..CALM });
-    hold(
+fn several_fatal_requests_are_quarantined() {
+    check("two", Scenario { fatal: 2, ..CALM });
+    check(
         "six",
-        Scene {
+        Scenario {
             fatal: 6,
-            longest_pause: 1_500,
+            max_interval_ms: 1_500,
             ..CALM
         },
     );
 }
 
 #[test]
-fn they_are_held_back_while_back_ends_end_by_themselves() {
-    for own_ends in [OwnEnds::Single, OwnEnds::Mass, OwnEnds::Flapping] {
-        hold(&format!("{own_ends:?}"), Scene { own_ends, ..CALM });
+fn fatal_requests_are_quarantined_despite_spontaneous_exits() {
+    for exit_pattern in [
+        ExitPattern::Single,
+        ExitPattern::Mass,
+        ExitPattern::Flapping,
+    ] {
+        check(
+            &format!("{exit_pattern:?}"),
+            Scenario {
+                exit_pattern,
+                ..CALM
+            },
+        );
     }
 }
 
-/// Back ends that start again under their names and tell when: few, of which each ends more than once, and as many
-/// as elsewhere, which end by themselves too.
+/// Covers back ends that restart with the same name: few that each crash several times, and the default number with
+/// spontaneous exits.
 #[test]
-fn they_are_held_back_where_back_ends_start_again_under_their_names() {
-    let kept = Scene {
-        keeps_names: true,
+fn fatal_requests_are_quarantined_when_back_ends_keep_their_names() {
+    let kept = Scenario {
+        reuses_names: true,
         ..CALM
     };
-    let few = Scene {
+    let few = Scenario {
         backends: 6,
-        length: Duration::from_secs(40),
+        duration: Duration::from_secs(40),
         ..kept
     };
-    hold("names kept", kept);
-    hold("few, names kept", few);
-    for own_ends in [OwnEnds::Single, OwnEnds::Mass, OwnEnds::Flapping] {
-        let scene = Scene { own_ends, ..kept };
-        hold(&format!("{own_ends:?}, names kept"), scene);
-        let innocent = Scene {
+    check("names kept", kept);
+    check("few, names kept", few);
+    for exit_pattern in [
+        ExitPattern::Single,
+        ExitPattern::Mass,
+        ExitPattern::Flapping,
+    ] {
+        let scenario = Scenario {
+            exit_pattern,
+            ..kept
+        };
+        check(&format!("{exit_pattern:?}, names kept"), scenario);
+        let harmless = Scenario {
             fatal: 0,
             resets: 20,
-            ..scene
+            ..scenario
         };
-        hold(&format!("innocent {own_ends:?}, names kept"), innocent);
+        check(&format!("harmless {exit_pattern:?}, names kept"), harmless);
     }
 }
 
 #[test]
-fn requests_that_harm_nobody_are_not_held_back_while_back_ends_end() {
-    for own_ends in [
-        OwnEnds::None,
-        OwnEnds::Single,
-        OwnEnds::Mass,
-        OwnEnds::Flapping,
+fn harmless_requests_are_not_quarantined_when_back_ends_exit() {
+    for exit_pattern in [
+        ExitPattern::None,
+        ExitPattern::Single,
+        ExitPattern::Mass,
+        ExitPattern::Flapping,
     ] {
-        let scene = Scene {
+        let scenario = Scenario {
             fatal: 0,
-            own_ends,
+            exit_pattern,
             resets: 20,
             ..CALM
         };
-        hold(&format!("innocent {own_ends:?}"), scene);
-        let popular = Scene {
-            popular_pause: 40,
-            length: Duration::from_secs(12),
-            ..scene
+        check(&format!("harmless {exit_pattern:?}"), scenario);
+        let popular = Scenario {
+            popular_interval_ms: 40,
+            duration: Duration::from_secs(12),
+            ..scenario
         };
-        hold(&format!("popular {own_ends:?}"), popular);
+        check(&format!("popular {exit_pattern:?}"), popular);
     }
 }
 
 #[test]
-fn they_are_held_back_whatever_happens_to_nodes_and_relays() {
-    let troubles = [
-        Trouble::Restarts,
-        Trouble::RelaysKilled,
-        Trouble::RelaysDark,
-        Trouble::ZoneCut,
-        Trouble::Pauses,
+fn fatal_requests_are_quarantined_despite_node_and_relay_faults() {
+    let faults = [
+        FaultKind::Restarts,
+        FaultKind::RelaysKilled,
+        FaultKind::RelaysDark,
+        FaultKind::ZoneCut,
+        FaultKind::Pauses,
     ];
-    for trouble in troubles {
-        hold(
-            &format!("{trouble:?}"),
-            Scene {
-                trouble,
+    for fault in faults {
+        check(
+            &format!("{fault:?}"),
+            Scenario {
+                fault,
                 resets: 5,
                 ..CALM
             },
         );
-        let seldom = Scene {
-            longest_pause: 3_000,
-            length: Duration::from_secs(40),
+        let seldom = Scenario {
+            max_interval_ms: 3_000,
+            duration: Duration::from_secs(40),
             ..CALM
         };
-        hold(&format!("seldom {trouble:?}"), Scene { trouble, ..seldom });
+        check(&format!("seldom {fault:?}"), Scenario { fault, ..seldom });
     }
 }
 
 #[test]
-fn nothing_is_called_on_a_calm_day() {
-    for played in played(
+fn nodes_exchange_no_crash_calls_without_exits() {
+    for report in run_seeds(
         "calm",
-        Scene {
+        Scenario {
             fatal: 0,
             resets: 20,
             ..CALM
         },
     ) {
-        assert_eq!(played.calls, 0, "{played:?}");
+        assert_eq!(report.calls, 0, "{report:?}");
     }
 }
--- a/crates/firshore-node/tests/disk_world/ledger.rs
+++ b/crates/firshore-node/tests/disk_world/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers were promised and shown, and what they do to learn it.
+//! Jobs that clients had accepted and the results they were shown; the clients' submissions and reads.
 
 use crate::cluster::{items, pause, route, whole};
 use firshore_adapter::jobs::{ItemOutcome, JobId, ResultPage};
@@ -10,22 +10,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Items of a job.
+/// Number of items of a job.
 pub const ITEMS: usize = 4;
 
-/// Time in which everything accepted is read whole once all faults are over.
-const READ_WITHIN: Duration = Duration::from_secs(20);
+/// Time after the last fault in which every accepted job must be readable completely.
+const READ_LIMIT: Duration = Duration::from_secs(20);
 
-/// Milliseconds between two jobs of a caller.
+/// Milliseconds between two submissions of a client.
 const JOB_GAP_MS: std::ops::Range<u64> = 30..500;
 
-/// Milliseconds between two reads of a caller.
+/// Milliseconds between two reads of a client.
 const READ_GAP_MS: std::ops::Range<u64> = 10..150;
 
-/// What callers know.
-pub type NodeLedger = JobLedger<ItemOutcome>;
+/// Accepted jobs and the results shown to clients.
+pub type ClientLedger = JobLedger<ItemOutcome>;
 
-fn note_page(ledger: &NodeLedger, job: &str, from: u64, page: ResultPage) {
+fn record_page(ledger: &ClientLedger, job: &str, from: u64, page: ResultPage) {
     for (position, result) in (from..).zip(page.results) {
         let (item, outcome) = (result.item, result.outcome);
         if outcome != whole() {
@@ -35,12 +35,12 @@
     }
 }
 
-/// Hands a job in, again and again until it is accepted; tells whether it was before callers ended.
-pub async fn submit(client: &JournalClient, ledger: &NodeLedger, job: &str) -> bool {
+/// Submits a job until it is accepted. Returns whether it was accepted before the ledger was closed.
+pub async fn submit(client: &JournalClient, ledger: &ClientLedger, job: &str) -> bool {
     while !ledger.is_closed() {
         ledger.count_request();
-        let answer = client.submit(route(), JobId::of_nobody(job), items(ITEMS));
-        if answer.await.is_ok() {
+        let response = client.submit(route(), JobId::of_nobody(job), items(ITEMS));
+        if response.await.is_ok() {
             ledger.accept(job);
             return true;
         }
@@ -49,8 +49,8 @@
     false
 }
 
-/// Hands in one job after the other.
-pub async fn submit_jobs(client: Rc<JournalClient>, ledger: Rc<NodeLedger>, mut random: StdRng) {
+/// Submits jobs one after the other until the ledger is closed.
+pub async fn submit_jobs(client: Rc<JournalClient>, ledger: Rc<ClientLedger>, mut random: StdRng) {
     let mut count = 0;
     while submit(&client, &ledger, &format!("job{count}")).await {
         count += 1;
@@ -59,8 +59,8 @@
     }
 }
 
-/// Reads accepted jobs from any position, and compares with what was shown before.
-pub async fn read_jobs(client: Rc<JournalClient>, ledger: Rc<NodeLedger>, mut random: StdRng) {
+/// Reads random accepted jobs from random positions, and compares the results with those shown before.
+pub async fn read_jobs(client: Rc<JournalClient>, ledger: Rc<ClientLedger>, mut random: StdRng) {
     while !ledger.is_closed() {
         let gap = random.random_range(READ_GAP_MS);
         actix_rt::time::sleep(Duration::from_millis(gap)).await;
@@ -73,13 +73,13 @@
     }
 }
 
-async fn read(client: &JournalClient, ledger: &NodeLedger, job: &str, from: u64) -> ReadEnd {
+async fn read(client: &JournalClient, ledger: &ClientLedger, job: &str, from: u64) -> ReadEnd {
     ledger.count_request();
     let page = client.results(JobId::of_nobody(job), from, Duration::ZERO);
     match page.await {
         Ok(Some(page)) => {
             let count = page.results.len();
-            note_page(ledger, job, from, page);
+            record_page(ledger, job, from, page);
             ReadEnd::Shown(count)
         }
         Ok(None) => {
@@ -90,8 +90,8 @@
     }
 }
 
-/// Reads everything accepted, from the start and whole.
-pub async fn read_all(client: &JournalClient, ledger: &NodeLedger) {
+/// Reads all accepted jobs completely, from the start.
+pub async fn read_all(client: &JournalClient, ledger: &ClientLedger) {
     let read_whole = async |job: &str| read(client, ledger, job, 0).await;
-    ledger.read_all(ITEMS, READ_WITHIN, read_whole).await;
+    ledger.read_all(ITEMS, READ_LIMIT, read_whole).await;
 }
--- a/crates/firshore-node/tests/disk_world/mod.rs
+++ b/crates/firshore-node/tests/disk_world/mod.rs
@@ -1,4 +1,4 @@
-//! Machines with disks that lose them, are emptied, taken away and replaced while callers go on.
+//! A cluster whose machines lose their disks, are retired, removed and replaced while clients submit and read jobs.
 
 pub mod ledger;
 
@@ -8,7 +8,7 @@
 use firshore_stand_in::adapter::{CONFIGURATION, RETIREMENTS};
 use firshore_stand_in::backend::{Play, ScriptedBackend};
 use firshore_stand_in::store::Fault;
-use ledger::NodeLedger;
+use ledger::ClientLedger;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
@@ -16,75 +16,74 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a shared machine may add to any bound.
-pub const MARGIN: Duration = Duration::from_millis(1_500);
+/// Scheduling delay that a shared test machine may add to any limit.
+pub const SCHEDULING_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// Time in which two disks hold everything again: wide, as the machine that runs this is shared. A group that
-/// stays behind needs no clock to show.
-pub const WHOLE_WITHIN: Duration = Duration::from_secs(12);
+/// Time in which two disks must hold all entries again; long enough for a shared test machine.
+pub const REPLICATION_LIMIT: Duration = Duration::from_secs(12);
 
-/// Time in which a machine is emptied that others can replace, beyond the margin: others may have to catch
-/// up first, and a silent disk to be given up.
-const EMPTIED_WITHIN: Duration = Duration::from_secs(20);
+/// Time in which a machine must be drained once others can replace it, without the margin. Others may have to catch up
+/// first, and an unresponsive disk may have to be excluded.
+const DRAIN_LIMIT: Duration = Duration::from_secs(20);
 
-/// Time in which a group that was whole accepts a job.
-const ACCEPTED_WITHIN: Duration = Duration::from_secs(15);
+/// Time in which a fully replicated group must accept a job.
+const ACCEPT_LIMIT: Duration = Duration::from_secs(15);
 
-/// How often machines are looked after.
+/// Interval at which due kills, restarts and removals are carried out.
 const TICK: Duration = Duration::from_millis(5);
 
-/// Copies without which a promise is kept by one disk alone.
-const LEAST_COPIES: usize = 2;
+/// Number of disks that must hold all entries.
+const MIN_COPIES: usize = 2;
 
-/// Name of the object in which the voters are recorded.
-const VOTERS: &str = "voters.0";
+/// Name of the object that records the voters.
+const VOTERS_OBJECT: &str = "voters.0";
 
-/// A machine that is to come back.
+/// A scheduled restart of a machine.
 #[derive(Clone, Copy, Debug)]
-struct PendingReturn {
+struct PendingRestart {
     at: Instant,
     machine: usize,
 }
 
-/// The machines of a run.
+/// Machines, clients and scheduled faults of a run.
 pub struct DiskWorld {
-    /// What callers know.
-    pub ledger: Rc<NodeLedger>,
-    /// What the run draws from.
+    /// Accepted jobs and the results shown to clients.
+    pub ledger: Rc<ClientLedger>,
+    /// Source of the run's random choices.
     pub random: StdRng,
     cluster: Cluster,
-    /// Machines that are to be emptied and are there.
-    leaving: BTreeSet<usize>,
-    /// Machines that were taken away.
-    gone: BTreeSet<usize>,
-    returns: Vec<PendingReturn>,
-    /// Kills of any process that are due, the latest first.
+    /// Machines that are being retired.
+    retiring: BTreeSet<usize>,
+    /// Machines that were removed.
+    removed: BTreeSet<usize>,
+    restarts: Vec<PendingRestart>,
+    /// Times of scheduled kills of random processes, the latest first.
     kills: Vec<Instant>,
     versions: u64,
     backend: Rc<ScriptedBackend>,
-    /// Name of the play.
+    /// Name of the scenario.
     name: String,
     seed: u64,
-    began: Instant,
+    started: Instant,
 }
 
 impl DiskWorld {
-    /// Starts machines and callers.
+    /// Starts machines and clients, and waits until the cluster is fully replicated.
     pub async fn start(name: &str, seed: u64) -> Self {
         let cluster = Cluster::start().await;
         cluster.configure();
         let backend = ScriptedBackend::start("b", &[], Play::Events).await;
         let mut random = StdRng::seed_from_u64(seed);
-        let ledger = Rc::new(NodeLedger::default());
+        let ledger = Rc::new(ClientLedger::default());
         for _ in 0..2 {
-            let (client, known) = (cluster.client.clone(), ledger.clone());
+            let (client, shared) = (cluster.client.clone(), ledger.clone());
             let random = StdRng::seed_from_u64(random.random());
-            actix_rt::spawn(ledger::read_jobs(client, known, random));
+            actix_rt::spawn(ledger::read_jobs(client, shared, random));
         }
-        let (client, known) = (cluster.client.clone(), ledger.clone());
-        let callers = StdRng::seed_from_u64(random.random());
-        actix_rt::spawn(ledger::submit_jobs(client, known, callers));
-        // In half of the runs items wait until the end.
+        let (client, shared) = (cluster.client.clone(), ledger.clone());
+        let client_random = StdRng::seed_from_u64(random.random());
+        actix_rt::spawn(ledger::submit_jobs(client, shared, client_random));
+        // In half of the runs, items have no back end until the end.
         if random.random_bool(0.5) {
             cluster.put_backend(&backend, false);
         }
@@ -92,81 +91,83 @@
             ledger,
             random,
             cluster,
-            leaving: BTreeSet::new(),
-            gone: BTreeSet::new(),
-            returns: Vec::new(),
+            retiring: BTreeSet::new(),
+            removed: BTreeSet::new(),
+            restarts: Vec::new(),
             kills: Vec::new(),
             versions: 1,
             backend,
             name: name.to_owned(),
             seed,
-            began: Instant::now(),
+            started: Instant::now(),
         };
         world.cluster.whole().await;
-        // Jobs that are older than any fault.
-        world.pass(Duration::from_millis(500)).await;
+        // Some jobs are accepted before the first fault.
+        world.run_for(Duration::from_millis(500)).await;
         world
     }
 
-    /// Tells what happens.
-    pub fn tell(&self, text: &str) {
-        let (seed, at) = (self.seed, self.began.elapsed());
+    /// Prints an event of the run, with its time.
+    pub fn log_event(&self, text: &str) {
+        let (seed, at) = (self.seed, self.started.elapsed());
         let name = &self.name;
         eprintln!("{name} seed {seed}: {at:.2?} {text}");
     }
 
-    /// Returns a drawn time.
-    pub fn drawn(&mut self, milliseconds: std::ops::Range<u64>) -> Duration {
+    /// Returns a random duration within a range of milliseconds.
+    pub fn random_duration(&mut self, milliseconds: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.random.random_range(milliseconds))
     }
 
-    /// Returns machines that were not taken away, in an order that is drawn.
+    /// Returns the machines that were not removed, in random order.
     pub fn machines(&mut self) -> Vec<usize> {
         let all = 0..self.cluster.nodes.len();
-        let mut machines: Vec<usize> = all.filter(|number| !self.gone.contains(number)).collect();
+        let mut machines: Vec<usize> = all
+            .filter(|number| !self.removed.contains(number))
+            .collect();
         for idx in (1..machines.len()).rev() {
             machines.swap(idx, self.random.random_range(0..=idx));
         }
         machines
     }
 
-    /// Whether a machine was taken away.
-    pub fn is_gone(&self, machine: usize) -> bool {
-        self.gone.contains(&machine)
+    /// Returns whether a machine was removed.
+    pub fn is_removed(&self, machine: usize) -> bool {
+        self.removed.contains(&machine)
     }
 
-    /// Asks for a machine to be emptied; it goes with its disk as soon as that is done.
+    /// Requests a machine's retirement; it is removed with its disk once it is reported as drained.
     pub fn retire(&mut self, machine: usize) {
-        self.tell(&format!("n{machine} is to be emptied"));
+        self.log_event(&format!("n{machine} is being retired"));
         self.cluster
             .store
             .put(RETIREMENTS, &format!("n{machine}"), json!({}));
-        self.leaving.insert(machine);
+        self.retiring.insert(machine);
     }
 
-    /// Kills a process, if it runs; the disk stays.
+    /// Kills a machine's process, if it runs; the disk stays.
     pub fn kill(&mut self, machine: usize) {
         if self.cluster.nodes[machine].is_some() {
-            self.tell(&format!("n{machine} is killed"));
+            self.log_event(&format!("n{machine} is killed"));
             self.cluster.kill(machine);
         }
     }
 
-    /// Kills a process, if it runs, and empties its folder.
+    /// Kills a machine's process, if it runs, and replaces its disk by an empty one.
     pub fn lose_disk(&mut self, machine: usize) {
         self.kill(machine);
-        self.tell(&format!("n{machine} loses its disk"));
-        self.cluster.folders[machine] = tempfile::tempdir().expect("a folder for a disk");
+        self.log_event(&format!("n{machine} loses its disk"));
+        self.cluster.folders[machine] = tempfile::tempdir().expect("creates a folder for a disk");
     }
 
-    /// Lets a machine come back `away` from now, unless it is taken away first.
-    pub fn bring_back(&mut self, machine: usize, away: Duration) {
-        let at = Instant::now() + away;
-        self.returns.push(PendingReturn { at, machine });
+    /// Schedules the restart of a machine after `downtime`, unless it is removed before.
+    pub fn schedule_restart(&mut self, machine: usize, downtime: Duration) {
+        let at = Instant::now() + downtime;
+        self.restarts.push(PendingRestart { at, machine });
     }
 
-    /// Draws kills of single processes that overlap, over `span` from now on.
-    pub fn draw_kills(&mut self, span: Duration) {
+    /// Schedules up to three kills of random processes within `span`; their downtimes may overlap.
+    pub fn schedule_kills(&mut self, span: Duration) {
         let count = self.random.random_range(0..4);
         let now = Instant::now();
         for _ in 0..count {
@@ -179,32 +180,32 @@
     /// Adds a machine with an empty disk.
     pub async fn join(&mut self) {
         let number = self.cluster.nodes.len();
-        self.tell(&format!("n{number} joins"));
+        self.log_event(&format!("n{number} joins"));
         self.cluster.add().await;
     }
 
-    /// Lets the store fail, or ends its fault.
+    /// Sets the store's fault, or ends it.
     pub fn set_store_fault(&self, fault: Fault) {
-        self.tell(&format!("the store: {fault:?}"));
+        self.log_event(&format!("store fault: {fault:?}"));
         self.cluster.store.set_fault(fault);
     }
 
-    /// Hands a job in and returns as soon as it is accepted.
+    /// Submits a job and returns as soon as it is accepted; reports a violation if that takes too long.
     pub async fn submit_now(&mut self) {
         let job = format!("last{}", self.random.random_range(0..u32::MAX));
         let client = self.cluster.client.clone();
         let submitted = ledger::submit(&client, &self.ledger, &job);
-        let accepted = tokio::time::timeout(ACCEPTED_WITHIN, submitted).await;
-        self.tell(&format!("{job} is accepted: {}", accepted.is_ok()));
+        let accepted = tokio::time::timeout(ACCEPT_LIMIT, submitted).await;
+        self.log_event(&format!("{job} was accepted: {}", accepted.is_ok()));
         if accepted.is_err() {
-            self.tell_groups();
-            let text = format!("{job} was not accepted within {ACCEPTED_WITHIN:?}");
+            self.log_groups();
+            let text = format!("{job} was not accepted within {ACCEPT_LIMIT:?}");
             self.ledger.report(text);
         }
     }
 
-    /// Lets time pass, and does what is due meanwhile.
-    pub async fn pass(&mut self, span: Duration) {
+    /// Runs for `span`, and carries out the actions that become due.
+    pub async fn run_for(&mut self, span: Duration) {
         let end = Instant::now() + span;
         loop {
             self.tick().await;
@@ -216,49 +217,52 @@
         }
     }
 
-    /// Lets time pass until a machine was taken away, `limit` at most.
-    pub async fn pass_until_gone(&mut self, machine: usize, limit: Duration) {
-        let begin = Instant::now();
-        while !self.is_gone(machine) && begin.elapsed() < limit {
-            self.pass(TICK).await;
+    /// Runs until a machine is removed, but at most for `limit`.
+    pub async fn run_until_removed(&mut self, machine: usize, limit: Duration) {
+        let started = Instant::now();
+        while !self.is_removed(machine) && started.elapsed() < limit {
+            self.run_for(TICK).await;
         }
     }
 
     async fn tick(&mut self) {
-        self.take_emptied_away();
+        self.remove_drained();
         let now = Instant::now();
         while self.kills.pop_if(|at| *at <= now).is_some() {
             let machines = self.machines();
             let running = |machine: &&usize| self.cluster.nodes[**machine].is_some();
             if let Some(machine) = machines.iter().find(running).copied() {
                 self.kill(machine);
-                let away = self.drawn(30..600);
-                self.bring_back(machine, away);
+                let downtime = self.random_duration(30..600);
+                self.schedule_restart(machine, downtime);
             }
         }
-        let due: Vec<PendingReturn> = self.returns.extract_if(.., |one| one.at <= now).collect();
-        for one in due {
-            let runs = self.cluster.nodes[one.machine].is_some();
-            if !runs && !self.is_gone(one.machine) {
-                self.tell(&format!("n{} starts", one.machine));
-                self.cluster.restart(one.machine).await;
+        let due: Vec<PendingRestart> = self
+            .restarts
+            .extract_if(.., |restart| restart.at <= now)
+            .collect();
+        for restart in due {
+            let is_running = self.cluster.nodes[restart.machine].is_some();
+            if !is_running && !self.is_removed(restart.machine) {
+                self.log_event(&format!("n{} starts", restart.machine));
+                self.cluster.restart(restart.machine).await;
             }
         }
     }
 
-    /// A machine goes as soon as it is told that it is emptied, with its disk and for good.
-    fn take_emptied_away(&mut self) {
-        let leaving = self.leaving.iter().copied();
-        let emptied: Vec<usize> = leaving.filter(|number| self.is_done(*number)).collect();
-        for machine in emptied {
-            self.tell(&format!("n{machine} is done and goes"));
+    /// Removes machines permanently, with their disks, as soon as they are reported as drained.
+    fn remove_drained(&mut self) {
+        let retiring = self.retiring.iter().copied();
+        let drained: Vec<usize> = retiring.filter(|number| self.is_drained(*number)).collect();
+        for machine in drained {
+            self.log_event(&format!("n{machine} is drained and removed"));
             self.lose_disk(machine);
-            self.leaving.remove(&machine);
-            self.gone.insert(machine);
+            self.retiring.remove(&machine);
+            self.removed.insert(machine);
         }
     }
 
-    fn is_done(&self, machine: usize) -> bool {
+    fn is_drained(&self, machine: usize) -> bool {
         let object = self
             .cluster
             .store
@@ -286,7 +290,7 @@
         leaders.next().map(Rc::as_ref)
     }
 
-    /// Returns how many disks of machines that are there hold everything, as the leader knows it.
+    /// Returns the number of running voters that hold all entries, according to the leader.
     fn copies(&self) -> usize {
         let Some(leader) = self.leader() else {
             return 0;
@@ -301,76 +305,77 @@
         nodes.filter(|node| holds(&node.journal)).count()
     }
 
-    /// Machines that are there.
-    fn present(&self) -> usize {
+    /// Returns the number of running machines.
+    fn running_machines(&self) -> usize {
         self.cluster.nodes.iter().flatten().count()
     }
 
-    /// Tells how each node sees its group, and what the store records of it.
-    fn tell_groups(&self) {
+    /// Prints each node's status of the group, and the voters recorded in the store.
+    fn log_groups(&self) {
         for (number, node) in self.cluster.nodes.iter().enumerate() {
             let Some(node) = node else { continue };
             let status = node.journal.replica.status();
             let (disk, leads, leader, term) =
                 (status.disk, status.leads, &status.leader, status.term);
             let (replicas, committed) = (&status.membership, status.membership_committed);
-            self.tell(&format!(
-                "n{number}: {disk:?} holds log: {}, leads: {leads}, knows {leader:?}, {term:?}, \
+            self.log_event(&format!(
+                "n{number}: {disk:?} holds log: {}, leads: {leads}, leader: {leader:?}, term: {term:?}, \
                  {replicas:?} committed: {committed}, stopped: {:?}",
                 status.holds_log, status.stopped
             ));
         }
-        let record = self.cluster.store.object(KIND, VOTERS);
-        self.tell(&format!("recorded: {:?}", record.map(|record| record.spec)));
+        let record = self.cluster.store.object(KIND, VOTERS_OBJECT);
+        self.log_event(&format!("recorded: {:?}", record.map(|record| record.spec)));
     }
 
-    /// Waits until two disks hold everything; a group of two machines or more that is not so far within
-    /// [`WHOLE_WITHIN`] breaks its promise.
-    pub async fn wait_until_whole(&mut self, occasion: &str) {
-        let (begin, limit) = (Instant::now(), WHOLE_WITHIN);
-        while self.present() >= LEAST_COPIES && self.copies() < LEAST_COPIES {
-            if begin.elapsed() > limit {
-                self.tell(&format!("not whole {limit:?} after {occasion}"));
-                self.tell_groups();
-                let text = format!("the group was not whole {limit:?} after {occasion}");
+    /// Waits until two disks hold all entries. Reports a violation if a group of two or more machines doesn't get there
+    /// within [`REPLICATION_LIMIT`].
+    pub async fn wait_until_replicated(&mut self, occasion: &str) {
+        let (started, limit) = (Instant::now(), REPLICATION_LIMIT);
+        while self.running_machines() >= MIN_COPIES && self.copies() < MIN_COPIES {
+            if started.elapsed() > limit {
+                self.log_event(&format!("not fully replicated {limit:?} after {occasion}"));
+                self.log_groups();
+                let text = format!("the group was not fully replicated {limit:?} after {occasion}");
                 return self.ledger.report(text);
             }
-            self.pass(TICK).await;
+            self.run_for(TICK).await;
         }
     }
 
-    /// Lets machines have the time after which another disk may be lost, and holds the group to it.
+    /// Runs for the catch-up time after which another disk may be lost, and checks that two disks hold all entries.
     pub async fn catch_up(&mut self, occasion: &str) {
-        let begin = Instant::now();
-        self.wait_until_whole(occasion).await;
-        self.pass(CATCH_UP.saturating_sub(begin.elapsed())).await;
+        let started = Instant::now();
+        self.wait_until_replicated(occasion).await;
+        self.run_for(CATCH_UP.saturating_sub(started.elapsed()))
+            .await;
     }
 
-    /// Waits until nothing is to be emptied any more, once others can take over.
-    pub async fn wait_until_emptied(&mut self) {
-        let begin = Instant::now();
-        while !self.leaving.is_empty() {
-            if begin.elapsed() > EMPTIED_WITHIN + MARGIN {
-                let text = format!("{:?} were not emptied in time", self.leaving);
+    /// Waits until all retiring machines are drained and removed; reports a violation if that takes too long.
+    pub async fn wait_until_drained(&mut self) {
+        let started = Instant::now();
+        while !self.retiring.is_empty() {
+            if started.elapsed() > DRAIN_LIMIT + SCHEDULING_MARGIN {
+                let text = format!("{:?} were not drained in time", self.retiring);
                 return self.ledger.report(text);
             }
-            self.pass(TICK).await;
+            self.run_for(TICK).await;
         }
     }
 
-    /// Ends all faults, and reads everything that was accepted.
-    pub async fn finish(mut self) -> Rc<NodeLedger> {
+    /// Ends all faults, reads all accepted jobs and stops the nodes.
+    pub async fn finish(mut self) -> Rc<ClientLedger> {
         self.cluster.store.set_fault(Fault::None);
         self.kills.clear();
         let down = 0..self.cluster.nodes.len();
         for machine in down.filter(|number| self.cluster.nodes[*number].is_none()) {
-            self.returns.push(PendingReturn {
+            self.restarts.push(PendingRestart {
                 at: Instant::now(),
                 machine,
             });
         }
-        self.pass(TICK).await;
-        self.tell("all faults are over");
+        self.run_for(TICK).await;
+        self.log_event("all faults are over");
         self.cluster.put_backend(&self.backend, false);
         self.ledger.close();
         ledger::read_all(&self.cluster.client, &self.ledger).await;
--- a/crates/firshore-node/tests/explain.rs
+++ b/crates/firshore-node/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What is told from logs.
+//! Tests of the explanation of a request from several nodes' logs.
 
 use firshore_node::explain::explain;
 
@@ -18,7 +18,7 @@
 );
 
 #[test]
-fn lines_of_several_nodes_are_told_in_order() {
+fn lines_of_several_nodes_are_ordered_by_time() {
     let explanation = explain("a1", [FIRST.as_bytes(), SECOND.as_bytes()]).unwrap();
     let expected = [
         "2026-01-01T00:00:01Z n2 runner: Run ended. end=Whole item=a1",
@@ -30,17 +30,17 @@
 }
 
 #[test]
-fn an_identifier_that_is_not_there_names_the_nodes_that_were_read() {
+fn an_unknown_identifier_lists_the_nodes_that_were_read() {
     let explanation = explain("b", [FIRST.as_bytes(), SECOND.as_bytes()]).unwrap();
     assert!(explanation.lines.is_empty());
     assert!(explanation.nodes.iter().eq(["n1", "n2"]));
 }
 
 #[test]
-fn lines_of_requests_that_asked_the_same_are_told_too() {
-    let line = |second: u8, node: &str, request: &str, print: &str| {
+fn requests_with_the_same_fingerprint_are_included() {
+    let line = |second: u8, node: &str, request: &str, fingerprint: &str| {
         format!(
-            r#"{{"msg":"forward: Answer lost.","ts":"2026-01-01T00:00:0{second}Z","node":"{node}","request":"{request}","print":"{print}"}}"#
+            r#"{{"msg":"forward: Answer lost.","ts":"2026-01-01T00:00:0{second}Z","node":"{node}","request":"{request}","print":"{fingerprint}"}}"#
         ) + "\n"
     };
     let first = line(1, "n1", "a1", "p1") + &line(2, "n1", "a2", "p2");
--- a/crates/firshore-node/tests/items.rs
+++ b/crates/firshore-node/tests/items.rs
@@ -1,4 +1,4 @@
-//! How far an item is, and what nodes tell about their load.
+//! Tests of the progress of items, and of the load and progress that nodes report.
 
 use firshore_adapter::incarnation::BackendName;
 use firshore_adapter::jobs::ItemOutcome;
@@ -17,19 +17,23 @@
 };
 
 #[test]
-fn items_end_as_their_runs_allow() {
+fn run_ends_determine_item_outcomes() {
     use RunEnd::{Broken, Failed, Impossible, NotRun, Whole};
     let done = Some(ItemOutcome::Done(Vec::new()));
     let given_up = Some(ItemOutcome::GivenUp);
     let cases: [(&str, &[RunEnd], Option<ItemOutcome>); 7] = [
         ("whole", &[Whole], done.clone()),
         ("impossible", &[Impossible], given_up.clone()),
-        ("failed twice of three", &[Failed, Failed], None),
+        (
+            "failed twice, three attempts allowed",
+            &[Failed, Failed],
+            None,
+        ),
         ("failed three times", &[Failed, Failed, Failed], given_up),
-        ("not run, however often", &[NotRun; 9], None),
-        ("broken, however often", &[Broken; 9], None),
+        ("not run, repeatedly", &[NotRun; 9], None),
+        ("broken, repeatedly", &[Broken; 9], None),
         (
-            "whole after trouble",
+            "whole after failures",
             &[NotRun, Broken, Failed, Whole],
             done,
         ),
@@ -49,7 +53,7 @@
 }
 
 #[test]
-fn a_stopped_run_goes_on_after_its_last_whole_event() {
+fn a_stopped_run_resumes_after_its_last_complete_event() {
     let now = Instant::now();
     let mut progress = ItemProgress::new(now);
     progress.start_run();
@@ -63,12 +67,12 @@
     assert_eq!(
         progress.last_event(),
         None,
-        "what is handed out is not held any more"
+        "events are no longer held once the outcome is returned"
     );
 }
 
 #[test]
-fn a_part_of_a_stream_that_is_out_of_order_counts_for_nothing() {
+fn events_out_of_order_are_discarded() {
     let now = Instant::now();
     let mut progress = ItemProgress::new(now);
     progress.feed(b"id: 1\ndata: a\n\n").unwrap();
@@ -80,7 +84,7 @@
 }
 
 #[test]
-fn nothing_is_given_up_before_its_time() {
+fn an_item_is_given_up_only_after_its_deadline() {
     let now = Instant::now();
     let mut progress = ItemProgress::new(now);
     let before = now + GIVE_UP - Duration::from_millis(1);
@@ -90,7 +94,7 @@
     assert_eq!(outcome, Some(ItemOutcome::GivenUp));
 }
 
-fn told(backend: &str, count: u32) -> Vec<BackendCount> {
+fn load(backend: &str, count: u32) -> Vec<BackendCount> {
     vec![BackendCount {
         backend: backend.to_owned(),
         count,
@@ -98,18 +102,18 @@
 }
 
 #[test]
-fn loads_add_up_and_grow_old() {
+fn load_reports_add_up_and_expire() {
     let now = Instant::now();
     let mut table = LoadTable::default();
-    table.record(now, "one".into(), told("a", 3));
-    table.record(now, "two".into(), told("a", 4));
-    table.record(now, "two".into(), told("a", 5));
+    table.record(now, "one".into(), load("a", 3));
+    table.record(now, "two".into(), load("a", 4));
+    table.record(now, "two".into(), load("a", 5));
     let sums = |sums: HashMap<BackendName, u32>| as_counts(sums);
-    assert_eq!(sums(table.sums().clone()), told("a", 8));
-    assert_eq!(sums(table.others(&"two".into())), told("a", 3));
+    assert_eq!(sums(table.sums().clone()), load("a", 8));
+    assert_eq!(sums(table.others(&"two".into())), load("a", 3));
     let later = now + Duration::from_secs(2);
-    table.record(later, "two".into(), told("a", 1));
-    assert_eq!(sums(table.sums().clone()), told("a", 1));
+    table.record(later, "two".into(), load("a", 1));
+    assert_eq!(sums(table.sums().clone()), load("a", 1));
     assert_eq!(table.nodes(), 1);
     table.forget_old(later + Duration::from_secs(2));
     assert!(table.sums().is_empty());
@@ -120,17 +124,17 @@
 }
 
 #[test]
-fn what_is_told_in_parts_is_held_whole() {
+fn progress_deltas_are_assembled_into_the_whole() {
     let key = ("job".to_owned(), 3);
-    let mut told = SentProgress::default();
+    let mut sent = SentProgress::default();
     let mut held = HeldItems::default();
     for last in [2, 5] {
-        let delta = told.delta(&key, &events(1..=last), Some(last)).unwrap();
+        let delta = sent.delta(&key, &events(1..=last), Some(last)).unwrap();
         let gaps = held.apply(vec![delta.clone()]);
         assert!(gaps.is_empty());
-        told.acknowledge(vec![delta.end()], gaps);
+        sent.acknowledge(vec![delta.end()], gaps);
     }
-    assert_eq!(told.delta(&key, &events(1..=5), Some(5)), None);
+    assert_eq!(sent.delta(&key, &events(1..=5), Some(5)), None);
     let all = held.all();
     assert_eq!(all[&key].events, events(1..=5));
     assert_eq!(all[&key].last, Some(5));
@@ -139,26 +143,26 @@
 }
 
 #[test]
-fn a_node_that_lacks_everything_is_told_in_messages_of_limited_size() {
+fn progress_is_sent_in_messages_of_limited_size() {
     const LIMIT: usize = 100;
     let items: Vec<(ItemKey, Vec<String>)> = (0..50)
         .map(|index| (("job".to_owned(), index), events(1..=10)))
         .collect();
-    let mut told = SentProgress::default();
+    let mut sent = SentProgress::default();
     let mut held = HeldItems::default();
     let mut messages = 0;
     loop {
-        let untold = items
+        let unsent = items
             .iter()
             .map(|(key, events)| (key, events.as_slice(), Some(10)));
-        let deltas = told.deltas(untold, LIMIT);
+        let deltas = sent.deltas(unsent, LIMIT);
         if deltas.is_empty() {
             break;
         }
         let bytes: usize = deltas.iter().map(ProgressDelta::bytes).sum();
         assert!(bytes < LIMIT + 30, "{bytes} bytes in one message");
-        let sent = deltas.iter().map(ProgressDelta::end).collect();
-        told.acknowledge(sent, held.apply(deltas));
+        let ends = deltas.iter().map(ProgressDelta::end).collect();
+        sent.acknowledge(ends, held.apply(deltas));
         messages += 1;
     }
     assert_eq!(messages, 10);
@@ -166,25 +170,25 @@
 }
 
 #[test]
-fn a_gap_is_named_and_told_from_the_start() {
+fn progress_after_a_gap_is_sent_from_the_start() {
     let key = ("job".to_owned(), 3);
-    let mut told = SentProgress::default();
+    let mut sent = SentProgress::default();
     let mut held = HeldItems::default();
-    let first = told.delta(&key, &events(1..=2), Some(2)).unwrap();
-    // The answer came from a node that was started anew right after.
-    told.acknowledge(vec![first.end()], Vec::new());
-    let second = told.delta(&key, &events(1..=4), Some(4)).unwrap();
+    let first = sent.delta(&key, &events(1..=2), Some(2)).unwrap();
+    // The node restarts right after its response and loses the delta.
+    sent.acknowledge(vec![first.end()], Vec::new());
+    let second = sent.delta(&key, &events(1..=4), Some(4)).unwrap();
     let gaps = held.apply(vec![second.clone()]);
     assert_eq!(gaps, std::slice::from_ref(&key));
-    told.acknowledge(vec![second.end()], gaps);
-    let whole = told.delta(&key, &events(1..=4), Some(4)).unwrap();
+    sent.acknowledge(vec![second.end()], gaps);
+    let whole = sent.delta(&key, &events(1..=4), Some(4)).unwrap();
     assert_eq!(whole.offset, 0);
     assert!(held.apply(vec![whole]).is_empty());
     assert_eq!(held.all()[&key].events, events(1..=4));
 }
 
 #[test]
-fn a_new_leader_that_starts_over_replaces_what_was_held() {
+fn progress_from_offset_zero_replaces_held_progress() {
     let key = ("job".to_owned(), 3);
     let mut held = HeldItems::default();
     let delta = |offset, events: Vec<String>, last| ProgressDelta {
