--- a/crates/firshore-node/tests/journal.rs
+++ b/crates/firshore-node/tests/journal.rs
@@ -1,5 +1,4 @@
-//! Batch jobs on a cluster of three disks, with the faults that the disks, the nodes, the store and
-//! the back ends may have.
+//! Tests of batch jobs on a cluster of three disks, with faults of disks, nodes, the object store and back ends.
 
 mod cluster;
 
@@ -22,7 +21,7 @@
 use cluster::*;
 
 #[test]
-fn items_run_to_their_end_whatever_back_ends_do() {
+fn items_get_results_despite_back_end_failures() {
     let scripts: [(&[Play], ItemOutcome); 7] = [
         (&[], whole()),
         (&[Play::Breaks(2), Play::Breaks(3)], whole()),
@@ -50,7 +49,7 @@
             assert_eq!(seen[0].body, b"body 0", "{script:?}");
             assert_eq!(seen[0].path, "/items/0", "{script:?}");
             cluster.store.remove(BACKENDS, &name);
-            // The next item must not meet it any more.
+            // The next item must not be sent to this back end.
             while cluster.backends_known().await > 0 {
                 pause().await;
             }
@@ -59,7 +58,7 @@
 }
 
 #[test]
-fn a_job_outlives_the_kill_of_its_leader() {
+fn a_job_survives_the_kill_of_its_leader() {
     run(async {
         let mut cluster = Cluster::start().await;
         cluster.configure();
@@ -71,12 +70,16 @@
         let results = cluster.results("job", 5).await;
         assert!(results.iter().all(|(_, outcome)| *outcome == whole()));
         cluster.restart(leader).await;
-        assert_eq!(cluster.results("job", 5).await, results, "positions stay");
+        assert_eq!(
+            cluster.results("job", 5).await,
+            results,
+            "positions are unchanged"
+        );
     });
 }
 
 #[test]
-fn what_was_accepted_outlives_a_lost_disk_and_a_kill_of_all() {
+fn accepted_jobs_survive_a_lost_disk_and_a_kill_of_all_nodes() {
     run(async {
         let mut cluster = Cluster::start().await;
         cluster.configure();
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn a_retired_node_and_a_disk_lost_right_after_lose_nothing() {
+fn a_disk_loss_right_after_a_retirement_loses_no_jobs() {
     run(async {
         let mut cluster = Cluster::start().await;
         cluster.submit("job", 2).await;
@@ -141,7 +144,7 @@
 }
 
 #[test]
-fn items_reach_back_ends_in_their_tenant_s_name_whatever_their_headers_claim() {
+fn items_carry_their_tenant_despite_forged_headers() {
     run(async {
         let cluster = Cluster::start().await;
         cluster.configure();
@@ -177,7 +180,7 @@
 }
 
 #[test]
-fn an_ended_job_runs_no_more() {
+fn an_ended_job_no_longer_runs() {
     run(async {
         let cluster = Cluster::start().await;
         cluster.configure();
@@ -193,7 +196,7 @@
         }
         assert!(
             cluster.client.end(JobId::of_nobody("job")).await.unwrap(),
-            "ends again"
+            "ending twice succeeds"
         );
         assert!(!cluster.client.end(JobId::of_nobody("other")).await.unwrap());
         assert_eq!(cluster.body("job", "i0").await, None);
@@ -201,7 +204,7 @@
 }
 
 #[test]
-fn jobs_go_on_while_the_store_is_gone() {
+fn jobs_run_during_a_store_outage() {
     for fault in [Fault::Refuses, Fault::Silent, Fault::LosesAnswers] {
         run(async move {
             let mut cluster = Cluster::start().await;
@@ -240,7 +243,7 @@
 }
 
 #[test]
-fn addresses_differ_after_a_restart() {
+fn a_restarted_node_rejoins_at_another_address() {
     run(async {
         let mut cluster = Cluster::start().await;
         cluster.submit("job", 1).await;
@@ -254,14 +257,14 @@
 }
 
 #[test]
-fn a_new_disk_holds_everything_before_another_may_be_lost() {
+fn a_new_disk_holds_all_entries_after_the_catch_up_time() {
     run(async {
         let mut cluster = Cluster::start().await;
         cluster.submit("job", 2).await;
-        let gone = cluster.leader().await;
-        cluster.kill(gone);
+        let lost = cluster.leader().await;
+        cluster.kill(lost);
         cluster.add().await;
-        // From here on another disk may be lost.
+        // After the catch-up time, another disk may be lost.
         actix_rt::time::sleep(CATCH_UP).await;
         let next = cluster.leader().await;
         cluster.wipe(next).await;
@@ -271,7 +274,7 @@
 }
 
 #[test]
-fn one_of_a_pair_goes_on_alone_when_the_other_never_comes_back() {
+fn one_of_two_voters_continues_alone_after_the_other_is_lost() {
     run(async {
         let mut cluster = Cluster::start().await;
         cluster.submit("job", 2).await;
@@ -280,7 +283,7 @@
             pause().await;
         }
         cluster.kill(1);
-        // The pair has to be known as such before one of it may be lost.
+        // The nodes must know the group of two voters before one of them may be lost.
         actix_rt::time::sleep(CATCH_UP).await;
         cluster.kill(2);
         cluster.add().await;
@@ -292,21 +295,21 @@
 }
 
 #[test]
-fn results_beyond_the_memory_for_the_log_outlive_every_disk_in_turn() {
-    const TEXTS: usize = 60;
-    const TEXT_BYTES: usize = 100_000;
+fn results_larger_than_log_memory_survive_successive_disk_losses() {
+    const RESULTS: usize = 60;
+    const RESULT_BYTES: usize = 100_000;
     run(async {
         let mut cluster = Cluster::start().await;
-        cluster.submit("job", TEXTS).await;
-        let expected: Vec<ItemOutcome> = (0..TEXTS)
-            .map(|number| ItemOutcome::Done(vec![number.to_string().repeat(TEXT_BYTES)]))
+        cluster.submit("job", RESULTS).await;
+        let expected: Vec<ItemOutcome> = (0..RESULTS)
+            .map(|number| ItemOutcome::Done(vec![number.to_string().repeat(RESULT_BYTES)]))
             .collect();
         for (number, outcome) in expected.iter().enumerate() {
             cluster.complete("job", number, outcome).await;
         }
         for number in 0..3 {
             cluster.wipe(number).await;
-            cluster.votes(number).await;
+            cluster.wait_until_voter(number).await;
             cluster.whole().await;
         }
         for (number, outcome) in expected.iter().enumerate() {
@@ -320,13 +323,13 @@
 }
 
 #[test]
-fn a_peer_is_answered_where_it_listened_last() {
+fn the_latest_address_of_a_peer_is_kept() {
     run(async {
         let cluster = Cluster::start().await;
         let node = cluster.nodes[0].as_ref().unwrap();
         let addresses = node.journal.registry.addresses();
         let (first, second, late) = (free_address(), free_address(), free_address());
-        // The store lists no such node: what it writes is all that is known of it.
+        // The store lists no such node: its address comes only from its messages.
         for (address, revision, expected) in [
             (first, 100, first),
             (second, 102, second),
@@ -356,11 +359,11 @@
     });
 }
 
-/// Time from the return of a node until the group must be whole again: the longest pause in which a
-/// silent disk is passed over is bounded by the time that it was away.
-const WHOLE_AGAIN: Duration = Duration::from_secs(8);
+/// Time from the restart of a node until the group must be fully replicated again. The maximum time for which an
+/// unresponsive disk stays excluded is bounded by its absence.
+const REPLICATION_LIMIT: Duration = Duration::from_secs(8);
 
-async fn a_pair(cluster: &Cluster) {
+async fn retire_to_two_voters(cluster: &Cluster) {
     cluster.store.put(RETIREMENTS, "n1", json!({}));
     while cluster.store.object(RETIREMENTS, "n1").unwrap().status != json!("done") {
         pause().await;
@@ -368,25 +371,26 @@
 }
 
 #[test]
-fn one_of_a_pair_that_was_away_is_taken_back() {
-    for away in [Duration::from_millis(2_500), Duration::from_millis(8_000)] {
+fn a_voter_of_two_rejoins_after_an_absence() {
+    for absence in [Duration::from_millis(2_500), Duration::from_millis(8_000)] {
         run(async move {
             let mut cluster = Cluster::start().await;
             cluster.submit("job", 2).await;
-            a_pair(&cluster).await;
+            retire_to_two_voters(&cluster).await;
             cluster.kill(1);
-            // The pair has to be known as such before one of it may be lost.
+            // The nodes must know the group of two voters before one of them may be lost.
             actix_rt::time::sleep(CATCH_UP).await;
             let follower = 2 - cluster.leader().await;
             cluster.kill(follower);
-            actix_rt::time::sleep(away).await;
+            actix_rt::time::sleep(absence).await;
             cluster.restart(follower).await;
-            let whole = tokio::time::timeout(WHOLE_AGAIN, async {
+            let recovery = tokio::time::timeout(REPLICATION_LIMIT, async {
                 cluster.submit("next", 1).await;
                 cluster.whole().await;
             });
-            let whole = whole.await;
-            whole.unwrap_or_else(|_| panic!("not whole after {away:?} away"));
+            let recovery = recovery.await;
+            recovery
+                .unwrap_or_else(|_| panic!("not fully replicated after an absence of {absence:?}"));
             let body = cluster.body("job", "i1").await;
             assert_eq!(body.as_deref(), Some("body 1"));
         });
@@ -394,7 +398,7 @@
 }
 
 #[test]
-fn nodes_without_a_replica_ask_the_store_nothing_while_nothing_happens() {
+fn idle_nodes_without_a_replica_do_not_query_the_store() {
     run(async {
         let mut cluster = Cluster::start().await;
         cluster.submit("job", 1).await;
@@ -403,31 +407,31 @@
             cluster.add().await;
         }
         let all = cluster.nodes.len();
-        while cluster.registered() < all {
+        while cluster.registered_nodes() < all {
             pause().await;
         }
-        // The last writes are read back, and the leader's watches return with them.
+        // The last writes are read back, and the leader's watches return.
         actix_rt::time::sleep(Duration::from_millis(2_500)).await;
         let (before, probes_before) = (cluster.store.calls(), cluster.store.probes());
         actix_rt::time::sleep(Duration::from_millis(2_500)).await;
         let calls = cluster.store.calls() - before;
-        // The leader renews two watches each 5 s, and the relay that it asks two others each 2.5 s, however
-        // many nodes there are. Three nodes that list the nodes each second make seven calls or more.
+        // The leader renews two watches every 5 s, and its relay two others every 2.5 s, regardless of the number of
+        // nodes. Three nodes that list the nodes every second would make seven calls or more.
         assert!(calls <= 4, "{calls} calls");
-        // The relay that the leader asks looks whether the store can be reached, each 0.3 s.
+        // The leader's relay probes the store every 0.3 s.
         let probes = cluster.store.probes() - probes_before;
-        assert!(probes <= 9, "{probes} looks");
+        assert!(probes <= 9, "{probes} probes");
     });
 }
 
 #[test]
-fn an_item_under_which_back_ends_ended_elsewhere_is_not_sent() {
+fn an_item_reported_as_crashing_by_other_nodes_is_not_sent() {
     run(async {
         let cluster = Cluster::start().await;
         cluster.configure();
         let backend = ScriptedBackend::start("b", &[], Play::Events).await;
         cluster.put_backend(&backend, false);
-        // Other nodes saw three back ends end under the first item, as a part of whatever job.
+        // Other nodes report three back ends that crashed under the first item, in some job.
         let fatal = &items(1)[0];
         for node in cluster.nodes.iter().flatten() {
             let fingerprint = node.gateway.fingerprint_key.fingerprint(&FingerprintInput {
@@ -437,7 +441,7 @@
                 target: &fatal.path,
                 body: &fatal.body.0,
             });
-            let end = |idx: u64| ReportedExit {
+            let exit = |idx: u64| ReportedExit {
                 backend: format!("gone{idx}"),
                 started: None,
                 age: 1_000 * idx,
@@ -446,7 +450,7 @@
                     reached: 0,
                 }],
             };
-            let ends = (1..=3).map(end).collect();
+            let ends = (1..=3).map(exit).collect();
             node.gateway.crashes.handle_request(&CrashSyncRequest {
                 known: None,
                 report: CrashReport {
--- a/crates/firshore-node/tests/memory.rs
+++ b/crates/firshore-node/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a node with a disk holds in memory, and what it does where that would be too much.
+//! Tests of a node's memory budget, and of refusals beyond it.
 
 mod cluster;
 
@@ -11,8 +11,8 @@
 
 const MEGABYTE: usize = 1_048_576;
 
-/// Part of a node's memory that all uses together may take.
-const COUNTED_SHARE: f64 = 0.7;
+/// Maximum fraction of a node's memory for all budgeted uses together.
+const MAX_BUDGETED_FRACTION: f64 = 0.7;
 
 fn large_items(count: usize, bytes: usize) -> Vec<JobItem> {
     let mut items = items(count);
@@ -23,33 +23,34 @@
 }
 
 #[test]
-fn the_shares_of_all_uses_leave_room_for_the_program() {
+fn budgeted_uses_leave_memory_for_the_program() {
     for megabytes in [16, 59, 130, 280] {
         let bytes = megabytes * MEGABYTE;
         let budget = MemoryBudget::new(bytes);
-        let most = |fits: &dyn Fn(usize) -> bool| (0..bytes).step_by(4_096).find(|one| !fits(*one));
+        let first_refused =
+            |fits: &dyn Fn(usize) -> bool| (0..bytes).step_by(4_096).find(|bytes| !fits(*bytes));
         let jobs = |held| {
-            let used = MemoryUse {
+            let memory_use = MemoryUse {
                 jobs: held,
                 ..MemoryUse::default()
             };
-            budget.admits_job(&used, 0)
+            budget.admits_job(&memory_use, 0)
         };
-        let jobs = most(&jobs).unwrap();
-        let progress = most(&|held| budget.admits_new_run(held)).unwrap() * 2;
-        let results = most(&|held| held == 0 || budget.admits_results(held, 0)).unwrap();
+        let jobs = first_refused(&jobs).unwrap();
+        let progress = first_refused(&|held| budget.admits_new_run(held)).unwrap() * 2;
+        let results = first_refused(&|held| held == 0 || budget.admits_results(held, 0)).unwrap();
         let runs = budget.run_bytes(budget.max_runs());
         let log = (bytes as f64 * LOG_FRACTION) as usize;
         let all = jobs + progress + results + runs + log;
         assert!(
-            (all as f64) < bytes as f64 * COUNTED_SHARE + 64.0 * 1024.0,
+            (all as f64) < bytes as f64 * MAX_BUDGETED_FRACTION + 64.0 * 1024.0,
             "{megabytes}: {all}"
         );
     }
 }
 
 #[test]
-fn bytes_count_for_as_long_as_they_are_held() {
+fn bytes_are_counted_while_they_are_held() {
     let counter = ByteCounter::default();
     let first = counter.count(10);
     let second = counter.count(5);
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn jobs_beyond_the_memory_for_them_are_refused_and_taken_in_later() {
+fn jobs_beyond_the_memory_budget_are_refused_and_accepted_later() {
     run(async {
         let cluster = Cluster::start().await;
         cluster.configure();
@@ -72,31 +73,29 @@
         let mut refused = 0;
         for number in 0..12 {
             let job = format!("heap{number}");
-            let handed_in = cluster.client.submit(
+            let submitted = cluster.client.submit(
                 route(),
                 JobId::of_nobody(job.as_str()),
                 large_items(200, 2_048),
             );
-            match handed_in.await {
+            match submitted.await {
                 Ok(()) => accepted.push(job),
                 Err(error) => {
                     assert_eq!(error.execution, Execution::None, "{error:?}");
                     refused += 1;
                 }
             }
-            let used = leader.runner.memory_use();
-            assert!(budget.admits_job(&used, 0), "{used:?}");
+            let memory_use = leader.runner.memory_use();
+            assert!(budget.admits_job(&memory_use, 0), "{memory_use:?}");
         }
-        assert!(!accepted.is_empty(), "what fits is taken in");
-        assert!(refused > 0, "what does not fit is refused");
+        assert!(!accepted.is_empty(), "jobs within the budget are accepted");
+        assert!(refused > 0, "jobs beyond the budget are refused");
         let again = cluster.client.submit(
             route(),
             JobId::of_nobody(accepted[0].as_str()),
             large_items(200, 2_048),
         );
-        again
-            .await
-            .expect("what was taken in is acknowledged again");
+        again.await.expect("an accepted job is acknowledged again");
         let backend = ScriptedBackend::start("b", &[], Play::Events).await;
         cluster.put_backend(&backend, false);
         for job in &accepted {
@@ -106,6 +105,6 @@
             cluster
                 .client
                 .submit(route(), JobId::of_nobody("later"), large_items(200, 2_048));
-        later.await.expect("there is memory again");
+        later.await.expect("memory is available again");
     });
 }
--- a/crates/firshore-node/tests/retries.rs
+++ b/crates/firshore-node/tests/retries.rs
@@ -1,8 +1,5 @@
-//! The leader had more to do than its processor share allowed, so answers took longer than the half
-//! second after which a node asks again. Each try of a submission was written into the log once more,
-//! with all its items, and each page of results was read although the node that had asked was gone. So
-//! the load grew with the delay: `committing` rose to 15,589,415 bytes while `held` stood at 3,429,773,
-//! the log passed its share of the memory, replicas fell behind it, and commits came to a stand.
+//! Guards against a leader whose load grows when it is slow: repeated submissions must not be written to the log again,
+//! and reads whose client has given up must not be carried out.
 
 mod cluster;
 
@@ -14,20 +11,20 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Tries of one submission that are under way at once.
-const TRIES: usize = 8;
+/// Concurrent attempts of one submission.
+const ATTEMPTS: usize = 8;
 
-/// More than any node may hold, in bytes.
+/// More bytes than any node's memory budget.
 const ALL_MEMORY: usize = 1 << 40;
 
-/// Age that the status of an idle replica may reach: it is taken anew several times a second.
+/// Maximum age of an idle replica's status, which is published several times per second.
 const STATUS_AGE: Duration = Duration::from_millis(500);
 
-/// Longest wait for an answer: nodes that ask have long given up by then.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout of the response; longer than clients wait.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[test]
-fn a_job_that_is_sent_again_while_it_is_committed_is_written_once() {
+fn repeated_submissions_of_a_job_are_written_once() {
     run(async {
         let cluster = Cluster::start().await;
         cluster.configure();
@@ -36,35 +33,35 @@
         let leader = cluster.nodes[cluster.leader().await].as_ref().unwrap();
         actix_rt::time::sleep(STATUS_AGE).await;
         let before = leader.journal.replica.status().last.index;
-        let tries = (0..TRIES).map(|_| {
+        let attempts = (0..ATTEMPTS).map(|_| {
             let job = JobId::of_nobody("again");
             cluster.client.submit(route(), job, items(20))
         });
-        for taken_in in join_all(tries).await {
-            taken_in.expect("every try is acknowledged");
+        for accepted in join_all(attempts).await {
+            accepted.expect("every attempt is acknowledged");
         }
         actix_rt::time::sleep(STATUS_AGE).await;
         let written = leader.journal.replica.status().last.index - before;
-        assert_eq!(written, 1, "entries of {TRIES} tries");
+        assert_eq!(written, 1, "entries of {ATTEMPTS} attempts");
         assert_eq!(leader.journal.ledger.submissions.held(), 0);
     });
 }
 
 #[test]
-fn a_read_whose_caller_has_given_up_is_not_carried_out() {
+fn a_read_whose_client_has_given_up_is_not_carried_out() {
     run(async {
         let cluster = Cluster::start().await;
         cluster.configure();
         cluster.submit("first", 1).await;
         let leader = cluster.nodes[cluster.leader().await].as_ref().unwrap();
         let _held = leader.journal.ledger.results.count(ALL_MEMORY);
-        let question = PeerRequest::Results {
+        let request = PeerRequest::Results {
             job: JobId::of_nobody("first").journal_key(),
             from: 0,
             wait: 0,
         };
-        let answer = timeout(PATIENCE, peers().call(leader.address, question)).await;
-        let refused = matches!(answer, Ok(Ok(PeerResponse::Refused(_))));
+        let response = timeout(RESPONSE_TIMEOUT, peers().call(leader.address, request)).await;
+        let refused = matches!(response, Ok(Ok(PeerResponse::Refused(_))));
         assert!(refused, "the read still waits for memory");
     });
 }
--- a/crates/firshore-node/tests/settings.rs
+++ b/crates/firshore-node/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings that can be used, and what is said of those that cannot.
+//! Tests of reading settings, and of the errors for invalid ones.
 
 use firshore_node::settings::{Settings, SettingsError};
 use std::io::Write;
 
-const USABLE: &str = "name = 'n'\nregion = 'r'\nzone = 'z'\n\
+const VALID: &str = "name = 'n'\nregion = 'r'\nzone = 'z'\n\
     [listen]\ncallers = '127.0.0.1:1'\npeers = '127.0.0.1:2'\n\
     [objects]\naddress = '127.0.0.1:3'\nhistory_seconds = 20\n\
     [cluster]\nsecret = 'sixteen bytes of secret'\ntolerated_disk_losses = 1\n\
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn usable_settings_are_read() {
-    let settings = read(USABLE).unwrap();
+fn valid_settings_are_read() {
+    let settings = read(VALID).unwrap();
     assert_eq!(settings.leave.grace().as_secs(), 8);
     assert!(settings.storage.is_none() && settings.listen.readiness.is_none());
     let budget = settings.limits.memory_budget();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn unusable_settings_name_the_key_and_the_remedy() {
+fn errors_name_the_key_and_the_remedy() {
     let cases = [
         (
             "secret = 'sixteen bytes of secret'",
@@ -92,17 +92,17 @@
         ),
         ("region = 'r'\n", "", "region", "Correct the key"),
     ];
-    for (usable, unusable, key, remedy) in cases {
-        let error = read(&USABLE.replace(usable, unusable))
+    for (valid, invalid, key, remedy) in cases {
+        let error = read(&VALID.replace(valid, invalid))
             .unwrap_err()
             .to_string();
-        assert!(error.contains(key), "{unusable}: {error}");
-        assert!(error.contains(remedy), "{unusable}: {error}");
+        assert!(error.contains(key), "{invalid}: {error}");
+        assert!(error.contains(remedy), "{invalid}: {error}");
     }
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_for_a_missing_file_names_it() {
     let error = Settings::read("/nowhere/node.toml".as_ref()).unwrap_err();
     assert!(error.to_string().contains("/nowhere/node.toml"));
 }
--- a/crates/firshore-node/tests/soak.rs
+++ b/crates/firshore-node/tests/soak.rs
@@ -1,9 +1,9 @@
-//! A soak with random faults: jobs are handed in while nodes are killed, wiped and started again, the
-//! store fails and back ends misbehave. Whatever happens within what the cluster tolerates, nothing
-//! accepted is lost, no position changes what it showed, and every item has one result in the end.
+//! Soak test with random faults: nodes are killed, wiped and restarted, the store fails and back ends misbehave while
+//! jobs are submitted. Within the tolerated faults, no accepted job is lost, no position changes its result, and every
+//! item gets exactly one result.
 //!
-//! Each seed is one run; `FIRSHORE_SOAK_SEEDS` sets how many are played, from seed 1 or
-//! `FIRSHORE_SOAK_FIRST_SEED` on. Without a first seed, those that failed once are played too.
+//! `FIRSHORE_SOAK_SEEDS` sets the number of seeds, `FIRSHORE_SOAK_FIRST_SEED` the first one (default 1). Without a
+//! first seed, seeds that failed before are run too.
 
 mod cluster;
 
@@ -19,22 +19,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Runs without `FIRSHORE_SOAK_SEEDS`.
+/// Seeds without `FIRSHORE_SOAK_SEEDS`.
 const SEEDS: u64 = 3;
 
-/// Seeds that failed once and are not among the first [`SEEDS`]: seeds 1 and 2 failed and are.
-const FAILED_SEEDS: [u64; 0] = [];
+/// Seeds that failed before and are not among the first [`SEEDS`].
+const REGRESSION_SEEDS: [u64; 0] = [];
 
-/// Faults and jobs of one run.
+/// Number of steps of one run.
 const STEPS: usize = 14;
 
-/// Items of a job.
+/// Number of items of a job.
 const ITEMS: usize = 4;
 
-/// Nodes of the cluster.
+/// Number of nodes of the cluster.
 const NODES: usize = 3;
 
-/// One thing that happens.
+/// One step: a submission, a fault or a read.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Submit,
@@ -47,7 +47,7 @@
     Read,
 }
 
-fn draw(random: &mut StdRng) -> Step {
+fn random_step(random: &mut StdRng) -> Step {
     match random.random_range(0..12) {
         0..=3 => Step::Submit,
         4 => Step::Kill,
@@ -61,7 +61,7 @@
     }
 }
 
-/// What the soak knows of what it was promised and shown.
+/// A cluster, the accepted jobs and the results shown.
 struct Soak {
     cluster: Cluster,
     random: StdRng,
@@ -106,11 +106,11 @@
                 self.kill_and_restart(leader).await;
             }
             Step::Wipe => {
-                // One disk may be lost at a time, and the next only once all hold everything.
+                // One disk may be lost at a time, and the next only once all disks hold all entries.
                 self.cluster.store.set_fault(Fault::None);
                 self.cluster.whole().await;
                 self.cluster.wipe(node).await;
-                self.cluster.votes(node).await;
+                self.cluster.wait_until_voter(node).await;
                 self.cluster.whole().await;
             }
             Step::KillAll => {
@@ -127,23 +127,23 @@
             }
             Step::Read => {}
         }
-        self.read_some().await;
+        self.read_random_job().await;
     }
 
     async fn kill_and_restart(&mut self, node: usize) {
         self.cluster.kill(node);
-        // A node that starts asks the store where the others are.
+        // A starting node reads the others' addresses from the store.
         self.cluster.store.set_fault(Fault::None);
         self.cluster.restart(node).await;
     }
 
-    /// Reads a job from the start, and compares with what was shown before.
-    async fn read_some(&mut self) {
+    /// Reads a random accepted job from the start, and compares its results with those shown before.
+    async fn read_random_job(&mut self) {
         if self.accepted.is_empty() {
             return;
         }
-        let drawn = self.random.random_range(0..self.accepted.len());
-        let job = self.accepted[drawn].clone();
+        let index = self.random.random_range(0..self.accepted.len());
+        let job = self.accepted[index].clone();
         let page = self
             .cluster
             .client
@@ -151,18 +151,18 @@
         let Ok(page) = page.await else {
             return;
         };
-        let page = page.unwrap_or_else(|| panic!("{job} was accepted and is gone"));
+        let page = page.unwrap_or_else(|| panic!("{job} was accepted and is lost"));
         for (position, result) in page.results.into_iter().enumerate() {
             let found = (result.item, result.outcome);
-            let before = self
+            let earlier = self
                 .shown
                 .entry((job.clone(), position))
                 .or_insert_with(|| found.clone());
-            assert_eq!(*before, found, "{job} position {position}");
+            assert_eq!(*earlier, found, "{job} position {position}");
         }
     }
 
-    /// Everything accepted comes to its end, each item once.
+    /// Checks that each item of every accepted job gets exactly one result.
     async fn finish(mut self) {
         self.cluster.store.set_fault(Fault::None);
         self.add_backend(&[]).await;
@@ -173,19 +173,19 @@
             for (position, result) in results.iter().enumerate() {
                 let (item, outcome) = result;
                 assert_eq!(*outcome, whole(), "{job} {item}");
-                if let Some(before) = self.shown.get(&(job.clone(), position)) {
-                    assert_eq!(before, result, "{job} position {position}");
+                if let Some(earlier) = self.shown.get(&(job.clone(), position)) {
+                    assert_eq!(earlier, result, "{job} position {position}");
                 }
             }
         }
     }
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     run(async move {
         let mut soak = Soak::start(seed).await;
         let mut steps = vec![Step::Submit];
-        steps.extend((1..STEPS).map(|_| draw(&mut soak.random)));
+        steps.extend((1..STEPS).map(|_| random_step(&mut soak.random)));
         for step in steps {
             eprintln!("seed {seed}: {step:?}");
             soak.step(step).await;
@@ -195,9 +195,9 @@
 }
 
 #[test]
-fn nothing_accepted_is_lost_whatever_fails() {
-    for seed in seeds(SEEDS, &FAILED_SEEDS) {
+fn accepted_jobs_survive_random_faults() {
+    for seed in seeds(SEEDS, &REGRESSION_SEEDS) {
         eprintln!("seed {seed}");
-        play(seed);
+        run_seed(seed);
     }
 }
--- a/crates/firshore-node/tests/status.rs
+++ b/crates/firshore-node/tests/status.rs
@@ -1,4 +1,4 @@
-//! What a node answers about itself.
+//! Tests of a node's metrics, readiness and status listener.
 
 use actix_http::StatusCode;
 use firshore_gateway::attempts::SendEnd;
@@ -32,13 +32,13 @@
     ))
 }
 
-/// Reads the text format strictly: each sample has a `TYPE` before it, no sample stands twice, each
-/// value is a number. Returns the samples.
+/// Parses the metrics text format and returns the samples. Checks that each sample follows its `TYPE`, that no sample
+/// is repeated and that each value is a number.
 fn samples(text: &str) -> Vec<(String, f64)> {
     let mut typed = BTreeSet::new();
     let mut seen = BTreeSet::new();
     let mut samples = Vec::new();
-    assert!(text.ends_with("# EOF\n"), "the end is marked");
+    assert!(text.ends_with("# EOF\n"), "the end marker is missing");
     for line in text.lines() {
         if let Some(comment) = line.strip_prefix("# ") {
             let words: Vec<&str> = comment.split(' ').collect();
@@ -48,7 +48,7 @@
                     ["counter", "gauge", "histogram"].contains(&words[2]),
                     "{line}"
                 );
-                assert!(typed.insert(words[1].to_owned()), "{line} stands twice");
+                assert!(typed.insert(words[1].to_owned()), "{line} is repeated");
             }
             continue;
         }
@@ -57,42 +57,42 @@
         let of_type = |suffix: &str| {
             family
                 .strip_suffix(suffix)
-                .is_some_and(|one| typed.contains(one))
+                .is_some_and(|family| typed.contains(family))
         };
         let suffixes = ["_total", "_bucket", "_sum", "_count"];
-        let known = typed.contains(family) || suffixes.into_iter().any(of_type);
-        assert!(known, "{line} has no type");
-        assert!(seen.insert(name.to_owned()), "{name} stands twice");
+        let has_type = typed.contains(family) || suffixes.into_iter().any(of_type);
+        assert!(has_type, "{line} has no type");
+        assert!(seen.insert(name.to_owned()), "{name} is repeated");
         samples.push((name.to_owned(), value.parse().expect("a number")));
     }
     samples
 }
 
 fn value(samples: &[(String, f64)], name: &str) -> Option<f64> {
-    let found = samples.iter().find(|(one, _)| one == name);
+    let found = samples.iter().find(|(sample, _)| sample == name);
     found.map(|(_, value)| *value)
 }
 
 #[test]
-fn metrics_tell_what_was_counted() {
+fn metrics_contain_recorded_counts() {
     let mut builder = Builder::default();
     let gateway = gateway(&mut builder);
     let runner = RunnerMetrics::new(&mut builder);
     let metrics = NodeMetrics::new(builder, gateway.clone(), None);
-    let counted = &gateway.metrics;
-    counted.request_ended(
+    let recorded = &gateway.metrics;
+    recorded.request_ended(
         &"llm".into(),
         RequestEnd::Answered,
         Duration::from_millis(40),
     );
-    counted.request_ended(
+    recorded.request_ended(
         &"llm".into(),
         RequestEnd::Refused,
         Duration::from_millis(400),
     );
-    counted.answer_began(Duration::from_millis(30));
-    counted.send_ended(SendEnd::Lost);
-    counted.job_handed_in(true);
+    recorded.answer_began(Duration::from_millis(30));
+    recorded.send_ended(SendEnd::Lost);
+    recorded.job_handed_in(true);
     runner.run_ended(RunEnd::Whole);
     runner.preemptions.inc();
     let text = metrics.response().text;
@@ -120,41 +120,50 @@
     }
 }
 
-async fn ask(address: std::net::SocketAddr, path: &str) -> String {
+async fn get(address: std::net::SocketAddr, path: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.unwrap();
+    response
 }
 
 #[test]
-fn a_listener_answers_with_what_holds_at_that_moment() {
+fn the_listener_responds_with_the_current_state() {
     actix_rt::System::new().block_on(async {
         let gateway = gateway(&mut Builder::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let asked = gateway.clone();
+        let readiness_gateway = gateway.clone();
         actix_rt::spawn(status_listener::accept(listener, move || {
-            readiness::answer(&asked)
+            readiness::answer(&readiness_gateway)
         }));
-        let unready = ask(address, "/v1/readyz").await;
-        assert!(unready.starts_with("HTTP/1.1 503"), "{unready}");
+        let unready_response = get(address, "/v1/readyz").await;
+        assert!(
+            unready_response.starts_with("HTTP/1.1 503"),
+            "{unready_response}"
+        );
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         actix_rt::spawn(status_listener::accept(listener, || StatusResponse {
             status: StatusCode::OK,
             text: "counted 1\n".to_owned(),
         }));
-        let told = ask(address, "/metrics").await;
-        assert!(told.starts_with("HTTP/1.1 200"), "{told}");
-        assert!(told.ends_with("counted 1\n"), "{told}");
+        let metrics_response = get(address, "/metrics").await;
+        assert!(
+            metrics_response.starts_with("HTTP/1.1 200"),
+            "{metrics_response}"
+        );
+        assert!(
+            metrics_response.ends_with("counted 1\n"),
+            "{metrics_response}"
+        );
     });
 }
 
 #[test]
-fn the_page_for_operators_names_every_metric() {
+fn the_operations_page_lists_every_metric() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../docs/operations/on-a-platform.md"
@@ -168,7 +177,7 @@
     let described: BTreeSet<&str> = metrics
         .descriptions()
         .iter()
-        .map(|one| one.name.as_str())
+        .map(|description| description.name.as_str())
         .collect();
     let rows = page
         .lines()
--- a/crates/firshore-node/tests/suspended.rs
+++ b/crates/firshore-node/tests/suspended.rs
@@ -1,5 +1,5 @@
-//! A relay whose machine was suspended: what it knew before is not told as current. The steady clock stands
-//! still meanwhile.
+//! Guards against a relay that reports outdated data as current after its machine was suspended: the monotonic clock
+//! doesn't advance meanwhile.
 
 mod cluster;
 
@@ -15,7 +15,7 @@
 const SUSPENSION: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_relay_does_not_tell_as_current_what_it_knew_before_a_suspension() {
+fn a_relay_has_no_contact_after_a_suspension() {
     run(async {
         let store = MemoryStore::new();
         store.put(CONFIGURATION, "newest", json!({"version": 1}));
@@ -26,9 +26,9 @@
         };
         assert!(page.contact.age < 1_000);
         firshore_clock::simulate_suspension(SUSPENSION);
-        let answer = relay
+        let response = relay
             .watch(CONFIGURATION, page.revision, Duration::ZERO)
             .await;
-        assert!(matches!(answer, PeerResponse::NoContact), "{answer:?}");
+        assert!(matches!(response, PeerResponse::NoContact), "{response:?}");
     });
 }
