--- a/crates/firshore-node/src/journal/group_manager.rs
+++ b/crates/firshore-node/src/journal/group_manager.rs
@@ -17,7 +17,7 @@
 /// Fraction of the catch-up time after which one voter of a pair continues without the other
 /// although no disk could replace it. Partitions mostly end sooner, and a single replica may accept
 /// nothing, though it can serve what is listed.
-const LONE_FRACTION: f64 = 1.0;
+const CONTINUE_ALONE_FRACTION: f64 = 1.0;
 
 /// Fraction of the catch-up time for which a voter, beyond the timeout, stays unresponsive until it
 /// is removed although no disk replaces it. Together with the timeout and a change of leader this
@@ -373,7 +373,7 @@
         };
         LeaderlessTime {
             timed_out: lasts(SILENCE_FRACTION),
-            catch_up_elapsed: lasts(LONE_FRACTION),
+            catch_up_elapsed: lasts(CONTINUE_ALONE_FRACTION),
         }
     }
 
@@ -392,8 +392,8 @@
     if let Some(record) = recorded {
         return record.gone.clone();
     }
-    let gone = voters.iter().copied();
-    gone.filter(|disk| is_superseded(input, *disk)).collect()
+    let disks = voters.iter().copied();
+    disks.filter(|disk| is_superseded(input, *disk)).collect()
 }
 
 /// Returns the later history that the record names and that this replica must join. Other disks
@@ -424,9 +424,9 @@
     // Voters that the record doesn't name were in force before; lost ones may have been present
     // then.
     let known = record.voters == voters;
-    let gone = record.gone.iter().copied().filter(|_| known);
+    let lost = record.gone.iter().copied().filter(|_| known);
     GroupAction::Record(VoterRecord {
-        gone: gone.collect(),
+        gone: lost.collect(),
         voters,
         settled: true,
         term: input.status.term,
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -185,14 +185,14 @@
         others.partition(|disk| is_superseded(input, *disk));
     match (&lost[..], &present[..]) {
         (_, []) => record_next_history(input, record, BTreeSet::from([local]), Vec::new(), None),
-        ([], [lone]) => {
+        ([], [single]) => {
             if !unchanged.timed_out {
                 return GroupAction::Idle;
             }
             let Some(leaving) = input.leaving else {
                 return GroupAction::ListLeaving;
             };
-            let pair = BTreeSet::from([local, *lone]);
+            let pair = BTreeSet::from([local, *single]);
             if !unchanged.catch_up_elapsed && !has_replacement(input, leaving, &pair) {
                 return GroupAction::Idle;
             }
@@ -201,12 +201,12 @@
                 record,
                 BTreeSet::from([local]),
                 Vec::new(),
-                Some(*lone),
+                Some(*single),
             )
         }
         // The single voter was about to promote a learner. If that change is in the learner's log,
         // its log is the longer one and holds everything; otherwise this disk holds everything.
-        ([lone], [learner]) if record.before == [BTreeSet::from([*lone])] => {
+        ([single], [learner]) if record.before == [BTreeSet::from([*single])] => {
             let before = vec![record.voters.clone()];
             record_next_history(
                 input,
--- a/crates/firshore-node/src/journal/mod.rs
+++ b/crates/firshore-node/src/journal/mod.rs
@@ -83,8 +83,8 @@
     (unit as usize).clamp(MIN_LOG_BYTES, MAX_LOG_BYTES)
 }
 
-fn is_durable(replica: &Replica, least: usize) -> bool {
-    placement::keeps_promises(&replica.status().membership, least)
+fn is_durable(replica: &Replica, min_disks: usize) -> bool {
+    placement::keeps_promises(&replica.status().membership, min_disks)
 }
 
 /// Services of a node with a disk that respond on behalf of other nodes.
--- a/crates/firshore-node/src/relay/cache.rs
+++ b/crates/firshore-node/src/relay/cache.rs
@@ -207,9 +207,9 @@
         }
         let listed: BTreeSet<&str> = objects.iter().map(|one| one.name.as_str()).collect();
         let kept = self.objects.keys();
-        let gone = kept.filter(|name| !listed.contains(name.as_str()));
-        let gone: Vec<String> = gone.cloned().collect();
-        for name in gone {
+        let removed = kept.filter(|name| !listed.contains(name.as_str()));
+        let removed: Vec<String> = removed.cloned().collect();
+        for name in removed {
             self.remove(name, revision);
         }
         for object in objects {
--- a/crates/firshore-node/src/relay/mod.rs
+++ b/crates/firshore-node/src/relay/mod.rs
@@ -101,7 +101,7 @@
 
     /// Applies an observation. Returns the revision of a change that other relays may not have
     /// observed yet.
-    fn learn(
+    fn apply(
         &self,
         observed: Option<ObjectUpdate>,
         list_watch: &ListWatch,
@@ -310,7 +310,7 @@
         let task = watcher::observe(watcher, move |observed, list_watch, as_of| {
             let served = weak_kind.upgrade();
             if let Some(changed) =
-                served.and_then(|served| served.learn(observed, list_watch, as_of))
+                served.and_then(|served| served.apply(observed, list_watch, as_of))
             {
                 announce(&kind, changed);
             }
