--- a/crates/firshore-node/src/metrics.rs
+++ b/crates/firshore-node/src/metrics.rs
@@ -38,7 +38,10 @@
     pub fn new(builder: &mut Builder) -> Self {
         Self {
             runs: builder.counters("runs", "end", "Runs of batch items, by how they ended."),
-            preemptions: builder.counter("preemptions", "Runs preempted for online requests."),
+            preemptions: builder.counter(
+                "preemptions",
+                "Runs stopped so that online requests have room.",
+            ),
         }
     }
 
@@ -88,21 +91,18 @@
             ),
             term: builder.gauge("journal_term", "Term of the replica."),
             commit: builder.gauge("journal_commit", "Committed index of the replica."),
-            voters: builder.gauge(
-                "journal_voters",
-                "Voting replicas, as observed by this node.",
-            ),
+            voters: builder.gauge("journal_voters", "Replicas that vote, as known here."),
             silent: builder.gauge(
                 "journal_silent",
-                "On the leader: replicas that are unresponsive for longer than the limit.",
+                "On the leader: replicas silent for longer than the limit.",
             ),
             file_bytes: builder.gauge("journal_file_bytes", "Size of the database file in bytes."),
-            jobs: builder.gauge("journal_jobs", "Stored batch jobs."),
+            jobs: builder.gauge("journal_jobs", "Batch jobs that are kept."),
             running: builder.gauge("items_running", "Batch items that this node runs."),
             memory: builder.gauges(
                 "memory_used_bytes",
                 "purpose",
-                "Counted memory in bytes, by purpose.",
+                "Memory that is counted, by what it is used for, in bytes.",
             ),
             resident: builder.gauge(
                 "memory_resident_bytes",
@@ -111,11 +111,11 @@
             standing: builder.gauges(
                 "journal_standing",
                 "standing",
-                "Status of the journal, as observed by this node (1 for the present status).",
+                "What the journal does for its callers, as this node sees it (1), or why nothing.",
             ),
             standing_age: builder.gauge(
                 "journal_standing_age_milliseconds",
-                "Time since the journal's status last changed.",
+                "Time since the journal's standing last changed.",
             ),
         }
     }
