--- a/crates/firshore-crashes/src/detection.rs
+++ b/crates/firshore-crashes/src/detection.rs
@@ -166,7 +166,7 @@
         let backends = exits.iter().map(|idx| self.backends[*idx].clone());
         Quarantine {
             backends: backends.collect(),
-            last_end: self.times[exits[exits.len() - 1]],
+            last_exit: self.times[exits[exits.len() - 1]],
         }
     }
 
--- a/crates/firshore-crashes/src/table.rs
+++ b/crates/firshore-crashes/src/table.rs
@@ -44,7 +44,7 @@
     /// Back ends that exited while running the request, in the order of their exits.
     pub backends: Vec<Incarnation>,
     /// Time of the last of these exits.
-    pub last_end: Instant,
+    pub last_exit: Instant,
 }
 
 /// Evidence against a request that was lost at exits of back ends.
@@ -141,7 +141,7 @@
 
     /// Returns the time until a quarantine expires.
     pub fn time_left(&self, now: Instant, quarantine: &Quarantine) -> Duration {
-        let age = now.saturating_duration_since(quarantine.last_end);
+        let age = now.saturating_duration_since(quarantine.last_exit);
         self.retention.saturating_sub(age)
     }
 
--- a/crates/firshore-gateway/src/attempts.rs
+++ b/crates/firshore-gateway/src/attempts.rs
@@ -26,7 +26,7 @@
 
 /// Next step after a failed send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send the request again.
     SendAgain,
     /// Tell the caller that it has not run.
@@ -103,35 +103,35 @@
     }
 
     /// Records the end of the last send and returns the next step.
-    pub fn ended(&mut self, incarnation: &Incarnation, end: SendEnd) -> Next {
+    pub fn ended(&mut self, incarnation: &Incarnation, end: SendEnd) -> NextStep {
         match end {
             SendEnd::NotSent | SendEnd::NotRun => self.not_run(incarnation),
             SendEnd::Lost | SendEnd::BrokenOff => self.lost(),
             SendEnd::Failed => match self.repetition {
-                Repetition::Idempotent if self.may_retry() => Next::SendAgain,
-                _ => Next::PassOn,
+                Repetition::Idempotent if self.may_retry() => NextStep::SendAgain,
+                _ => NextStep::PassOn,
             },
         }
     }
 
-    fn not_run(&mut self, incarnation: &Incarnation) -> Next {
+    fn not_run(&mut self, incarnation: &Incarnation) -> NextStep {
         // A back end that may have run an earlier send still counts.
         if self.current.take().is_some() {
             self.may_have_run.retain(|one| one != incarnation);
         }
         self.refused.push(incarnation.clone());
         if self.sends < MAX_SENDS {
-            return Next::SendAgain;
+            return NextStep::SendAgain;
         }
         self.give_up()
     }
 
-    fn lost(&self) -> Next {
+    fn lost(&self) -> NextStep {
         let repeatable = self.repetition != Repetition::AtMostOnce;
         if repeatable && self.may_retry() {
-            return Next::SendAgain;
+            return NextStep::SendAgain;
         }
-        Next::FailMaybeRun
+        NextStep::FailMaybeRun
     }
 
     fn may_retry(&self) -> bool {
@@ -141,10 +141,10 @@
     }
 
     /// Returns the next step when no further back end is available.
-    pub fn give_up(&self) -> Next {
+    pub fn give_up(&self) -> NextStep {
         match self.may_have_run() {
-            true => Next::FailMaybeRun,
-            false => Next::RefuseNotRun,
+            true => NextStep::FailMaybeRun,
+            false => NextStep::RefuseNotRun,
         }
     }
 }
--- a/crates/firshore-gateway/src/caller_connection.rs
+++ b/crates/firshore-gateway/src/caller_connection.rs
@@ -54,7 +54,7 @@
     /// The connection was closed, was idle for too long or stalled in a body.
     Closed,
     /// An invalid request; the connection must be closed after the response.
-    Unusable(ApiError),
+    Invalid(ApiError),
 }
 
 /// The caller has disconnected; nothing more can be written.
@@ -109,7 +109,7 @@
             Ok(Err(incoming)) => return incoming,
             Err(_) => {
                 let message = "The head of the request did not arrive in time.";
-                return Incoming::Unusable(ApiError::not_run(ErrorCode::RequestTimeout, message));
+                return Incoming::Invalid(ApiError::not_run(ErrorCode::RequestTimeout, message));
             }
         };
         let arrived = Instant::now();
@@ -133,7 +133,7 @@
                 Ok(None) if self.input.len() > limits.head_bytes => {
                     let message = format!("The head exceeds {} bytes.", limits.head_bytes);
                     let error = ApiError::not_run(ErrorCode::HeadTooLarge, message);
-                    return Err(Incoming::Unusable(error));
+                    return Err(Incoming::Invalid(error));
                 }
                 Ok(None) => self.read_some().await.map_err(|_| Incoming::Closed)?,
                 Err(error) => return Err(invalid_request(&error)),
@@ -168,7 +168,7 @@
             if body.len() > limits.body_bytes {
                 let message = format!("The body exceeds {} bytes.", limits.body_bytes);
                 let error = ApiError::not_run(ErrorCode::TooLarge, message);
-                return Err(Incoming::Unusable(error));
+                return Err(Incoming::Invalid(error));
             }
         }
     }
@@ -282,5 +282,5 @@
 
 fn invalid_request(error: &dyn std::fmt::Display) -> Incoming {
     let message = format!("The request is not valid HTTP/1.1: {error}.");
-    Incoming::Unusable(ApiError::not_run(ErrorCode::InvalidRequest, message))
+    Incoming::Invalid(ApiError::not_run(ErrorCode::InvalidRequest, message))
 }
--- a/crates/firshore-gateway/src/crash_monitor.rs
+++ b/crates/firshore-gateway/src/crash_monitor.rs
@@ -98,7 +98,7 @@
     }
 
     /// Sets the time for which the exit of a back end is kept.
-    pub fn remember_for(&self, retention: Duration) {
+    pub fn set_retention(&self, retention: Duration) {
         self.table.borrow_mut().set_retention(retention);
     }
 
@@ -212,7 +212,7 @@
     }
 
     /// Records that a request has completed, which clears it of suspicion.
-    pub fn completed(&self, fingerprint: RequestFingerprint) {
+    pub fn record_completion(&self, fingerprint: RequestFingerprint) {
         if self.suspicion(&fingerprint).exits == 0 {
             return;
         }
@@ -275,7 +275,7 @@
                         .collect();
                     warn!(self.log, "crash: Request quarantined."; "print" => %fingerprint,
                         "backends" => backends.join(" "),
-                        "last_end_age_ms" => now.saturating_duration_since(quarantine.last_end).as_millis() as u64);
+                        "last_end_age_ms" => now.saturating_duration_since(quarantine.last_exit).as_millis() as u64);
                 }
                 // The entry of an exited back end stays for some seconds. Without this, every node would send
                 // requests there until its own requests fail.
--- a/crates/firshore-gateway/src/fleet/mod.rs
+++ b/crates/firshore-gateway/src/fleet/mod.rs
@@ -90,7 +90,7 @@
     pub load_limit: f32,
     /// Time within which a response must be expected to begin without a wait, while such back ends have free slots;
     /// `None`: unlimited.
-    pub answer_within: Option<Duration>,
+    pub begin_objective: Option<Duration>,
     /// Time within which the request must begin, under admission control; `None`: unlimited.
     pub begin_within: Option<Duration>,
 }
@@ -238,7 +238,7 @@
     }
 
     /// Returns the load of a service, in requests per slot, that back ends report and views don't show.
-    pub fn unseen(&self, now: Instant, service: &ServiceName) -> f32 {
+    pub fn unseen_load(&self, now: Instant, service: &ServiceName) -> f32 {
         let stats = self.service_stats.get(service);
         stats.map_or(0.0, |stats| stats.unseen(now).max(0.0))
     }
@@ -328,7 +328,7 @@
     }
 
     /// Records that a request is about to be sent.
-    pub fn started(&mut self, now: Instant, incarnation: &Incarnation) {
+    pub fn record_start(&mut self, now: Instant, incarnation: &Incarnation) {
         let Some(state) = self.state_mut(incarnation) else {
             return;
         };
@@ -347,7 +347,7 @@
     }
 
     /// Records a successful request: its response began after `began_after` and took `rest` from then on.
-    pub fn served(&mut self, service: &ServiceName, began_after: Duration, rest: Duration) {
+    pub fn record_served(&mut self, service: &ServiceName, began_after: Duration, rest: Duration) {
         let stats = self.service_stats.entry(service.clone()).or_default();
         stats.served(began_after, rest);
     }
@@ -362,7 +362,7 @@
     }
 
     /// Records that a response began after `began_after`, where the expected wait was `expected`.
-    pub fn began(
+    pub fn record_begin(
         &mut self,
         now: Instant,
         service: &ServiceName,
@@ -374,7 +374,7 @@
     }
 
     /// Records that a request has ended, successfully or not.
-    pub fn ended(&mut self, now: Instant, incarnation: &Incarnation) {
+    pub fn record_end(&mut self, now: Instant, incarnation: &Incarnation) {
         let Some(state) = self.state_mut(incarnation) else {
             return;
         };
--- a/crates/firshore-gateway/src/fleet/selection.rs
+++ b/crates/firshore-gateway/src/fleet/selection.rs
@@ -239,11 +239,11 @@
     stats: &ServiceStats,
     states: Vec<&'a BackendState>,
 ) -> Vec<&'a BackendState> {
-    let Some(answer_within) = requirements.answer_within else {
+    let Some(begin_objective) = requirements.begin_objective else {
         return states;
     };
     let is_fast = |state: &&BackendState| match state.pace.pace(now) {
-        Some(_) => stats.answer_time(state.pace.factor(now)) <= answer_within,
+        Some(_) => stats.answer_time(state.pace.factor(now)) <= begin_objective,
         None => true,
     };
     let fast: Vec<&BackendState> = states.iter().copied().filter(is_fast).collect();
--- a/crates/firshore-gateway/src/forward/admit.rs
+++ b/crates/firshore-gateway/src/forward/admit.rs
@@ -150,7 +150,7 @@
             attempts: &self.attempts,
             affinity: None,
             load_limit: f32::INFINITY,
-            answer_within: Some(self.route.objective),
+            begin_objective: Some(self.route.objective),
             begin_within: None,
         }
     }
--- a/crates/firshore-gateway/src/forward/give_up.rs
+++ b/crates/firshore-gateway/src/forward/give_up.rs
@@ -1,7 +1,7 @@
 //! Ends requests without a response from a back end.
 
 use super::{Forwarding, Handled, Interrupted};
-use crate::attempts::Next;
+use crate::attempts::NextStep;
 use crate::caller_connection::CallerConnection;
 use crate::metrics::RequestEnd;
 use crate::refusal::Refusal;
@@ -15,7 +15,7 @@
 impl Forwarding<'_> {
     pub(super) async fn give_up(
         &mut self,
-        next: Next,
+        next: NextStep,
         reason: &'static str,
         connection: &mut CallerConnection,
     ) -> Handled {
@@ -25,7 +25,7 @@
             return Handled::Close;
         }
         let refusal = match next {
-            Next::PassOn | Next::SendAgain => match self.failure.take() {
+            NextStep::PassOn | NextStep::SendAgain => match self.failure.take() {
                 Some(failure) => {
                     return self
                         .return_response(&failure.head, failure.body, connection)
@@ -33,8 +33,8 @@
                 }
                 None => self.failed(),
             },
-            Next::FailMaybeRun => self.failed(),
-            Next::RefuseNotRun => {
+            NextStep::FailMaybeRun => self.failed(),
+            NextStep::RefuseNotRun => {
                 // No back end had a free slot. Counting it as pressure preempts batch items of the service.
                 self.gateway.pressure.borrow_mut().refused(&self.service);
                 Refusal::not_run(
@@ -58,7 +58,9 @@
         info!(self.gateway.log, "forward: Quarantined."; "request" => &self.terms.id,
             "print" => %self.fingerprint(), "wait_s" => wait.as_secs());
         if self.attempts.may_have_run() {
-            return self.give_up(Next::FailMaybeRun, reason, connection).await;
+            return self
+                .give_up(NextStep::FailMaybeRun, reason, connection)
+                .await;
         }
         let message = "Back ends have ended each time that they ran this request.";
         let wait = Duration::from_secs(wait.as_secs() + 1);
--- a/crates/firshore-gateway/src/forward/mod.rs
+++ b/crates/firshore-gateway/src/forward/mod.rs
@@ -8,7 +8,7 @@
 mod headers;
 mod relay;
 
-use crate::attempts::{Attempts, Next, SendEnd};
+use crate::attempts::{Attempts, NextStep, SendEnd};
 use crate::caller_connection::{CallerConnection, CallerRequest};
 use crate::choice::affinity_key;
 use crate::events::EventStream;
@@ -214,7 +214,7 @@
                 "backend" => %backend.incarnation, "end" => ?end, "next" => ?next,
                 "sends" => self.attempts.sends(), "age_ms" => self.age_ms(),
                 "backends_age_ms" => self.gateway.freshness.backends.age_ms());
-            if next != Next::SendAgain {
+            if next != NextStep::SendAgain {
                 return Ok(self.give_up(next, "attempts exhausted", connection).await);
             }
         }
@@ -225,10 +225,10 @@
     async fn limit_crashes(
         &self,
         backend: &Backend,
-        next: Next,
+        next: NextStep,
         connection: &mut CallerConnection,
-    ) -> Result<Next, Interrupted> {
-        if next != Next::SendAgain || !self.attempts.may_have_run() {
+    ) -> Result<NextStep, Interrupted> {
+        if next != NextStep::SendAgain || !self.attempts.may_have_run() {
             return Ok(next);
         }
         let crashes = &self.gateway.crashes;
@@ -237,7 +237,7 @@
         match crashes.suspects_any()
             && crashes.suspicion(&self.fingerprint()).occasions >= CRASH_OCCASIONS_TO_STOP
         {
-            true => Ok(Next::FailMaybeRun),
+            true => Ok(NextStep::FailMaybeRun),
             false => Ok(next),
         }
     }
@@ -278,7 +278,7 @@
             attempts: &self.attempts,
             affinity,
             load_limit: f32::INFINITY,
-            answer_within: Some(self.route.objective),
+            begin_objective: Some(self.route.objective),
             begin_within,
         };
         let mut random = self.gateway.random.borrow_mut();
@@ -312,7 +312,7 @@
         self.attempts.sending(&backend.incarnation);
         let now = Instant::now();
         self.last_send = Some(self.new_send(now, backend));
-        let _in_flight = self.gateway.in_flight(&backend.incarnation);
+        let _in_flight = self.gateway.begin_send(&backend.incarnation);
         self.record_waiting(now, backend);
         let connecting = exchange::connect(endpoint(backend), Reuse::Idle);
         let to_backend = match unless_interrupted(connection, self.deadline, connecting).await? {
@@ -417,13 +417,13 @@
         };
         let mut fleet = self.gateway.fleet.borrow_mut();
         let now = Instant::now();
-        fleet.began(now, &self.service, send.expected_wait, began_after);
+        fleet.record_begin(now, &self.service, send.expected_wait, began_after);
     }
 
     /// Records that the response to the caller is about to begin, and logs it if it is late.
     fn response_begins(&self) {
         let age = self.request.arrived.elapsed();
-        self.gateway.metrics.answer_began(age);
+        self.gateway.metrics.response_began(age);
         let Some(send) = self
             .last_send
             .as_ref()
--- a/crates/firshore-gateway/src/forward/relay.rs
+++ b/crates/firshore-gateway/src/forward/relay.rs
@@ -72,7 +72,7 @@
         if !head.status.is_success() {
             return;
         }
-        self.gateway.completed(|| self.fingerprint());
+        self.gateway.record_completion(|| self.fingerprint());
         // A run that resumes another one is shorter, and would distort the statistics.
         if self.attempts.sends() > 1 || self.terms.resume_after.is_some() {
             return;
@@ -82,7 +82,7 @@
         {
             let rest = send.at.elapsed().saturating_sub(began_after);
             let mut fleet = self.gateway.fleet.borrow_mut();
-            fleet.served(&self.service, began_after, rest);
+            fleet.record_served(&self.service, began_after, rest);
         }
     }
 
--- a/crates/firshore-gateway/src/gateway.rs
+++ b/crates/firshore-gateway/src/gateway.rs
@@ -114,7 +114,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut fleet = self.fleet.borrow_mut();
-        fleet.ended(Instant::now(), &self.incarnation);
+        fleet.record_end(Instant::now(), &self.incarnation);
         drop(fleet);
         self.overload.capacity_changed();
     }
@@ -177,7 +177,7 @@
 
     /// Sets the fingerprint key that all nodes share, and the time for which the exit of a back end is kept.
     pub fn with_crash_memory(self, fingerprint_key: FingerprintKey, retention: Duration) -> Self {
-        self.crashes.remember_for(retention);
+        self.crashes.set_retention(retention);
         Self {
             fingerprint_key,
             ..self
@@ -185,10 +185,10 @@
     }
 
     /// Records that a request is about to be sent to a back end. It is in flight until the guard is dropped.
-    pub fn in_flight(&self, incarnation: &Incarnation) -> InFlight {
+    pub fn begin_send(&self, incarnation: &Incarnation) -> InFlight {
         let now = Instant::now();
         let mut fleet = self.fleet.borrow_mut();
-        fleet.started(now, incarnation);
+        fleet.record_start(now, incarnation);
         if fleet.is_crowded(now, incarnation) {
             self.crowded.notify_one();
         }
@@ -362,9 +362,9 @@
     }
 
     /// Records that a request has completed, so it does not crash back ends.
-    pub fn completed(&self, fingerprint: impl Fn() -> RequestFingerprint) {
+    pub fn record_completion(&self, fingerprint: impl Fn() -> RequestFingerprint) {
         if self.crashes.suspects_any() {
-            self.crashes.completed(fingerprint());
+            self.crashes.record_completion(fingerprint());
         }
     }
 
--- a/crates/firshore-gateway/src/metrics.rs
+++ b/crates/firshore-gateway/src/metrics.rs
@@ -234,7 +234,7 @@
     }
 
     /// Records the age of a request at the first byte of its response.
-    pub fn answer_began(&self, age: Duration) {
+    pub fn response_began(&self, age: Duration) {
         self.first_byte_seconds.observe(age.as_secs_f64());
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// Counts a submitted batch job.
-    pub fn job_handed_in(&self, accepted: bool) {
+    pub fn job_submitted(&self, accepted: bool) {
         let end = if accepted { "accepted" } else { "refused" };
         self.jobs.get_or_create(&EndLabels::new(end)).inc();
     }
--- a/crates/firshore-gateway/src/serve.rs
+++ b/crates/firshore-gateway/src/serve.rs
@@ -68,7 +68,7 @@
         let handled = match connection.read_request(&limits, closing).await {
             Incoming::Request(request) => handle(&gateway, *request, &mut connection).await,
             Incoming::Closed => Handled::Close,
-            Incoming::Unusable(error) => {
+            Incoming::Invalid(error) => {
                 info!(gateway.log, "serve: Request invalid."; "reason" => %error);
                 let _ = Refusal::from(error).write(&mut connection, true).await;
                 Handled::Close
@@ -241,7 +241,7 @@
     let count = items.len();
     let job = job_id(tenant.as_deref(), id);
     let submitted = jobs.submit(route.clone(), job.clone(), items).await;
-    gateway.metrics.job_handed_in(submitted.is_ok());
+    gateway.metrics.job_submitted(submitted.is_ok());
     match submitted {
         Ok(()) => {
             info!(gateway.log, "jobs: Accepted."; "job" => job.id, "route" => &route.name,
--- a/crates/firshore-gateway/tests/caller_connection.rs
+++ b/crates/firshore-gateway/tests/caller_connection.rs
@@ -136,7 +136,7 @@
             });
             let mut connection = accept(&listener).await;
             match read(&mut connection).await {
-                Incoming::Unusable(error) => assert_eq!(error.code.status(), status, "{name}"),
+                Incoming::Invalid(error) => assert_eq!(error.code.status(), status, "{name}"),
                 _ => panic!("{name}: accepted"),
             }
             drop(connection);
--- a/crates/firshore-gateway/tests/capacity.rs
+++ b/crates/firshore-gateway/tests/capacity.rs
@@ -32,7 +32,7 @@
 /// Creates the fleet of a node that has one request in flight, at the first back end.
 fn fleet(backends: usize) -> Fleet {
     let mut fleet = idle_fleet(backends);
-    fleet.started(Instant::now(), &incarnation(0));
+    fleet.record_start(Instant::now(), &incarnation(0));
     fleet
 }
 
@@ -48,7 +48,7 @@
     });
     fleet.replace(listed.collect());
     for _ in 0..100 {
-        fleet.served(&"llm".into(), FIRST_EVENT, REST);
+        fleet.record_served(&"llm".into(), FIRST_EVENT, REST);
     }
     fleet.set_view_interval(LONG_INTERVAL);
     fleet
@@ -74,7 +74,7 @@
         attempts: &attempts,
         affinity: None,
         load_limit: f32::INFINITY,
-        answer_within: None,
+        begin_objective: None,
         begin_within: None,
     };
     fleet.outlook(now, &requirements, BEGIN_WITHIN).unwrap()
@@ -129,7 +129,7 @@
     assert!(outlook(&fleet, now).has_slot);
     let began_after = FIRST_EVENT + Duration::from_millis(400);
     for _ in 0..10 {
-        fleet.began(now, &"llm".into(), Duration::ZERO, began_after);
+        fleet.record_begin(now, &"llm".into(), Duration::ZERO, began_after);
     }
     assert!(!outlook(&fleet, now).has_slot);
     apply_view(&mut fleet, now, &[3; 10]);
@@ -162,7 +162,7 @@
     for node in 0..NODES {
         let mut fleet = idle_fleet(20);
         for number in 0..4 {
-            fleet.started(now, &incarnation((node + number) as usize % 20));
+            fleet.record_start(now, &incarnation((node + number) as usize % 20));
         }
         let others = [10 - 3; 20];
         let others = others.iter().enumerate();
@@ -180,18 +180,18 @@
 fn a_slot_freed_by_a_local_request_is_reserved_for_a_short_time() {
     let now = Instant::now();
     let mut fleet = fleet(4);
-    fleet.started(now, &incarnation(2));
+    fleet.record_start(now, &incarnation(2));
     apply_view(&mut fleet, now, &[8; 4]);
     assert!(!outlook(&fleet, now).has_slot);
-    fleet.ended(now, &incarnation(2));
+    fleet.record_end(now, &incarnation(2));
     assert!(outlook(&fleet, now).has_slot);
     let later = now + Duration::from_millis(60);
     assert!(
         !outlook(&fleet, later).has_slot,
         "other nodes may have used it"
     );
-    fleet.started(now, &incarnation(1));
-    fleet.ended(now, &incarnation(1));
+    fleet.record_start(now, &incarnation(1));
+    fleet.record_end(now, &incarnation(1));
     let at = outlook(&fleet, now);
     assert!(at.has_slot, "the slot at the second back end is still free");
 }
@@ -200,11 +200,11 @@
 fn a_reserved_slot_is_used_once() {
     let now = Instant::now();
     let mut fleet = fleet(1);
-    fleet.started(now, &incarnation(0));
+    fleet.record_start(now, &incarnation(0));
     apply_view(&mut fleet, now, &[7]);
-    fleet.ended(now, &incarnation(0));
+    fleet.record_end(now, &incarnation(0));
     assert!(outlook(&fleet, now).has_slot);
-    fleet.started(now, &incarnation(0));
+    fleet.record_start(now, &incarnation(0));
     assert!(!outlook(&fleet, now).has_slot);
 }
 
@@ -212,9 +212,9 @@
 fn a_slot_freed_before_a_queue_is_not_reserved() {
     let now = Instant::now();
     let mut fleet = fleet(1);
-    fleet.started(now, &incarnation(0));
+    fleet.record_start(now, &incarnation(0));
     apply_view(&mut fleet, now, &[9]);
-    fleet.ended(now, &incarnation(0));
+    fleet.record_end(now, &incarnation(0));
     assert!(!outlook(&fleet, now).has_slot);
 }
 
@@ -224,7 +224,7 @@
     let now = Instant::now();
     let mut fleet = fleet(2);
     for _ in 0..200 {
-        fleet.served(&"llm".into(), Duration::from_millis(15), Duration::ZERO);
+        fleet.record_served(&"llm".into(), Duration::from_millis(15), Duration::ZERO);
     }
     apply_view(&mut fleet, now, &[20; 2]);
     assert!(outlook(&fleet, now).has_slot);
@@ -287,7 +287,7 @@
     let mut sent = 0;
     for number in 0..20 {
         if outlook(&fleet, start).has_slot {
-            fleet.started(start, &incarnation(number));
+            fleet.record_start(start, &incarnation(number));
             sent += 1;
         }
     }
@@ -309,10 +309,10 @@
     let mut fleet = fleet(3);
     let service = ServiceName::from("llm");
     apply_view(&mut fleet, now, &[2, 4, 0]);
-    fleet.started(now, &incarnation(2));
+    fleet.record_start(now, &incarnation(2));
     let occupancy = fleet.occupancy(now, &service);
     assert_eq!((occupancy.slots, occupancy.held), (3 * SLOTS, 7));
-    assert_eq!(fleet.unseen(now, &service), 0.0);
+    assert_eq!(fleet.unseen_load(now, &service), 0.0);
     for _ in 0..30 {
         let load = ReportedLoad {
             running: 6,
@@ -322,9 +322,9 @@
         };
         fleet.record_load(now, &incarnation(0), load);
     }
-    let unseen = fleet.unseen(now, &service);
+    let unseen = fleet.unseen_load(now, &service);
     assert!((0.45..=0.5).contains(&unseen), "4 of 8 slots: {unseen}");
-    assert_eq!(fleet.unseen(now, &"desk".into()), 0.0);
+    assert_eq!(fleet.unseen_load(now, &"desk".into()), 0.0);
     assert_eq!(fleet.occupancy(now, &"desk".into()).slots, 0);
 }
 
@@ -334,13 +334,13 @@
     let now = Instant::now();
     let mut fleet = idle_fleet(5);
     for number in 0..4 {
-        fleet.started(now, &incarnation(number));
+        fleet.record_start(now, &incarnation(number));
     }
     assert!(!outlook(&fleet, now).has_slot);
-    fleet.began(now, &"llm".into(), Duration::ZERO, FIRST_EVENT);
+    fleet.record_begin(now, &"llm".into(), Duration::ZERO, FIRST_EVENT);
     assert!(outlook(&fleet, now).has_slot);
     for _ in 0..20 {
-        fleet.began(now, &"llm".into(), Duration::ZERO, REST);
+        fleet.record_begin(now, &"llm".into(), Duration::ZERO, REST);
     }
     assert!(!outlook(&fleet, now).has_slot);
 }
@@ -356,7 +356,7 @@
         apply_view(&mut fleet, now, &[20; 4]);
         assert!(outlook(&fleet, now).has_slot, "{interval:?}");
         assert!(has_backend(&fleet, now), "{interval:?}");
-        fleet.started(now, &incarnation(1));
+        fleet.record_start(now, &incarnation(1));
         assert!(!outlook(&fleet, now).has_slot, "{interval:?}");
     }
 }
@@ -369,7 +369,7 @@
         attempts: &attempts,
         affinity: None,
         load_limit: f32::INFINITY,
-        answer_within: None,
+        begin_objective: None,
         begin_within: Some(BEGIN_WITHIN),
     };
     let mut random = ChaCha8Rng::seed_from_u64(1);
--- a/crates/firshore-gateway/tests/decisions.rs
+++ b/crates/firshore-gateway/tests/decisions.rs
@@ -4,7 +4,7 @@
 use firshore_adapter::caller::PromptPart;
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_adapter::route::{Repetition, Route, RouteTable, WeightedService};
-use firshore_gateway::attempts::{Attempts, Next, SendEnd};
+use firshore_gateway::attempts::{Attempts, NextStep, SendEnd};
 use firshore_gateway::choice::{Candidate, Placement, affinity_key, choose};
 use firshore_gateway::events::{EventError, EventStream, event_data};
 use firshore_gateway::fleet::{BackendOutcome, BackendRequirements, Fleet};
@@ -48,7 +48,7 @@
         attempts,
         affinity,
         load_limit: f32::INFINITY,
-        answer_within: None,
+        begin_objective: None,
         begin_within: None,
     };
     let found = fleet.choose(now, &requirements, &mut random);
@@ -79,11 +79,11 @@
 
 #[test]
 fn the_next_step_depends_on_what_may_have_run() {
-    use Next::{FailMaybeRun, PassOn, RefuseNotRun, SendAgain};
+    use NextStep::{FailMaybeRun, PassOn, RefuseNotRun, SendAgain};
     use Repetition::{AtMostOnce, Idempotent, Resumable};
     use SendEnd::{BrokenOff, Failed, Lost, NotRun, NotSent};
     // The sends of a case go to different back ends.
-    let cases: [(&str, Repetition, u32, &[SendEnd], Next); 15] = [
+    let cases: [(&str, Repetition, u32, &[SendEnd], NextStep); 15] = [
         ("not sent", AtMostOnce, 1, &[NotSent], SendAgain),
         ("not run", AtMostOnce, 1, &[NotRun], SendAgain),
         ("refused by all", AtMostOnce, 1, &[NotRun; 5], RefuseNotRun),
@@ -132,9 +132,9 @@
     ];
     for (name, repetition, limit, ends, expected) in cases {
         let mut attempts = Attempts::new(repetition, limit);
-        let mut next = Next::SendAgain;
+        let mut next = NextStep::SendAgain;
         for (number, end) in ends.iter().enumerate() {
-            assert_eq!(next, Next::SendAgain, "{name}: send {number}");
+            assert_eq!(next, NextStep::SendAgain, "{name}: send {number}");
             let backend = incarnation(&format!("b{number}"));
             assert!(attempts.allows(&backend), "{name}: send {number}");
             attempts.sending(&backend);
@@ -149,10 +149,13 @@
     let mut attempts = Attempts::new(Repetition::Resumable, 1);
     let (first, second) = (incarnation("first"), incarnation("second"));
     attempts.sending(&first);
-    assert_eq!(attempts.ended(&first, SendEnd::BrokenOff), Next::SendAgain);
+    assert_eq!(
+        attempts.ended(&first, SendEnd::BrokenOff),
+        NextStep::SendAgain
+    );
     assert!(attempts.allows(&first) && !attempts.allows(&second));
     attempts.sending(&first);
-    assert_eq!(attempts.ended(&first, SendEnd::NotRun), Next::SendAgain);
+    assert_eq!(attempts.ended(&first, SendEnd::NotRun), NextStep::SendAgain);
     assert!(attempts.may_have_run(), "the first send ran");
     assert!(!attempts.allows(&second));
 }
@@ -221,7 +224,7 @@
         Some(preferred.clone())
     );
     for _ in 0..8 {
-        local.started(now, &incarnation(&preferred));
+        local.record_start(now, &incarnation(&preferred));
     }
     let second = chosen(&local, now, &attempts, key).unwrap();
     assert_ne!(second, preferred, "a busy back end is skipped");
@@ -249,7 +252,7 @@
         attempts: &attempts,
         affinity: None,
         load_limit: f32::INFINITY,
-        answer_within: None,
+        begin_objective: None,
         begin_within: None,
     };
     let to_idle_backend = (0..GATEWAYS)
@@ -272,7 +275,7 @@
     fleet.apply_remote_load(now, &others, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("c"));
     for _ in 0..3 {
-        fleet.started(now, &incarnation("c"));
+        fleet.record_start(now, &incarnation("c"));
     }
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
     let later = now + Duration::from_secs(3);
@@ -287,7 +290,7 @@
 fn local_requests_are_not_counted_twice_in_a_reported_load() {
     let now = Instant::now();
     let mut fleet = fleet(&["a"]);
-    fleet.started(now, &incarnation("a"));
+    fleet.record_start(now, &incarnation("a"));
     let load = ReportedLoad {
         running: 3,
         waiting: 0,
@@ -329,7 +332,7 @@
     fleet.record_outcome(now, &incarnation("b"), BackendOutcome::Answered);
     assert_eq!(chosen(&fleet, now, &attempts, None).as_deref(), Some("b"));
     let later = now + Duration::from_secs(5);
-    fleet.started(later, &incarnation("b"));
+    fleet.record_start(later, &incarnation("b"));
     assert_eq!(chosen(&fleet, later, &attempts, None).as_deref(), Some("a"));
 }
 
@@ -339,9 +342,9 @@
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let mut fleet = fleet(&["a", "b"]);
     let (unresponsive, other) = (incarnation("a"), incarnation("b"));
-    fleet.started(now, &unresponsive);
+    fleet.record_start(now, &unresponsive);
     for _ in 0..3 {
-        fleet.started(now, &other);
+        fleet.record_start(now, &other);
     }
     let later = now + Duration::from_millis(700);
     fleet.record_activity(later, &other);
@@ -351,7 +354,7 @@
     assert_eq!(chosen(&fleet, later, &attempts, None).as_deref(), Some("a"));
     let much_later = later + Duration::from_secs(1);
     fleet.record_activity(much_later, &other);
-    fleet.ended(now, &unresponsive);
+    fleet.record_end(now, &unresponsive);
     let idle = chosen(&fleet, much_later, &attempts, None);
     assert_eq!(idle.as_deref(), Some("a"), "it has no request in flight");
 }
@@ -418,7 +421,7 @@
         attempts: &attempts,
         affinity: None,
         load_limit: f32::INFINITY,
-        answer_within: None,
+        begin_objective: None,
         begin_within: None,
     };
     let mut fleet = fleet(&["a", "b", "c"]);
@@ -470,13 +473,13 @@
                 attempts: &attempts,
                 affinity: None,
                 load_limit: load,
-                answer_within: None,
+                begin_objective: None,
                 begin_within: None,
             };
             let mut random = ChaCha8Rng::seed_from_u64(1);
             let mut started = 0;
             while fleet.choose(now, &requirements, &mut random).is_some() {
-                fleet.started(now, &incarnation("b"));
+                fleet.record_start(now, &incarnation("b"));
                 started += 1;
             }
             let excess = fleet.excess(now, &incarnation("b"), load);
@@ -497,7 +500,7 @@
 }
 
 /// Returns how often each of two back ends, `a` and `b`, is chosen in 2,000 draws.
-fn count_choices(fleet: &Fleet, now: Instant, answer_within: Option<Duration>) -> [usize; 2] {
+fn count_choices(fleet: &Fleet, now: Instant, begin_objective: Option<Duration>) -> [usize; 2] {
     let attempts = Attempts::new(Repetition::Idempotent, 1);
     let service = "llm".into();
     let requirements = BackendRequirements {
@@ -505,7 +508,7 @@
         attempts: &attempts,
         affinity: None,
         load_limit: f32::INFINITY,
-        answer_within,
+        begin_objective,
         begin_within: None,
     };
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -543,7 +546,7 @@
     let objective = Some(Duration::from_millis(300));
     let mut fleet = fleet(&["a", "b"]);
     fleet.set_view_interval(Duration::from_millis(400));
-    fleet.served(
+    fleet.record_served(
         &"llm".into(),
         Duration::from_millis(80),
         Duration::from_millis(500),
@@ -608,7 +611,7 @@
     let now = Instant::now();
     let mut fleet = fleet(&["a", "b"]);
     fleet.set_view_interval(Duration::from_millis(400));
-    fleet.served(
+    fleet.record_served(
         &"llm".into(),
         Duration::from_millis(900),
         Duration::from_millis(500),
--- a/crates/firshore-gateway/tests/forwarding.rs
+++ b/crates/firshore-gateway/tests/forwarding.rs
@@ -160,7 +160,7 @@
                 .gateway
                 .fleet
                 .borrow_mut()
-                .started(std::time::Instant::now(), &Incarnation::named(second));
+                .record_start(std::time::Instant::now(), &Incarnation::named(second));
             let received = request(fixture.address, path, "").await;
             assert!(
                 matches(&received, &expected),
--- a/crates/firshore-gateway/tests/overload/world.rs
+++ b/crates/firshore-gateway/tests/overload/world.rs
@@ -5,7 +5,7 @@
 use firshore_adapter::incarnation::{BackendName, Incarnation};
 use firshore_adapter::route::Repetition;
 use firshore_admission::admission::{Admission, AdmissionRequest, ShareStatus, decide};
-use firshore_gateway::attempts::{Attempts, Next, SendEnd};
+use firshore_gateway::attempts::{Attempts, NextStep, SendEnd};
 use firshore_gateway::fleet::{BackendOutcome, BackendRequirements, Fleet};
 use firshore_types::ids::ServiceName;
 use rand::{Rng, RngExt, SeedableRng};
@@ -301,7 +301,7 @@
             attempts: &arrived.attempts,
             affinity: None,
             load_limit: f32::INFINITY,
-            answer_within: None,
+            begin_objective: None,
             begin_within: None,
         };
         let Some(outlook) =
@@ -371,7 +371,7 @@
         sent.sent_at = self.now;
         let fleet = &mut self.gateways[sent.gateway].fleet;
         sent.expected_wait = fleet.begin_delay(self.now, incarnation);
-        fleet.started(self.now, incarnation);
+        fleet.record_start(self.now, incarnation);
         match self.engines[engine].submit(Some(request)) {
             Submission::Started => self.start_run(engine, Some(request)),
             Submission::Queued => {}
@@ -386,9 +386,9 @@
         let fleet = &mut self.gateways[sent.gateway].fleet;
         fleet.record_load(self.now, &incarnation, load);
         fleet.record_outcome(self.now, &incarnation, BackendOutcome::Full);
-        fleet.ended(self.now, &incarnation);
+        fleet.record_end(self.now, &incarnation);
         match sent.attempts.ended(&incarnation, SendEnd::NotRun) {
-            Next::SendAgain => self.decide(request),
+            NextStep::SendAgain => self.decide(request),
             _ => self.refuse(request),
         }
     }
@@ -416,7 +416,7 @@
         let fleet = &mut self.gateways[started.gateway].fleet;
         fleet.record_activity(self.now, &incarnation);
         let (expected, began_after) = (started.expected_wait, started.began_after);
-        fleet.began(self.now, &self.service, expected, began_after);
+        fleet.record_begin(self.now, &self.service, expected, began_after);
         fleet.record_load(self.now, &incarnation, self.engines[engine].load());
         fleet.record_outcome(self.now, &incarnation, BackendOutcome::Answered);
     }
@@ -432,8 +432,8 @@
         let rest = self.now - ended.sent_at - ended.began_after;
         let gateway = ended.gateway;
         let fleet = &mut self.gateways[gateway].fleet;
-        fleet.served(&self.service, ended.began_after, rest);
-        fleet.ended(self.now, &incarnation(engine));
+        fleet.record_served(&self.service, ended.began_after, rest);
+        fleet.record_end(self.now, &incarnation(engine));
         self.decide_queued(gateway);
     }
 
--- a/crates/firshore-gateway/tests/successors.rs
+++ b/crates/firshore-gateway/tests/successors.rs
@@ -10,7 +10,7 @@
 use firshore_adapter::objects::Object;
 use firshore_adapter::route::Repetition;
 use firshore_crashes::fingerprint::{FingerprintInput, RequestFingerprint};
-use firshore_gateway::attempts::{Attempts, Next, SendEnd};
+use firshore_gateway::attempts::{Attempts, NextStep, SendEnd};
 use firshore_gateway::fleet::{BackendOutcome, BackendRequirements, Fleet};
 use firshore_stand_in::adapter::{HOST, Plain};
 use firshore_stand_in::backend::{EVENTS, Play, ScriptedBackend};
@@ -87,7 +87,7 @@
             attempts: &attempts,
             affinity: None,
             load_limit: f32::INFINITY,
-            answer_within: None,
+            begin_objective: None,
             begin_within: None,
         };
         let backend = fleet.choose(now, &requirements, &mut random).unwrap();
@@ -119,7 +119,7 @@
     let (old, new) = (listed("a", 1, 1_000), listed("a", 1, 2_000));
     let mut fleet = fleet(std::slice::from_ref(&old));
     for _ in 0..4 {
-        fleet.started(now, &old.incarnation);
+        fleet.record_start(now, &old.incarnation);
     }
     let load = ReportedLoad {
         running: 9,
@@ -130,9 +130,9 @@
     fleet.record_load(now, &old.incarnation, load);
     fleet.replace(vec![new.clone()]);
     assert_eq!(fleet.load(now, &new.incarnation), Some(0.0));
-    fleet.started(now, &new.incarnation);
+    fleet.record_start(now, &new.incarnation);
     // Late events of the old process must not affect the new one.
-    fleet.ended(now, &old.incarnation);
+    fleet.record_end(now, &old.incarnation);
     fleet.record_load(now, &old.incarnation, load);
     fleet.record_outcome(now, &old.incarnation, BackendOutcome::Unreachable);
     assert_eq!(fleet.load(now, &new.incarnation), Some(0.1));
@@ -144,7 +144,7 @@
     let now = Instant::now();
     let (old, new) = (listed("a", 1, 1_000), listed("a", 2, 2_000));
     let mut fleet = fleet(std::slice::from_ref(&new));
-    fleet.started(now, &new.incarnation);
+    fleet.record_start(now, &new.incarnation);
     fleet.upsert(old.clone());
     assert_eq!(chosen(&fleet, now), std::slice::from_ref(&new));
     fleet.replace(vec![old]);
@@ -164,7 +164,7 @@
         entry.decode()
     };
     let mut fleet = fleet(&[without_start(false)]);
-    fleet.started(now, &without_start(false).incarnation);
+    fleet.record_start(now, &without_start(false).incarnation);
     fleet.upsert(without_start(true));
     assert_eq!(
         fleet.load(now, &without_start(false).incarnation),
@@ -425,11 +425,14 @@
     let other = listed("b", 2, 1_000).incarnation;
     let mut attempts = Attempts::new(Repetition::Resumable, 1);
     attempts.sending(&first);
-    assert_eq!(attempts.ended(&first, SendEnd::BrokenOff), Next::SendAgain);
+    assert_eq!(
+        attempts.ended(&first, SendEnd::BrokenOff),
+        NextStep::SendAgain
+    );
     assert!(attempts.allows(&second) && !attempts.allows(&other));
     attempts.sending(&second);
     attempts.ended(&second, SendEnd::NotRun);
     // The old process may still have run the request.
     assert!(attempts.may_have_run());
-    assert_eq!(attempts.give_up(), Next::FailMaybeRun);
+    assert_eq!(attempts.give_up(), NextStep::FailMaybeRun);
 }
--- a/crates/firshore-gateway/tests/suspended.rs
+++ b/crates/firshore-gateway/tests/suspended.rs
@@ -59,7 +59,7 @@
             demand: 1_000.0,
         };
         let response = UsageResponse {
-            pictures: vec![view],
+            views: vec![view],
             ledger: 1,
             complete: true,
         };
--- a/crates/firshore-gateway/tests/uneven.rs
+++ b/crates/firshore-gateway/tests/uneven.rs
@@ -194,7 +194,7 @@
         attempts: &attempts,
         affinity: None,
         load_limit: f32::INFINITY,
-        answer_within: Some(Duration::from_millis(OBJECTIVE_MS)),
+        begin_objective: Some(Duration::from_millis(OBJECTIVE_MS)),
         begin_within: None,
     };
     for now in 0..LENGTH_MS {
@@ -202,8 +202,8 @@
         world.change_paces(now, &mut random);
         for engine in 0..ENGINES {
             for gateway in world.end_runs(engine, now) {
-                fleets[gateway].ended(at, &incarnation(engine));
-                fleets[gateway].served(
+                fleets[gateway].record_end(at, &incarnation(engine));
+                fleets[gateway].record_served(
                     &service,
                     Duration::from_millis(48),
                     Duration::from_millis(600),
@@ -231,7 +231,7 @@
             let backend = fleets[gateway]
                 .choose(at, &requirements, &mut choices)
                 .unwrap();
-            fleets[gateway].started(at, &backend.incarnation);
+            fleets[gateway].record_start(at, &backend.incarnation);
             let name = backend.incarnation.name.as_str();
             let engine = &mut world.engines[name[1..].parse::<usize>().unwrap()];
             engine.queue.push_back(Arrival { gateway, at: now });
--- a/crates/firshore-lab/src/experiment/limits.rs
+++ b/crates/firshore-lab/src/experiment/limits.rs
@@ -4,7 +4,9 @@
 use crate::experiment::Experiment;
 use crate::report::Report;
 use firshore_routing::allocator::LimitAllocator;
-use firshore_routing::limits::{Grant, REPORT_INTERVAL_MILLISECONDS, TenantKey, TenantLimiter};
+use firshore_routing::limits::{
+    LimitGrant, REPORT_INTERVAL_MILLISECONDS, TenantKey, TenantLimiter,
+};
 use firshore_types::declaration::Limits;
 use firshore_types::ids::InstanceId;
 use rand::{RngExt, SeedableRng};
@@ -34,7 +36,7 @@
     at: u64,
     node: usize,
     reported_at: u64,
-    grant: Grant,
+    grant: LimitGrant,
 }
 
 struct Cluster {
@@ -115,7 +117,7 @@
                     at: now + ANSWER_DELAY,
                     node,
                     reported_at: now,
-                    grant: Grant { tenant, share },
+                    grant: LimitGrant { tenant, share },
                 });
             }
         }
@@ -124,7 +126,7 @@
     fn deliver(&mut self, now: u64) {
         while self.answers.front().is_some_and(|answer| answer.at <= now) {
             if let Some(answer) = self.answers.pop_front() {
-                let Grant { tenant, share } = answer.grant;
+                let LimitGrant { tenant, share } = answer.grant;
                 self.nodes[answer.node].apply_grant(answer.reported_at, tenant, share);
             }
         }
--- a/crates/firshore-limits/src/ledger.rs
+++ b/crates/firshore-limits/src/ledger.rs
@@ -259,7 +259,7 @@
             }
         }
         UsageResponse {
-            pictures: views,
+            views,
             ledger: self.id,
             complete: now.saturating_duration_since(self.began_at) >= COMPLETE_AFTER,
         }
@@ -303,12 +303,12 @@
         account.count_stale(now);
         account.admitted.add(usage.admitted.into());
         account.reported_at = now;
-        account.demand.record(now, node, usage.demand, usage.silent);
+        account.demand.record(now, node, usage.demand, usage.stale);
         let is_new = now.saturating_duration_since(self.began_at) < SHARE_RESERVATION;
         if !is_new {
             account.inherited_demand = 0.0;
         } else if report.ledger != id {
-            account.inherited_demand = account.inherited_demand.max(usage.known);
+            account.inherited_demand = account.inherited_demand.max(usage.known_demand);
         }
         if is_first {
             // The time within the span is not reported: counted as of now, it counts for longest.
--- a/crates/firshore-limits/src/limiter.rs
+++ b/crates/firshore-limits/src/limiter.rs
@@ -597,9 +597,9 @@
                 tenant: *tenant,
                 admitted: state.in_flight,
                 demand: state.demand,
-                silent: 0.0,
+                stale: 0.0,
                 recent: state.recent.sum() as f32,
-                known: state.view.map_or(0.0, |view| view.demand as f32),
+                known_demand: state.view.map_or(0.0, |view| view.demand as f32),
                 rate: state.limit.per_second as f32,
                 burst: state.limit.burst as f32,
             }
@@ -614,7 +614,7 @@
 
     /// Applies the response to the last report, as of `at`.
     pub fn apply_response(&mut self, at: Instant, response: &UsageResponse) {
-        let named = response.pictures.iter().map(|one| (one.tenant, *one));
+        let named = response.views.iter().map(|one| (one.tenant, *one));
         let received = ReceivedViews {
             named: named.collect(),
             complete: response.complete,
--- a/crates/firshore-limits/src/relay.rs
+++ b/crates/firshore-limits/src/relay.rs
@@ -92,7 +92,7 @@
         self.add_report(now, node, report);
         let views = self.tenants.values().filter_map(RelayedTenant::view);
         UsageResponse {
-            pictures: views.chain(self.others.values().copied()).collect(),
+            views: views.chain(self.others.values().copied()).collect(),
             ledger: self.ledger,
             complete: self.complete,
         }
@@ -122,7 +122,7 @@
             if is_new {
                 tenant.recent.add_spread(usage.recent.into());
             }
-            tenant.demand.record(now, node, usage.demand, usage.silent);
+            tenant.demand.record(now, node, usage.demand, usage.stale);
         }
     }
 
@@ -153,9 +153,9 @@
                 tenant: *digest,
                 admitted: tenant.in_flight,
                 demand: sum.all,
-                silent: sum.stale,
+                stale: sum.stale,
                 recent: tenant.recent.sum() as f32,
-                known: tenant.view.map_or(0.0, |view| view.demand),
+                known_demand: tenant.view.map_or(0.0, |view| view.demand),
                 rate: tenant.rate,
                 burst: tenant.burst,
             });
@@ -176,7 +176,7 @@
         for tenant in self.tenants.values_mut() {
             tenant.in_flight = 0;
         }
-        for view in &response.pictures {
+        for view in &response.views {
             match self.tenants.get_mut(&view.tenant) {
                 Some(tenant) => tenant.view = Some(*view),
                 None => {
--- a/crates/firshore-limits/src/report.rs
+++ b/crates/firshore-limits/src/report.rs
@@ -31,13 +31,13 @@
     pub demand: f32,
     /// Of these, requests per second at nodes whose reports are stale, as a relay reports it.
     #[serde(rename = "s", default)]
-    pub silent: f32,
+    pub stale: f32,
     /// Requests admitted in the last span. Only a ledger that started since the last report uses it.
     #[serde(rename = "h", default)]
     pub recent: f32,
     /// Requests per second at all nodes, as the node received it last.
     #[serde(rename = "k")]
-    pub known: f32,
+    pub known_demand: f32,
     /// Rate that the node's configuration allows, in requests per second.
     #[serde(rename = "r")]
     pub rate: f32,
@@ -111,7 +111,7 @@
 pub struct UsageResponse {
     /// The reported tenants, and all that are near their limit.
     #[serde(rename = "p")]
-    pub pictures: Vec<TenantView>,
+    pub views: Vec<TenantView>,
     /// Ledger that the response comes from; never 0.
     #[serde(rename = "l")]
     pub ledger: u64,
--- a/crates/firshore-limits/tests/cut_off.rs
+++ b/crates/firshore-limits/tests/cut_off.rs
@@ -111,7 +111,7 @@
         demand,
     };
     UsageResponse {
-        pictures: vec![view],
+        views: vec![view],
         ledger: 1,
         complete: true,
     }
--- a/crates/firshore-limits/tests/ledger.rs
+++ b/crates/firshore-limits/tests/ledger.rs
@@ -17,9 +17,9 @@
             tenant: TENANT,
             admitted,
             demand,
-            silent: 0.0,
+            stale: 0.0,
             recent,
-            known: demand,
+            known_demand: demand,
             rate: 100.0,
             burst: 100.0,
         }],
@@ -35,16 +35,16 @@
     ledger.apply_report(later, &"n".into(), &usage_report);
     // From now on the node reports to a relay, and withdraws its reports to the ledger.
     let response = ledger.apply_report(later, &"relay".into(), &usage_report);
-    assert_eq!(response.pictures[0].demand, 80.0);
+    assert_eq!(response.views[0].demand, 80.0);
     ledger.apply_report(later, &"n".into(), &usage_report.retraction());
     let mut response = response;
     for tenth in 0..100 {
         let now = later + Duration::from_millis(100 * tenth);
         response = ledger.apply_report(now, &"relay".into(), &usage_report);
     }
-    assert_eq!(response.pictures[0].demand, 40.0);
+    assert_eq!(response.views[0].demand, 40.0);
     assert!(
-        response.pictures[0].left > 500.0,
+        response.views[0].left > 500.0,
         "a share is reserved for a node that is not stale"
     );
 }
@@ -62,7 +62,7 @@
             let now = later + Duration::from_millis(100 * tenth);
             ledger.remove_stale(now);
             let response = ledger.apply_report(now, &"other".into(), &usage_report);
-            left = response.pictures[0].left;
+            left = response.views[0].left;
         }
         left
     };
@@ -80,12 +80,12 @@
     let mut ledger = UsageLedger::new(2, start, SPAN);
     let first = ledger.apply_report(start, &"n".into(), &report(1, 40.0, 0, 300.0));
     assert!(
-        first.pictures[0].left < 100.0,
+        first.views[0].left < 100.0,
         "before all nodes have reported"
     );
     let later = start + Duration::from_millis(400);
     let response = ledger.apply_report(later, &"n".into(), &report(2, 40.0, 0, 300.0));
-    let left = response.pictures[0].left;
+    let left = response.views[0].left;
     assert!((200.0..300.0).contains(&left), "{left}");
 }
 
@@ -104,6 +104,6 @@
     ledger.apply_report(start, &"n".into(), &direct);
     let later = start + Duration::from_millis(400);
     let response = ledger.apply_report(later, &"relay".into(), &report(2, 40.0, 0, 300.0));
-    let left = response.pictures[0].left;
+    let left = response.views[0].left;
     assert!((200.0..300.0).contains(&left), "{left}");
 }
--- a/crates/firshore-node/src/environment.rs
+++ b/crates/firshore-node/src/environment.rs
@@ -54,13 +54,13 @@
         Self {
             backends: RelayedKind {
                 name: decoder.backend_kind().to_owned(),
-                terms: relay_options(objects, backends, backends.relay_spacing()),
+                options: relay_options(objects, backends, backends.relay_spacing()),
                 budget: backends,
             },
             // No delay after a change: a new configuration has to take effect on all nodes at once.
             configuration: RelayedKind {
                 name: decoder.configuration_kind().to_owned(),
-                terms: relay_options(objects, configuration, Duration::ZERO),
+                options: relay_options(objects, configuration, Duration::ZERO),
                 budget: configuration,
             },
         }
@@ -185,7 +185,7 @@
     fn should_log(&self, object: &Object) -> Option<u64> {
         let now = firshore_clock::now();
         let mut refusals = self.refusals.borrow_mut();
-        refusals.admit(now, &object.name, object.revision)
+        refusals.should_log(now, &object.name, object.revision)
     }
 
     fn apply_configuration(&self, update: ObjectUpdate) {
--- a/crates/firshore-node/src/journal/mod.rs
+++ b/crates/firshore-node/src/journal/mod.rs
@@ -213,7 +213,7 @@
     }
 
     /// Sends a request to another node; `None` if there is no response.
-    pub async fn ask(&self, node: &NodeName, request: PeerRequest) -> Option<PeerResponse> {
+    pub async fn query(&self, node: &NodeName, request: PeerRequest) -> Option<PeerResponse> {
         let address = self.registry.address(node)?;
         self.peers.call(address, request).await.ok()
     }
--- a/crates/firshore-node/src/journal/registry.rs
+++ b/crates/firshore-node/src/journal/registry.rs
@@ -417,7 +417,7 @@
     fn refuse(&self, object: &Object, what: &'static str, error: &serde_json::Error) {
         let now = firshore_clock::now();
         let mut refusals = self.refusals.borrow_mut();
-        if let Some(suppressed) = refusals.admit(now, &object.name, object.revision) {
+        if let Some(suppressed) = refusals.should_log(now, &object.name, object.revision) {
             warn!(self.log, "registry: {}", what; "object" => &object.name,
                 "revision" => object.revision, "reason" => brief(error), "untold" => suppressed);
         }
--- a/crates/firshore-node/src/journal/retirement.rs
+++ b/crates/firshore-node/src/journal/retirement.rs
@@ -92,7 +92,8 @@
                     request.readable = false;
                 }
                 let mut refusals = self.refusals.borrow_mut();
-                let admitted = refusals.admit(firshore_clock::now(), &object.name, object.revision);
+                let admitted =
+                    refusals.should_log(firshore_clock::now(), &object.name, object.revision);
                 if let Some(suppressed) = admitted {
                     warn!(log, "retirement: Object unreadable."; "revision" => object.revision,
                         "reason" => %error, "untold" => suppressed);
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -179,7 +179,7 @@
         let gaps = store.apply(leadership, deltas);
         let state = self.replica.applied_state();
         let state = state.read();
-        store.keep(|(job, index)| state.is_open(job, *index));
+        store.retain(|(job, index)| state.is_open(job, *index));
         PeerResponse::Gaps(gaps)
     }
 
--- a/crates/firshore-node/src/load_table.rs
+++ b/crates/firshore-node/src/load_table.rs
@@ -80,7 +80,7 @@
 impl LoadTable {
     /// Replaces the counts of a node.
     pub fn record(&mut self, now: Instant, node: NodeName, counts: Vec<BackendCount>) {
-        self.forget_old(now);
+        self.remove_expired(now);
         let counts: HashMap<BackendName, u32> = counts
             .into_iter()
             .map(|entry| (BackendName::from(entry.backend), entry.count))
@@ -105,7 +105,7 @@
     }
 
     /// Removes expired reports.
-    pub fn forget_old(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         let sums = &mut self.sums;
         self.nodes.retain(|_, reported| {
             let is_fresh = now.saturating_duration_since(reported.received_at) < REPORT_LIFETIME;
--- a/crates/firshore-node/src/metrics.rs
+++ b/crates/firshore-node/src/metrics.rs
@@ -130,7 +130,7 @@
         self.file_bytes.set(status.file_bytes as i64);
         let state = node.journal.replica.applied_state();
         self.jobs.set(state.read().len() as i64);
-        self.running.set(node.runner.running() as i64);
+        self.running.set(node.runner.running_count() as i64);
         let used = node.runner.memory_use();
         for (purpose, bytes) in used.by_purpose() {
             let gauge = self.memory.get_or_create(&PurposeLabels { purpose });
--- a/crates/firshore-node/src/node.rs
+++ b/crates/firshore-node/src/node.rs
@@ -172,7 +172,7 @@
         let listener = TcpListener::bind(address).await?;
         let gateway = gateway.clone();
         actix_rt::spawn(status_listener::accept(listener, move || {
-            readiness::answer(&gateway)
+            readiness::response(&gateway)
         }));
     }
     if let Some(address) = settings.listen.metrics {
--- a/crates/firshore-node/src/readiness.rs
+++ b/crates/firshore-node/src/readiness.rs
@@ -5,7 +5,7 @@
 use firshore_gateway::gateway::Gateway;
 
 /// Returns 200 if the node is ready, 503 before that and while it shuts down.
-pub fn answer(gateway: &Gateway) -> StatusResponse {
+pub fn response(gateway: &Gateway) -> StatusResponse {
     let ready = gateway.is_ready() && !gateway.leaving.is_leaving();
     StatusResponse {
         status: match ready {
--- a/crates/firshore-node/src/refusals.rs
+++ b/crates/firshore-node/src/refusals.rs
@@ -26,7 +26,7 @@
 impl RefusalLog {
     /// Returns the number of refusals that were suppressed since the last logged one if this one has to be logged,
     /// `None` otherwise.
-    pub fn admit(&mut self, now: Instant, name: &str, revision: Revision) -> Option<u64> {
+    pub fn should_log(&mut self, now: Instant, name: &str, revision: Revision) -> Option<u64> {
         if self.logged.get(name) == Some(&revision) {
             return None;
         }
--- a/crates/firshore-node/src/relay/loads.rs
+++ b/crates/firshore-node/src/relay/loads.rs
@@ -180,7 +180,7 @@
     /// Returns the sums of recent reports; `None` if there are none.
     pub fn sums(&self, now: Instant) -> Option<Vec<BackendCount>> {
         let mut table = self.table.borrow_mut();
-        table.forget_old(now);
+        table.remove_expired(now);
         (table.nodes() > 0).then(|| as_counts(table.sums().clone()))
     }
 
--- a/crates/firshore-node/src/relay/mod.rs
+++ b/crates/firshore-node/src/relay/mod.rs
@@ -39,7 +39,7 @@
     /// Name of the kind.
     pub name: String,
     /// Timing of calls to the store.
-    pub terms: WatchOptions,
+    pub options: WatchOptions,
     /// How soon changes must be visible.
     pub budget: FreshnessBudget,
 }
@@ -302,7 +302,7 @@
             log: self.log.clone(),
             store: self.store.clone(),
             kind: relayed.name.clone(),
-            options: relayed.terms,
+            options: relayed.options,
             renewal: served.renewal.clone(),
         };
         let weak_kind = Rc::downgrade(&served);
@@ -352,7 +352,7 @@
             return;
         };
         let relayed = self.kinds.iter().find(|one| one.name == kind);
-        let spacing = relayed.map_or(Duration::ZERO, |one| one.terms.spacing);
+        let spacing = relayed.map_or(Duration::ZERO, |one| one.options.spacing);
         actix_rt::time::sleep(spacing + served.budget.hint_timeout()).await;
         if served.is_behind(changed) {
             info!(self.log, "relay: Store queried again."; "kind" => kind, "changed" => changed,
--- a/crates/firshore-node/src/runner/handover.rs
+++ b/crates/firshore-node/src/runner/handover.rs
@@ -96,7 +96,7 @@
     }
 
     /// Removes items that are no longer open.
-    pub fn keep(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
+    pub fn retain(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
         self.items.retain(|key, _| is_open(key));
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Removes items that are no longer open.
-    pub fn keep(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
+    pub fn retain(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
         self.lengths.retain(|key, _| is_open(key));
     }
 }
--- a/crates/firshore-node/src/runner/item.rs
+++ b/crates/firshore-node/src/runner/item.rs
@@ -255,7 +255,7 @@
         if self.progress.borrow().has_partial() {
             return RunEnd::Broken;
         }
-        self.gateway.completed(|| self.fingerprint());
+        self.gateway.record_completion(|| self.fingerprint());
         RunEnd::Whole
     }
 }
--- a/crates/firshore-node/src/runner/mod.rs
+++ b/crates/firshore-node/src/runner/mod.rs
@@ -218,7 +218,7 @@
     }
 
     /// Returns the number of running items.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.borrow().len()
     }
 
@@ -232,7 +232,7 @@
             let used = self.memory_use();
             info!(self.gateway.log, "memory: Used."; "resident" => memory::resident_bytes(),
                 "counted" => used.sum(), "jobs" => used.jobs, "submissions" => used.submissions,
-                "progress" => used.progress, "handover" => used.handover, "runs" => self.running(),
+                "progress" => used.progress, "handover" => used.handover, "runs" => self.running_count(),
                 "results" => used.results, "log" => used.log);
         }
     }
@@ -291,7 +291,7 @@
     pub fn memory_use(&self) -> MemoryUse {
         MemoryUse {
             progress: self.progress_bytes(),
-            runs: self.journal.budget.run_bytes(self.running()),
+            runs: self.journal.budget.run_bytes(self.running_count()),
             ..self.journal.memory_use()
         }
     }
@@ -312,7 +312,7 @@
     fn preempt(&self) {
         let now = Instant::now();
         let mut table = self.loads.table.borrow_mut();
-        table.forget_old(firshore_clock::now().into_std());
+        table.remove_expired(firshore_clock::now().into_std());
         let online = table.sums();
         let mut fleet = self.gateway.fleet.borrow_mut();
         let mut random = self.gateway.random.borrow_mut();
--- a/crates/firshore-node/src/runner/preemption.rs
+++ b/crates/firshore-node/src/runner/preemption.rs
@@ -214,7 +214,7 @@
     }
 
     /// Returns whether a service is under pressure.
-    pub fn is_pressed(&self, service: &ServiceName) -> bool {
+    pub fn is_under_pressure(&self, service: &ServiceName) -> bool {
         let state = self.services.get(service);
         state.is_some_and(|state| state.pressed)
     }
@@ -234,7 +234,7 @@
         running: usize,
         risk: DeadlineRisk,
     ) -> bool {
-        if !self.is_pressed(service) {
+        if !self.is_under_pressure(service) {
             return true;
         }
         risk == DeadlineRisk::Critical && running < reserved_slots(slots)
--- a/crates/firshore-node/src/runner/pressure.rs
+++ b/crates/firshore-node/src/runner/pressure.rs
@@ -20,12 +20,12 @@
         pressures.extend(self.gateway.pressure.borrow_mut().take());
         let mut preemption = self.preemption.borrow_mut();
         for pressure in &pressures {
-            let was_pressed = preemption.is_pressed(&pressure.service);
+            let was_pressed = preemption.is_under_pressure(&pressure.service);
             preemption.record_pressure(now, usage(&pressure.service), pressure);
-            if !was_pressed && preemption.is_pressed(&pressure.service) {
+            if !was_pressed && preemption.is_under_pressure(&pressure.service) {
                 info!(self.gateway.log, "runner: Preempting items."; "service" => %pressure.service,
                     "waiting" => pressure.counts.waiting, "late" => pressure.counts.late,
-                    "refused" => pressure.counts.refused, "running" => self.running());
+                    "refused" => pressure.counts.refused, "running" => self.running_count());
             }
         }
         preemption.advance(now, usage);
--- a/crates/firshore-node/src/runner/progress_sender.rs
+++ b/crates/firshore-node/src/runner/progress_sender.rs
@@ -69,7 +69,7 @@
         let gaps = store.apply(leadership, deltas);
         stored.acknowledge(ends, gaps);
         let progress = self.progress.borrow();
-        store.keep(|key| progress.contains_key(key));
+        store.retain(|key| progress.contains_key(key));
     }
 
     /// Sends one node the events that it lacks, in messages of limited size: a new node lacks all events.
@@ -86,7 +86,7 @@
             }
             let ends: Vec<DeltaEnd> = deltas.iter().map(ProgressDelta::end).collect();
             let request = PeerRequest::Progress { leadership, deltas };
-            let call = self.journal.ask(&node, request);
+            let call = self.journal.query(&node, request);
             match timeout(SEND_TIMEOUT, call).await {
                 Ok(Some(PeerResponse::Gaps(gaps))) => sent.acknowledge(ends, gaps),
                 _ => {
@@ -102,7 +102,7 @@
     /// Returns the events that were not sent yet, up to about `bytes`.
     fn unsent(&self, sent: &mut SentProgress, bytes: usize) -> Vec<ProgressDelta> {
         let progress = self.progress.borrow();
-        sent.keep(|key| progress.contains_key(key));
+        sent.retain(|key| progress.contains_key(key));
         let items = progress.iter().map(|(key, item)| (key, item.borrow()));
         let items: Vec<(&ItemKey, Ref<'_, ItemProgress>)> = items.collect();
         let items = items
--- a/crates/firshore-node/src/runner/progress_store.rs
+++ b/crates/firshore-node/src/runner/progress_store.rs
@@ -65,8 +65,8 @@
     }
 
     /// Removes items that are no longer open.
-    pub fn keep(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
-        self.held.keep(is_open);
+    pub fn retain(&mut self, is_open: impl Fn(&ItemKey) -> bool) {
+        self.held.retain(is_open);
     }
 
     /// Returns the approximate memory of the held events in bytes.
--- a/crates/firshore-node/src/runner/schedule.rs
+++ b/crates/firshore-node/src/runner/schedule.rs
@@ -87,7 +87,7 @@
         let state = state.read();
         self.due_times
             .borrow_mut()
-            .keep(|job| state.is_job_open(job));
+            .retain(|job| state.is_job_open(job));
         let items = state.open_items();
         let budget = self.journal.budget;
         let mut pass = Pass {
@@ -98,7 +98,7 @@
             self.add_backlog(now, &job, &mut pass);
             for waiting in self.waiting(&job) {
                 pass.waiting = true;
-                let at_capacity = self.running() >= self.max_runs;
+                let at_capacity = self.running_count() >= self.max_runs;
                 if at_capacity || pass.is_over() {
                     return true;
                 }
@@ -250,7 +250,7 @@
             work,
             progress,
             // Counted at once, so that the choice for the next item includes it.
-            in_flight: self.gateway.in_flight(&backend.incarnation),
+            in_flight: self.gateway.begin_send(&backend.incarnation),
             backend,
         };
         let runner = self.clone();
@@ -307,9 +307,9 @@
             affinity: affinity_key(&terms.prompt),
             // Requests of isolated nodes are in no node's count, but in the loads that back ends report with
             // items.
-            load_limit: limit - fleet.unseen(now, &service),
+            load_limit: limit - fleet.unseen_load(now, &service),
             begin_within: None,
-            answer_within: None,
+            begin_objective: None,
         };
         let mut random = self.gateway.random.borrow_mut();
         let chosen = fleet.choose(now, &requirements, &mut *random);
--- a/crates/firshore-node/src/runner/urgency.rs
+++ b/crates/firshore-node/src/runner/urgency.rs
@@ -84,7 +84,7 @@
     }
 
     /// Removes jobs that are no longer open.
-    pub fn keep(&mut self, is_open: impl Fn(&str) -> bool) {
+    pub fn retain(&mut self, is_open: impl Fn(&str) -> bool) {
         self.jobs.retain(|job, _| is_open(job));
     }
 }
--- a/crates/firshore-node/src/watcher.rs
+++ b/crates/firshore-node/src/watcher.rs
@@ -125,7 +125,7 @@
     if count == 0 {
         return;
     }
-    if let Some(suppressed) = refusals.admit(firshore_clock::now(), "", revision) {
+    if let Some(suppressed) = refusals.should_log(firshore_clock::now(), "", revision) {
         warn!(log, "objects: Entries skipped."; "kind" => kind, "count" => count,
             "revision" => revision, "reason" => "name cannot be read", "untold" => suppressed);
     }
--- a/crates/firshore-node/tests/cluster/mod.rs
+++ b/crates/firshore-node/tests/cluster/mod.rs
@@ -130,7 +130,7 @@
 pub fn relayed_kinds() -> Vec<RelayedKind> {
     let kinds = [BACKENDS, CONFIGURATION].map(|name| RelayedKind {
         name: name.to_owned(),
-        terms: WatchOptions {
+        options: WatchOptions {
             history: Duration::from_secs(20),
             spacing: Duration::from_millis(100),
             creation_spacing: Duration::from_millis(100),
--- a/crates/firshore-node/tests/crash_world/callers.rs
+++ b/crates/firshore-node/tests/crash_world/callers.rs
@@ -203,7 +203,7 @@
     .await
     .is_ok();
     if !is_lost && !is_reset {
-        monitor.completed(fingerprint);
+        monitor.record_completion(fingerprint);
         return AttemptEnd::Completed;
     }
     let elapsed_ms = started.elapsed().as_millis() as u64;
--- a/crates/firshore-node/tests/foreign.rs
+++ b/crates/firshore-node/tests/foreign.rs
@@ -223,21 +223,21 @@
 fn refusals_are_told_once_each_and_a_few_a_second() {
     let mut refusals = RefusalLog::default();
     let start = Instant::now();
-    assert_eq!(refusals.admit(start, "a", 1), Some(0));
-    assert_eq!(refusals.admit(start, "a", 1), None, "told already");
-    assert_eq!(refusals.admit(start, "a", 2), Some(0), "written anew");
+    assert_eq!(refusals.should_log(start, "a", 1), Some(0));
+    assert_eq!(refusals.should_log(start, "a", 1), None, "told already");
+    assert_eq!(refusals.should_log(start, "a", 2), Some(0), "written anew");
     let names: Vec<String> = (0..2_000).map(|number| format!("n{number}")).collect();
     let told = names
         .iter()
-        .filter_map(|name| refusals.admit(start, name, 1));
+        .filter_map(|name| refusals.should_log(start, name, 1));
     assert_eq!(told.count(), 3, "a few a second");
     let later = start + Duration::from_secs(1);
     assert_eq!(
-        refusals.admit(later, "b", 1),
+        refusals.should_log(later, "b", 1),
         Some(1_997),
         "what was not told is counted"
     );
-    assert_eq!(refusals.admit(later, "a", 2), None);
+    assert_eq!(refusals.should_log(later, "a", 2), None);
     refusals.forget("a");
-    assert_eq!(refusals.admit(later, "a", 2), Some(0));
+    assert_eq!(refusals.should_log(later, "a", 2), Some(0));
 }
--- a/crates/firshore-node/tests/items.rs
+++ b/crates/firshore-node/tests/items.rs
@@ -115,7 +115,7 @@
     table.record(later, "two".into(), load("a", 1));
     assert_eq!(sums(table.sums().clone()), load("a", 1));
     assert_eq!(table.nodes(), 1);
-    table.forget_old(later + Duration::from_secs(2));
+    table.remove_expired(later + Duration::from_secs(2));
     assert!(table.sums().is_empty());
 }
 
@@ -200,9 +200,9 @@
     };
     held.apply(vec![delta(0, events(1..=5), 5)]);
     held.apply(vec![delta(0, events(1..=2), 2)]);
-    held.keep(|open| *open == key);
+    held.retain(|open| *open == key);
     assert_eq!(held.all()[&key].events, events(1..=2));
     held.apply(vec![delta(0, events(1..=2), 2)]);
-    held.keep(|_| false);
+    held.retain(|_| false);
     assert!(held.all().is_empty());
 }
--- a/crates/firshore-node/tests/preemption.rs
+++ b/crates/firshore-node/tests/preemption.rs
@@ -54,12 +54,12 @@
     let now = Instant::now();
     let mut way = PreemptionPolicy::default();
     way.record_pressure(now, room(500), &late(5));
-    assert!(!way.is_pressed(&service()));
+    assert!(!way.is_under_pressure(&service()));
     assert!(way.may_start(&service(), SLOTS, 100, DeadlineRisk::Low));
     way.record_pressure(now + millis(20), room(500), &late(5));
-    assert!(way.is_pressed(&service()));
+    assert!(way.is_under_pressure(&service()));
     assert!(!way.may_start(&service(), SLOTS, 100, DeadlineRisk::High));
-    assert!(!way.is_pressed(&"desk".into()), "another service");
+    assert!(!way.is_under_pressure(&"desk".into()), "another service");
 }
 
 #[test]
@@ -68,9 +68,12 @@
     let mut way = PreemptionPolicy::default();
     way.record_pressure(now, room(600), &late(200));
     way.advance(now + millis(300), |_| room(400));
-    assert!(way.is_pressed(&service()), "a moment ago they were late");
+    assert!(
+        way.is_under_pressure(&service()),
+        "a moment ago they were late"
+    );
     way.advance(now + millis(700), |_| room(400));
-    assert!(!way.is_pressed(&service()));
+    assert!(!way.is_under_pressure(&service()));
 }
 
 #[test]
@@ -79,9 +82,9 @@
     let mut way = PreemptionPolicy::default();
     way.record_pressure(now, room(600), &late(200));
     way.advance(now + millis(1_500), |_| room(590));
-    assert!(way.is_pressed(&service()));
+    assert!(way.is_under_pressure(&service()));
     way.advance(now + millis(1_700), |_| room(500));
-    assert!(!way.is_pressed(&service()));
+    assert!(!way.is_under_pressure(&service()));
 }
 
 #[test]
@@ -90,11 +93,14 @@
     let mut way = PreemptionPolicy::default();
     way.record_pressure(now, room(600), &late(200));
     way.record_pressure(now + millis(200), room(290), &late(50));
-    assert!(!way.is_pressed(&service()));
+    assert!(!way.is_under_pressure(&service()));
     way.record_pressure(now + millis(1_000), room(290), &late(50));
-    assert!(!way.is_pressed(&service()));
+    assert!(!way.is_under_pressure(&service()));
     way.record_pressure(now + millis(1_800), room(290), &late(50));
-    assert!(way.is_pressed(&service()), "that is no rest of a wave");
+    assert!(
+        way.is_under_pressure(&service()),
+        "that is no rest of a wave"
+    );
 }
 
 #[test]
@@ -104,7 +110,7 @@
     way.record_pressure(now, room(600), &late(200));
     way.advance(now + millis(100), |_| room(600));
     way.advance(now + millis(4_000), |_| room(600));
-    assert!(!way.is_pressed(&service()));
+    assert!(!way.is_under_pressure(&service()));
 }
 
 #[test]
--- a/crates/firshore-node/tests/progress_file.rs
+++ b/crates/firshore-node/tests/progress_file.rs
@@ -135,7 +135,7 @@
     for round in 0..ROUNDS {
         let deltas = vec![delta(round as u32, 0, &[event.as_str()])];
         keeper.apply(leadership(1, 1), deltas);
-        keeper.keep(|key| key.1 + 4 > round as u32);
+        keeper.retain(|key| key.1 + 4 > round as u32);
         // Far slower than a disk, so that nothing has to be dropped.
         std::thread::sleep(Duration::from_millis(1));
     }
--- a/crates/firshore-node/tests/relay.rs
+++ b/crates/firshore-node/tests/relay.rs
@@ -300,7 +300,7 @@
                 log: log(),
                 store: relayed,
                 kind: kind.name,
-                options: kind.terms,
+                options: kind.options,
                 renewal: Rc::default(),
             },
             move |learned| take(&learning, learned),
--- a/crates/firshore-node/tests/stale_world/machines.rs
+++ b/crates/firshore-node/tests/stale_world/machines.rs
@@ -144,7 +144,7 @@
     pub fn start_again(&self) {
         let kinds = KINDS.map(|kind| RelayedKind {
             name: kind.to_owned(),
-            terms: WatchOptions {
+            options: WatchOptions {
                 max_wait: self.budget.watch_wait(),
                 ..terms(relay_spacing(kind, self.budget))
             },
--- a/crates/firshore-node/tests/status.rs
+++ b/crates/firshore-node/tests/status.rs
@@ -90,9 +90,9 @@
         RequestEnd::Refused,
         Duration::from_millis(400),
     );
-    recorded.answer_began(Duration::from_millis(30));
+    recorded.response_began(Duration::from_millis(30));
     recorded.send_ended(SendEnd::Lost);
-    recorded.job_handed_in(true);
+    recorded.job_submitted(true);
     runner.run_ended(RunEnd::Whole);
     runner.preemptions.inc();
     let text = metrics.response().text;
@@ -137,7 +137,7 @@
         let address = listener.local_addr().unwrap();
         let readiness_gateway = gateway.clone();
         actix_rt::spawn(status_listener::accept(listener, move || {
-            readiness::answer(&readiness_gateway)
+            readiness::response(&readiness_gateway)
         }));
         let unready_response = get(address, "/v1/readyz").await;
         assert!(
--- a/crates/firshore-node/tests/urgency.rs
+++ b/crates/firshore-node/tests/urgency.rs
@@ -51,7 +51,7 @@
     for age in [seconds(0), seconds(4), seconds(100_000)] {
         assert_eq!(table.due(later, "job", age, DUE_AFTER), due, "{age:?} old");
     }
-    table.keep(|job| job != "job");
+    table.retain(|job| job != "job");
     let anew = table.due(later, "job", seconds(4), DUE_AFTER);
     assert_eq!(anew.deadline, due.deadline);
 }
--- a/crates/firshore-protocol/src/message.rs
+++ b/crates/firshore-protocol/src/message.rs
@@ -10,7 +10,7 @@
 use firshore_replication::message::Envelope;
 use firshore_replication::types::{DiskId, GroupId, Membership as GroupMembership};
 use firshore_routing::digest::LoadDigest;
-use firshore_routing::limits::{Demand, Grant};
+use firshore_routing::limits::{LimitDemand, LimitGrant};
 use firshore_types::ids::{InstanceId, JobId, MachineName, NodeName};
 use serde::{Deserialize, Serialize};
 
@@ -60,7 +60,7 @@
         /// Sender.
         from: InstanceId,
         /// Demands.
-        demands: Vec<Demand>,
+        demands: Vec<LimitDemand>,
     },
     /// Which replica of a journal group the peer's disk holds.
     ReplicaIdentity(GroupId),
@@ -124,7 +124,7 @@
     /// The configuration that the peer has in force.
     ConfigurationInForce(NodeConfiguration),
     /// Shares of tenants' limits.
-    LimitGrants(Vec<Grant>),
+    LimitGrants(Vec<LimitGrant>),
     /// Replica on the peer's disk, if it has a disk.
     ReplicaIdentity(Option<ReplicaIdentity>),
     /// The message arrived.
--- a/crates/firshore-routing/src/allocator.rs
+++ b/crates/firshore-routing/src/allocator.rs
@@ -5,7 +5,7 @@
 //! share only after the other nodes have returned theirs or these have expired. A small fraction of
 //! the limit is reserved and split equally, for nodes that have not reported demand yet.
 
-use crate::limits::{Demand, GRANT_MILLISECONDS, Share, TenantKey};
+use crate::limits::{GRANT_MILLISECONDS, LimitDemand, LimitShare, TenantKey};
 use firshore_types::declaration::Limits;
 use firshore_types::ids::InstanceId;
 use std::collections::HashMap;
@@ -20,8 +20,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct NodeShare {
-    wanted: Share,
-    granted: Share,
+    wanted: LimitShare,
+    granted: LimitShare,
     expires_at: u64,
 }
 
@@ -40,8 +40,14 @@
 impl LimitAllocator {
     /// Returns the share granted to `node` for `demand` at `now` (milliseconds), where `live_nodes`
     /// is the number of live nodes. The share is valid for [`GRANT_MILLISECONDS`].
-    pub fn grant(&mut self, now: u64, node: InstanceId, demand: Demand, live_nodes: u32) -> Share {
-        let has_grant = demand.held != Share::default();
+    pub fn grant(
+        &mut self,
+        now: u64,
+        node: InstanceId,
+        demand: LimitDemand,
+        live_nodes: u32,
+    ) -> LimitShare {
+        let has_grant = demand.held != LimitShare::default();
         let is_new = !self.tenants.contains_key(&demand.tenant);
         let shares = self.tenants.entry(demand.tenant).or_default();
         if is_new && has_grant {
@@ -77,10 +83,10 @@
 }
 
 impl TenantShares {
-    fn divide(&self, node: InstanceId, limits: &Limits, live_nodes: u32) -> Share {
+    fn divide(&self, node: InstanceId, limits: &Limits, live_nodes: u32) -> LimitShare {
         let rate = limits.requests_per_second.unwrap_or(f64::MAX) as f32;
         let concurrent = limits.concurrent_requests.unwrap_or(u32::MAX);
-        Share {
+        LimitShare {
             rate: self.divide_rate(node, rate, live_nodes),
             concurrent: self.divide_concurrent(node, concurrent, live_nodes),
         }
--- a/crates/firshore-routing/src/limits.rs
+++ b/crates/firshore-routing/src/limits.rs
@@ -57,7 +57,7 @@
 
 /// An amount of each limited quantity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct LimitShare {
     /// Requests per second.
     #[serde(rename = "r")]
     pub rate: f32,
@@ -68,7 +68,7 @@
 
 /// A node's report to a tenant's allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Demand {
+pub struct LimitDemand {
     /// The tenant and its limits.
     #[serde(rename = "t")]
     pub tenant: TenantKey,
@@ -77,21 +77,21 @@
     pub limits: Limits,
     /// The tenant's requests at this node, including refused ones.
     #[serde(rename = "w")]
-    pub wanted: Share,
+    pub wanted: LimitShare,
     /// The share of the node's valid grant, or zero.
     #[serde(rename = "h")]
-    pub held: Share,
+    pub held: LimitShare,
 }
 
-/// An allocator's response to a [`Demand`].
+/// An allocator's response to a [`LimitDemand`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LimitGrant {
     /// The tenant and its limits.
     #[serde(rename = "t")]
     pub tenant: TenantKey,
     /// The share that the node may admit.
     #[serde(rename = "s")]
-    pub share: Share,
+    pub share: LimitShare,
 }
 
 /// The limit because of which a request was refused.
@@ -110,7 +110,7 @@
     refilled_at: u64,
     last_request_at: u64,
     created_at: u64,
-    grant: Share,
+    grant: LimitShare,
     grant_expires_at: u64,
     demand_rate: f32,
     arrivals: u32,
@@ -134,7 +134,7 @@
             refilled_at: now,
             last_request_at: now,
             created_at: now,
-            grant: Share::default(),
+            grant: LimitShare::default(),
             grant_expires_at: 0,
             demand_rate: 0.0,
             arrivals: 0,
@@ -234,7 +234,7 @@
 
     /// Returns the demand to report at `now` and starts the next interval. To be called once every
     /// [`REPORT_INTERVAL_MILLISECONDS`]. Removes idle tenants.
-    pub fn take_demands(&mut self, now: u64) -> Vec<Demand> {
+    pub fn take_demands(&mut self, now: u64) -> Vec<LimitDemand> {
         self.tenants.retain(|_, state| {
             state.running > 0 || now < state.last_request_at + IDLE_MILLISECONDS
         });
@@ -248,7 +248,7 @@
             } else {
                 state.demand_rate += DEMAND_WEIGHT * (arrival_rate - state.demand_rate);
             }
-            let wanted = Share {
+            let wanted = LimitShare {
                 rate: state.demand_rate,
                 concurrent: state.peak_running + state.concurrency_refusals,
             };
@@ -257,14 +257,14 @@
             state.concurrency_refusals = 0;
             let has_grant = now < state.grant_expires_at;
             if wanted.rate > 0.01 || wanted.concurrent > 0 {
-                demands.push(Demand {
+                demands.push(LimitDemand {
                     tenant: *tenant,
                     limits: state.limits,
                     wanted,
                     held: if has_grant {
                         state.grant
                     } else {
-                        Share::default()
+                        LimitShare::default()
                     },
                 });
             }
@@ -274,7 +274,7 @@
 
     /// Returns the demand of tenants that are newer than [`NEW_TENANT_MILLISECONDS`] and never had a
     /// grant. It is reported without waiting for the next interval.
-    pub fn new_tenant_demands(&mut self, now: u64) -> Vec<Demand> {
+    pub fn new_tenant_demands(&mut self, now: u64) -> Vec<LimitDemand> {
         let is_new = |state: &TenantState| {
             state.grant_expires_at == 0 && now < state.created_at + NEW_TENANT_MILLISECONDS
         };
@@ -282,14 +282,14 @@
         states
             .map(|(tenant, state)| {
                 let elapsed = now.saturating_sub(state.created_at).max(50) as f32;
-                Demand {
+                LimitDemand {
                     tenant: *tenant,
                     limits: state.limits,
-                    wanted: Share {
+                    wanted: LimitShare {
                         rate: state.arrivals as f32 * 1_000.0 / elapsed,
                         concurrent: state.peak_running + state.concurrency_refusals,
                     },
-                    held: Share::default(),
+                    held: LimitShare::default(),
                 }
             })
             .collect()
@@ -297,7 +297,7 @@
 
     /// Applies a grant for a demand that was reported at `reported_at`, unless it is older than the
     /// current grant.
-    pub fn apply_grant(&mut self, reported_at: u64, tenant: TenantKey, grant: Share) {
+    pub fn apply_grant(&mut self, reported_at: u64, tenant: TenantKey, grant: LimitShare) {
         let Some(state) = self.tenants.get_mut(&tenant) else {
             return;
         };
--- a/crates/firshore-routing/tests/limits.rs
+++ b/crates/firshore-routing/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use firshore_routing::allocator::LimitAllocator;
 use firshore_routing::limits::{
-    GRANT_MILLISECONDS, LimitExceeded, REPORT_INTERVAL_MILLISECONDS, Share, TenantKey,
+    GRANT_MILLISECONDS, LimitExceeded, LimitShare, REPORT_INTERVAL_MILLISECONDS, TenantKey,
     TenantLimiter,
 };
 use firshore_types::declaration::Limits;
@@ -184,7 +184,7 @@
     limiter.apply_grant(
         0,
         TENANT,
-        Share {
+        LimitShare {
             rate: 80.0,
             concurrent: 80,
         },
@@ -205,14 +205,14 @@
     let mut allocator = LimitAllocator::default();
     let mut total = 0.0;
     for node in 0..4 {
-        let demand = firshore_routing::limits::Demand {
+        let demand = firshore_routing::limits::LimitDemand {
             tenant: TENANT,
             limits,
-            wanted: Share {
+            wanted: LimitShare {
                 rate: 200.0,
                 concurrent: 0,
             },
-            held: Share {
+            held: LimitShare {
                 rate: 25.0,
                 concurrent: 0,
             },
--- a/crates/firshore-server/src/limits.rs
+++ b/crates/firshore-server/src/limits.rs
@@ -4,7 +4,7 @@
 use firshore_protocol::message::{Request, Response};
 use firshore_routing::allocator::LimitAllocator;
 use firshore_routing::limits::{
-    Demand, Grant, LimitExceeded, REPORT_INTERVAL_MILLISECONDS, TenantKey, TenantLimiter,
+    LimitDemand, LimitExceeded, LimitGrant, REPORT_INTERVAL_MILLISECONDS, TenantKey, TenantLimiter,
 };
 use firshore_types::declaration::Limits;
 use firshore_types::error::{ApiError, ErrorCode};
@@ -108,7 +108,7 @@
             tables.limiter.new_tenant_demands(now)
         }
     };
-    let owner_of = |demand: &Demand| {
+    let owner_of = |demand: &LimitDemand| {
         let key = format!("limits/{:016x}", demand.tenant.0);
         let chosen = rendezvous_owner(&key, members.iter().map(|member| member.instance.0))?;
         let member = members.iter().find(|member| member.instance.0 == chosen)?;
@@ -117,7 +117,7 @@
             instance: member.instance,
         })
     };
-    let mut by_owner: HashMap<SocketAddr, Vec<Demand>> = HashMap::new();
+    let mut by_owner: HashMap<SocketAddr, Vec<LimitDemand>> = HashMap::new();
     for demand in demands {
         match owner_of(&demand) {
             Some(owner) if owner.instance == own => {
@@ -133,7 +133,12 @@
     }
 }
 
-async fn ask(shared: Arc<Shared>, address: SocketAddr, from: InstanceId, demands: Vec<Demand>) {
+async fn ask(
+    shared: Arc<Shared>,
+    address: SocketAddr,
+    from: InstanceId,
+    demands: Vec<LimitDemand>,
+) {
     let reported_at = shared.clock.now();
     let request = Request::LimitDemands { from, demands };
     let answer = timeout(ANSWER_TIMEOUT, shared.peers.call(address, request)).await;
@@ -142,20 +147,20 @@
     }
 }
 
-fn take(shared: &Shared, reported_at: u64, grants: Vec<Grant>) {
+fn take(shared: &Shared, reported_at: u64, grants: Vec<LimitGrant>) {
     let mut tables = shared.limits.lock();
     for grant in grants {
-        let Grant { tenant, share } = grant;
+        let LimitGrant { tenant, share } = grant;
         tables.limiter.apply_grant(reported_at, tenant, share);
     }
 }
 
 /// Answers another node's demands for tenants that this node allocates.
-pub fn answer(shared: &Shared, from: InstanceId, demands: &[Demand]) -> Vec<Grant> {
+pub fn answer(shared: &Shared, from: InstanceId, demands: &[LimitDemand]) -> Vec<LimitGrant> {
     let now = shared.clock.now();
     let alive = shared.members.lock().alive(now).len() as u32;
     let mut tables = shared.limits.lock();
-    let grant = |demand: &Demand| Grant {
+    let grant = |demand: &LimitDemand| LimitGrant {
         tenant: demand.tenant,
         share: tables.allocator.grant(now, from, *demand, alive),
     };
