--- a/crates/firshore-node/tests/budget.rs
+++ b/crates/firshore-node/tests/budget.rs
@@ -1,76 +1,85 @@
-//! How the time within which a change must be known is divided.
+//! Division of the freshness bound into intervals and timeouts.
 
 use firshore_node::relay::budget::{FreshnessBudget, StoreSchedule};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bounds of the sheets that are served, and the shortest that settings allow.
+/// Freshness bounds in milliseconds: those of the supported limits, and the shortest that settings allow.
 const BOUNDS: [u64; 4] = [1_000, 2_000, 3_000, 4_000];
 
-/// Time that an answer of the store takes at a tenth of a core, as a share of the bound.
-const ANSWER: f64 = 0.25;
+/// Response time of the store for a node with a tenth of a core, as a fraction of the bound.
+const STORE_RESPONSE_FRACTION: f64 = 0.25;
 
 fn budgets() -> impl Iterator<Item = FreshnessBudget> {
     let bounds = BOUNDS.into_iter().map(Duration::from_millis);
     bounds.map(FreshnessBudget::new)
 }
 
-/// The waits that follow each other where nothing fails: a relay's pause, its next look, and the time for
-/// which it holds a question.
+/// Without failures, a view's age is at most the sum of a relay's spacing, its probe interval and the time for
+/// which it holds a watch.
 #[test]
-fn on_a_calm_day_the_store_is_not_due() {
+fn store_is_not_due_without_failures() {
     for budget in budgets() {
-        let oldest = budget.relay_spacing() + budget.probe_interval() + budget.relay_wait();
+        let max_age = budget.relay_spacing() + budget.probe_interval() + budget.relay_wait();
         for drawn in [0.0, 1.0] {
             let now = Instant::now();
             let due = StoreSchedule::new(budget, now, drawn).due(Some(now), false);
-            assert!(oldest < due - now, "{budget:?}: {oldest:?}");
+            assert!(max_age < due - now, "{budget:?}: {max_age:?}");
         }
     }
 }
 
 #[test]
-fn the_store_is_due_early_enough_to_answer_within_the_bound() {
+fn store_is_due_early_enough_to_respond_within_the_bound() {
     for budget in budgets() {
         let now = Instant::now();
         let due = StoreSchedule::new(budget, now, 1.0).due(Some(now), false);
-        let known = due - now + budget.bound().mul_f64(ANSWER);
-        assert!(known < budget.bound(), "{budget:?}: {known:?}");
+        let updated_after = due - now + budget.bound().mul_f64(STORE_RESPONSE_FRACTION);
+        assert!(
+            updated_after < budget.bound(),
+            "{budget:?}: {updated_after:?}"
+        );
     }
 }
 
 #[test]
-fn a_look_that_comes_first_leaves_time_for_the_answer() {
+fn probe_leaves_time_for_the_response() {
     for budget in budgets() {
         let now = Instant::now();
-        let turn = StoreSchedule::new(budget, now, 1.0);
-        let due = turn.due(Some(now), true);
-        let known = due - now + budget.probe_timeout() + turn.timeout();
-        assert!(known < budget.bound(), "{budget:?}: {known:?}");
+        let schedule = StoreSchedule::new(budget, now, 1.0);
+        let due = schedule.due(Some(now), true);
+        let updated_after = due - now + budget.probe_timeout() + schedule.timeout();
+        assert!(
+            updated_after < budget.bound(),
+            "{budget:?}: {updated_after:?}"
+        );
     }
 }
 
 #[test]
-fn failures_that_lie_before_what_relays_told_are_past() {
+fn relayed_response_clears_earlier_failures() {
     let budget = FreshnessBudget::new(Duration::from_secs(2));
     let now = Instant::now();
-    let mut turn = StoreSchedule::new(budget, now, 1.0);
-    let patient = turn.timeout();
-    (0..5).for_each(|_| turn.record_failure(now));
-    assert!(turn.timeout() > patient, "a large listing has time to come");
-    turn.record_relayed(now - Duration::from_millis(1));
-    assert!(turn.has_failed());
-    turn.record_relayed(now + Duration::from_millis(1));
-    assert!(!turn.has_failed());
-    assert_eq!(turn.timeout(), patient);
+    let mut schedule = StoreSchedule::new(budget, now, 1.0);
+    let first_timeout = schedule.timeout();
+    (0..5).for_each(|_| schedule.record_failure(now));
+    assert!(
+        schedule.timeout() > first_timeout,
+        "a large listing needs more time"
+    );
+    schedule.record_relayed(now - Duration::from_millis(1));
+    assert!(schedule.has_failed());
+    schedule.record_relayed(now + Duration::from_millis(1));
+    assert!(!schedule.has_failed());
+    assert_eq!(schedule.timeout(), first_timeout);
 }
 
-/// A relay that is cut off says so before its askers would find out by themselves.
+/// An isolated relay reports that before its clients would query the store.
 #[test]
-fn a_relay_finds_a_cut_before_the_store_is_due_at_its_askers() {
+fn relay_detects_isolation_before_the_store_is_due_at_its_clients() {
     for budget in budgets() {
-        let found = budget.probe_interval() + budget.probe_timeout();
-        assert!(found < budget.relay_age(), "{budget:?}");
+        let detected_after = budget.probe_interval() + budget.probe_timeout();
+        assert!(detected_after < budget.relay_age(), "{budget:?}");
         let now = Instant::now();
         let due = StoreSchedule::new(budget, now, 0.0).due(Some(now), false);
         assert!(budget.relay_age() < due - now, "{budget:?}");
@@ -78,34 +87,34 @@
 }
 
 #[test]
-fn a_store_that_fails_is_asked_less_and_less_often_and_at_once_when_it_has_answered() {
+fn failing_store_is_queried_with_backoff_until_it_responds() {
     for budget in budgets() {
         let now = Instant::now();
-        let mut turn = StoreSchedule::new(budget, now, 1.0);
-        let old = Some(now - budget.bound());
-        assert!(turn.due(old, true) <= now);
-        let mut pauses = Vec::new();
+        let mut schedule = StoreSchedule::new(budget, now, 1.0);
+        let stale = Some(now - budget.bound());
+        assert!(schedule.due(stale, true) <= now);
+        let mut backoffs = Vec::new();
         for _ in 0..20 {
-            turn.record_failure(now);
-            assert!(turn.has_failed());
-            pauses.push(turn.due(old, true) - now);
+            schedule.record_failure(now);
+            assert!(schedule.has_failed());
+            backoffs.push(schedule.due(stale, true) - now);
         }
-        assert!(pauses.is_sorted(), "{pauses:?}");
-        assert_eq!(pauses[0], budget.bound().mul_f64(0.1));
-        assert_eq!(pauses[19], budget.bound().mul_f64(0.7));
-        turn.record_success(1.0);
-        assert!(!turn.has_failed() && turn.due(old, true) <= now);
+        assert!(backoffs.is_sorted(), "{backoffs:?}");
+        assert_eq!(backoffs[0], budget.bound().mul_f64(0.1));
+        assert_eq!(backoffs[19], budget.bound().mul_f64(0.7));
+        schedule.record_success(1.0);
+        assert!(!schedule.has_failed() && schedule.due(stale, true) <= now);
     }
 }
 
-/// Nodes that know nothing act on nothing: relays have time to come back.
+/// A node without a view serves no requests yet, so it can wait longer for relays to return.
 #[test]
-fn a_node_that_knows_nothing_waits_longer_for_relays() {
+fn node_without_a_view_waits_longer_for_relays() {
     for budget in budgets() {
         let now = Instant::now();
-        let turn = StoreSchedule::new(budget, now, 1.0);
+        let schedule = StoreSchedule::new(budget, now, 1.0);
         assert!(
-            turn.due(None, false) > turn.due(Some(now), false),
+            schedule.due(None, false) > schedule.due(Some(now), false),
             "{budget:?}"
         );
     }
--- a/crates/firshore-node/tests/excluded_disks.rs
+++ b/crates/firshore-node/tests/excluded_disks.rs
@@ -1,4 +1,4 @@
-//! Disks that stay silent are tried again, after pauses that grow to a bound.
+//! Exclusion of unresponsive disks, with a bounded backoff.
 
 use firshore_node::journal::excluded_disks::ExcludedDisks;
 use firshore_replication::types::DiskId;
@@ -7,34 +7,34 @@
 const DISK: DiskId = DiskId(7);
 
 #[test]
-fn a_silent_disk_is_tried_again_after_bounded_pauses() {
-    let mut passed_over = ExcludedDisks::default();
+fn unresponsive_disk_is_retried_with_bounded_backoff() {
+    let mut excluded = ExcludedDisks::default();
     let mut now = Instant::now();
-    assert!(!passed_over.is_excluded(now, DISK));
-    let mut before = Duration::ZERO;
+    assert!(!excluded.is_excluded(now, DISK));
+    let mut last_backoff = Duration::ZERO;
     for _ in 0..10 {
-        let pause = passed_over.record_timeout(now, DISK);
+        let backoff = excluded.record_timeout(now, DISK);
         assert!(
-            pause >= before && pause <= Duration::from_secs(8),
-            "{pause:?}"
+            backoff >= last_backoff && backoff <= Duration::from_secs(8),
+            "{backoff:?}"
         );
-        assert!(passed_over.is_excluded(now, DISK));
-        assert!(!passed_over.is_excluded(now, DiskId(8)));
-        now += pause;
-        assert!(!passed_over.is_excluded(now, DISK));
-        before = pause;
+        assert!(excluded.is_excluded(now, DISK));
+        assert!(!excluded.is_excluded(now, DiskId(8)));
+        now += backoff;
+        assert!(!excluded.is_excluded(now, DISK));
+        last_backoff = backoff;
     }
 }
 
 #[test]
-fn a_disk_that_answered_starts_over() {
-    let mut passed_over = ExcludedDisks::default();
+fn backoff_starts_over_after_a_response() {
+    let mut excluded = ExcludedDisks::default();
     let now = Instant::now();
-    let first = passed_over.record_timeout(now, DISK);
-    passed_over.record_timeout(now, DISK);
-    passed_over.forget(|disk| disk == DiskId(8));
-    assert!(passed_over.is_excluded(now, DISK));
-    passed_over.forget(|disk| disk == DISK);
-    assert!(!passed_over.is_excluded(now, DISK));
-    assert_eq!(passed_over.record_timeout(now, DISK), first);
+    let first = excluded.record_timeout(now, DISK);
+    excluded.record_timeout(now, DISK);
+    excluded.forget(|disk| disk == DiskId(8));
+    assert!(excluded.is_excluded(now, DISK));
+    excluded.forget(|disk| disk == DISK);
+    assert!(!excluded.is_excluded(now, DISK));
+    assert_eq!(excluded.record_timeout(now, DISK), first);
 }
--- a/crates/firshore-node/tests/foreign.rs
+++ b/crates/firshore-node/tests/foreign.rs
@@ -1,7 +1,5 @@
-//! Objects that somebody else has written into the store, or mangled. A change that could not be read left the
-//! back end in use as it had been before, for as long as nobody listed anew; a record of the voters that could
-//! not be read left the former one in force; and a node whose own record was mangled before it had read it
-//! never wrote it anew. What cannot be read names nothing, and what stands beside it holds.
+//! Unreadable objects that another writer left in the store: they must not keep an earlier back end or record of
+//! voters in force, must not stop a node from rewriting its record, and must not affect other objects.
 
 mod cluster;
 
@@ -20,11 +18,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Guard against a test that hangs.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Fails a test that hangs.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Contents that no back end has.
-fn unreadable() -> Vec<Value> {
+/// Specs that are not valid back ends.
+fn unreadable_specs() -> Vec<Value> {
     vec![
         Value::Null,
         json!([]),
@@ -32,12 +30,12 @@
         json!({"service": "s"}),
         json!({"service": "s", "address": "nowhere", "slots": 10, "leaving": false}),
         json!({"service": "s", "address": "127.0.0.1:9", "slots": -1, "leaving": false}),
-        deep(),
+        deep_spec(),
     ]
 }
 
-/// As deep as an object can be that a store takes: what wraps it is deeper.
-fn deep() -> Value {
+/// Returns a spec of the maximum depth that the store accepts; its wrapping adds to the depth.
+fn deep_spec() -> Value {
     let mut value = json!(1);
     for _ in 0..127 {
         value = json!([value]);
@@ -45,43 +43,43 @@
     value
 }
 
-async fn knows(cluster: &Cluster, count: usize, what: &str) {
+async fn wait_for_backends(cluster: &Cluster, count: usize, what: &str) {
     let wait = async {
         while cluster.backends_known().await != count {
             pause().await;
         }
     };
-    let known = tokio::time::timeout(LIMIT, wait).await;
+    let result = tokio::time::timeout(TIMEOUT, wait).await;
     assert!(
-        known.is_ok(),
-        "{what}: {} are known, not {count}",
+        result.is_ok(),
+        "{what}: {} known, expected {count}",
         cluster.backends_known().await
     );
 }
 
 #[test]
-fn a_back_end_whose_entry_cannot_be_read_any_more_gets_nothing_new() {
+fn back_end_with_an_unreadable_entry_gets_no_requests() {
     run(async {
         let cluster = Cluster::start().await;
         let kept = ScriptedBackend::start("kept", &[], Play::Events).await;
         let odd = ScriptedBackend::start("odd", &[], Play::Events).await;
         cluster.put_backend(&kept, false);
         cluster.put_backend(&odd, false);
-        knows(&cluster, 2, "both are listed").await;
-        for spec in unreadable() {
+        wait_for_backends(&cluster, 2, "both are listed").await;
+        for spec in unreadable_specs() {
             cluster.store.put(BACKENDS, "odd", spec.clone());
-            knows(&cluster, 1, &format!("unreadable: {spec}")).await;
+            wait_for_backends(&cluster, 1, &format!("unreadable: {spec}")).await;
             cluster.put_backend(&odd, false);
-            knows(&cluster, 2, &format!("readable after {spec}")).await;
+            wait_for_backends(&cluster, 2, &format!("readable after {spec}")).await;
         }
-        cluster.store.put(BACKENDS, "odd", deep());
+        cluster.store.put(BACKENDS, "odd", deep_spec());
         cluster.store.forget_history();
-        knows(&cluster, 1, "listed anew").await;
+        wait_for_backends(&cluster, 1, "listed again").await;
     });
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_leaves_the_former_in_force() {
+fn unreadable_configuration_keeps_the_former_one() {
     run(async {
         let cluster = Cluster::start().await;
         cluster.configure();
@@ -91,7 +89,7 @@
         while version() != Some(1) {
             pause().await;
         }
-        for spec in [Value::Null, json!([]), json!({"version": 2}), deep()] {
+        for spec in [Value::Null, json!([]), json!({"version": 2}), deep_spec()] {
             cluster.store.put(CONFIGURATION, "newest", spec);
         }
         cluster.store.put(BACKENDS, "odd", Value::Null);
@@ -118,21 +116,21 @@
     }
 }
 
-fn listed(registry: &Registry, store: &MemoryStore, names: &[&str]) {
+fn apply_listing(registry: &Registry, store: &MemoryStore, names: &[&str]) {
     let objects = names.iter().filter_map(|name| store.object(KIND, name));
     registry.apply(ObjectUpdate::All(objects.collect()));
 }
 
-fn changed(registry: &Registry, store: &MemoryStore, name: &str) {
+fn apply_change(registry: &Registry, store: &MemoryStore, name: &str) {
     let object = store.object(KIND, name).unwrap();
     registry.apply(ObjectUpdate::Changed(vec![Change::Written(object)]));
 }
 
 const VOTERS: &str = "voters.0";
 
-// Whoever is the only voter left goes on alone by this record. One that cannot be read may name anybody.
+// The last voter continues alone because of this record. An unreadable one may name any voters.
 #[test]
-fn a_record_of_voters_that_cannot_be_read_is_neither_absent_nor_the_former() {
+fn unreadable_record_of_voters_is_unknown() {
     run(async {
         let store = MemoryStore::new();
         let registry = Registry::new(store.clone(), log());
@@ -141,17 +139,17 @@
             VOTERS,
             serde_json::to_value(voters(&[1, 2], true)).unwrap(),
         );
-        listed(&registry, &store, &[VOTERS]);
+        apply_listing(&registry, &store, &[VOTERS]);
         assert_eq!(registry.recorded_voters(), Some(voters(&[1, 2], true)));
         store.put(KIND, VOTERS, json!(["mangled"]));
-        changed(&registry, &store, VOTERS);
-        assert_eq!(registry.recorded_voters(), None, "nothing is known of them");
+        apply_change(&registry, &store, VOTERS);
+        assert_eq!(registry.recorded_voters(), None, "the voters are unknown");
         let calls = store.calls();
         registry.record_voters(&voters(&[1], false)).await;
         assert_eq!(
             store.calls(),
             calls,
-            "nobody writes over what cannot be read"
+            "an unreadable record is not overwritten"
         );
         let found = store.object(KIND, VOTERS).unwrap();
         assert_eq!(found.spec, json!(["mangled"]));
@@ -160,7 +158,7 @@
             VOTERS,
             serde_json::to_value(voters(&[1, 3], true)).unwrap(),
         );
-        changed(&registry, &store, VOTERS);
+        apply_change(&registry, &store, VOTERS);
         registry.record_voters(&voters(&[1], false)).await;
         let found = store.object(KIND, VOTERS).unwrap();
         assert_eq!(
@@ -171,7 +169,7 @@
 }
 
 #[test]
-fn a_node_writes_its_own_record_anew_where_it_cannot_be_read() {
+fn node_rewrites_its_unreadable_record() {
     run(async {
         let store = MemoryStore::new();
         let registry = Rc::new(Registry::new(store.clone(), log()));
@@ -182,7 +180,7 @@
         };
         for before in ["unknown", "known"] {
             store.put(KIND, "node.n", json!({"address": 4}));
-            listed(&registry, &store, &["node.n"]);
+            apply_listing(&registry, &store, &["node.n"]);
             assert!(!registry.is_registered(&"n".into(), &record), "{before}");
             registry.register(&"n".into(), &record).await;
             let found = store.object(KIND, "node.n").unwrap();
@@ -191,14 +189,14 @@
                 serde_json::to_value(&record).unwrap(),
                 "{before}"
             );
-            listed(&registry, &store, &["node.n"]);
+            apply_listing(&registry, &store, &["node.n"]);
             assert!(registry.is_registered(&"n".into(), &record), "{before}");
         }
     });
 }
 
 #[test]
-fn a_node_whose_record_is_mangled_is_still_reached() {
+fn node_with_an_unreadable_record_keeps_its_address() {
     let store = MemoryStore::new();
     let registry = Registry::new(store.clone(), log());
     let spec = json!({"address": "127.0.0.1:9", "zone": "here", "disk": 7});
@@ -220,22 +218,22 @@
 }
 
 #[test]
-fn refusals_are_told_once_each_and_a_few_a_second() {
+fn refusals_are_logged_once_each_and_rate_limited() {
     let mut refusals = RefusalLog::default();
     let start = Instant::now();
     assert_eq!(refusals.admit(start, "a", 1), Some(0));
-    assert_eq!(refusals.admit(start, "a", 1), None, "told already");
-    assert_eq!(refusals.admit(start, "a", 2), Some(0), "written anew");
+    assert_eq!(refusals.admit(start, "a", 1), None, "already logged");
+    assert_eq!(refusals.admit(start, "a", 2), Some(0), "a new revision");
     let names: Vec<String> = (0..2_000).map(|number| format!("n{number}")).collect();
-    let told = names
+    let logged = names
         .iter()
         .filter_map(|name| refusals.admit(start, name, 1));
-    assert_eq!(told.count(), 3, "a few a second");
+    assert_eq!(logged.count(), 3, "at most three per second");
     let later = start + Duration::from_secs(1);
     assert_eq!(
         refusals.admit(later, "b", 1),
         Some(1_997),
-        "what was not told is counted"
+        "suppressed refusals are counted"
     );
     assert_eq!(refusals.admit(later, "a", 2), None);
     refusals.forget("a");
--- a/crates/firshore-node/tests/list_watch.rs
+++ b/crates/firshore-node/tests/list_watch.rs
@@ -1,10 +1,10 @@
-//! How objects are followed through everything that a store may do.
+//! List and watch of objects, including failures of the store.
 
 use firshore_adapter::objects::{Change, Changes, Object, ObjectError, Page};
 use firshore_node::list_watch::{IDLE_WAIT, ListWatch, ObjectUpdate, StoreQuery, WatchOptions};
 use std::time::Duration;
 
-fn terms() -> WatchOptions {
+fn options() -> WatchOptions {
     WatchOptions {
         history: Duration::from_secs(20),
         spacing: Duration::from_secs(1),
@@ -37,8 +37,8 @@
     })
 }
 
-fn names(learned: Option<ObjectUpdate>) -> Vec<String> {
-    match learned {
+fn names(update: Option<ObjectUpdate>) -> Vec<String> {
+    match update {
         None => Vec::new(),
         Some(ObjectUpdate::All(objects)) => objects.into_iter().map(|one| one.name).collect(),
         Some(ObjectUpdate::Changed(changes)) => changes
@@ -51,230 +51,230 @@
     }
 }
 
-fn watching() -> ListWatch {
-    let mut observation = ListWatch::new(terms());
-    observation.handle_page(page(&[("a", 5), ("b", 7)], false, 10));
-    observation
+fn listed_watch() -> ListWatch {
+    let mut list_watch = ListWatch::new(options());
+    list_watch.handle_page(page(&[("a", 5), ("b", 7)], false, 10));
+    list_watch
 }
 
 #[test]
-fn pages_are_put_together_and_watched_from_the_first() {
-    let mut observation = ListWatch::new(terms());
-    assert_eq!(observation.next_query(), StoreQuery::List(None));
-    assert_eq!(observation.handle_page(page(&[("a", 5)], true, 10)), None);
+fn listing_joins_pages_and_watches_from_the_first_revision() {
+    let mut list_watch = ListWatch::new(options());
+    assert_eq!(list_watch.next_query(), StoreQuery::List(None));
+    assert_eq!(list_watch.handle_page(page(&[("a", 5)], true, 10)), None);
     assert_eq!(
-        observation.next_query(),
+        list_watch.next_query(),
         StoreQuery::List(Some("a".to_owned()))
     );
-    let learned = observation.handle_page(page(&[("b", 12)], false, 13));
-    assert_eq!(names(learned), ["a", "b"]);
-    assert_eq!(observation.next_query(), StoreQuery::Watch(10));
+    let update = list_watch.handle_page(page(&[("b", 12)], false, 13));
+    assert_eq!(names(update), ["a", "b"]);
+    assert_eq!(list_watch.next_query(), StoreQuery::Watch(10));
 }
 
 #[test]
-fn every_failure_of_a_watch_leads_to_a_listing() {
-    // A store that has forgotten its history says so only with the next change: a watch that
-    // goes on from an old revision may miss what happened while it was cut.
+fn failed_watch_leads_to_a_listing() {
+    // A store that has dropped its history reports that only with the next change: a watch that continues
+    // from an old revision may miss changes made during the failure.
     let failures = [
         ObjectError::HistoryGone,
         ObjectError::Unanswered("reset".to_owned()),
         ObjectError::Refused("503".to_owned()),
     ];
     for failure in failures {
-        let mut observation = watching();
-        assert_eq!(observation.handle_changes(Err(failure.clone())), None);
-        assert_eq!(
-            observation.next_query(),
-            StoreQuery::List(None),
-            "{failure}"
-        );
-        let learned = observation.handle_page(page(&[("a", 5), ("b", 11)], false, 12));
-        assert_eq!(names(learned), ["a", "b"], "{failure}");
+        let mut list_watch = listed_watch();
+        assert_eq!(list_watch.handle_changes(Err(failure.clone())), None);
+        assert_eq!(list_watch.next_query(), StoreQuery::List(None), "{failure}");
+        let update = list_watch.handle_page(page(&[("a", 5), ("b", 11)], false, 12));
+        assert_eq!(names(update), ["a", "b"], "{failure}");
     }
 }
 
 #[test]
-fn what_was_seen_is_never_taken_back() {
-    let mut observation = watching();
+fn older_revisions_are_ignored() {
+    let mut list_watch = listed_watch();
     assert_eq!(
-        names(observation.handle_changes(changes(&[("b", 11)], 11))),
+        names(list_watch.handle_changes(changes(&[("b", 11)], 11))),
         ["b"]
     );
-    assert_eq!(observation.handle_changes(changes(&[("b", 7)], 12)), None);
-    let _ = observation.handle_changes(Err(ObjectError::HistoryGone));
-    let stale = observation.handle_page(page(&[("a", 5), ("b", 7)], false, 12));
-    assert_eq!(names(stale), ["a"], "b is older than was seen");
+    assert_eq!(list_watch.handle_changes(changes(&[("b", 7)], 12)), None);
+    let _ = list_watch.handle_changes(Err(ObjectError::HistoryGone));
+    let stale = list_watch.handle_page(page(&[("a", 5), ("b", 7)], false, 12));
+    assert_eq!(
+        names(stale),
+        ["a"],
+        "b is older than the revision already received"
+    );
 }
 
 #[test]
-fn what_is_gone_may_come_back() {
-    let mut observation = watching();
-    let gone = Changes {
+fn removed_object_may_be_recreated() {
+    let mut list_watch = listed_watch();
+    let removal = Changes {
         changes: vec![Change::Removed("b".to_owned())],
         revision: 11,
     };
-    assert_eq!(names(observation.handle_changes(Ok(gone))), ["-b"]);
+    assert_eq!(names(list_watch.handle_changes(Ok(removal))), ["-b"]);
     assert_eq!(
-        names(observation.handle_changes(changes(&[("b", 12)], 12))),
+        names(list_watch.handle_changes(changes(&[("b", 12)], 12))),
         ["b"]
     );
 }
 
 #[test]
-fn failures_are_answered_with_growing_pauses() {
-    let mut observation = ListWatch::new(terms());
-    assert_eq!(observation.delay(), Duration::ZERO);
+fn failures_increase_the_delay() {
+    let mut list_watch = ListWatch::new(options());
+    assert_eq!(list_watch.delay(), Duration::ZERO);
     let mut last = Duration::ZERO;
     for _ in 0..4 {
-        observation.handle_page(Err(ObjectError::Refused("429".to_owned())));
-        assert!(observation.delay() > last);
-        last = observation.delay();
+        list_watch.handle_page(Err(ObjectError::Refused("429".to_owned())));
+        assert!(list_watch.delay() > last);
+        last = list_watch.delay();
     }
     for _ in 0..40 {
-        observation.handle_page(Err(ObjectError::Unanswered("cut".to_owned())));
+        list_watch.handle_page(Err(ObjectError::Unanswered("cut".to_owned())));
     }
-    assert!(observation.delay() <= Duration::from_secs(2));
-    observation.handle_page(page(&[], false, 1));
-    assert_eq!(observation.delay(), Duration::ZERO);
+    assert!(list_watch.delay() <= Duration::from_secs(2));
+    list_watch.handle_page(page(&[], false, 1));
+    assert_eq!(list_watch.delay(), Duration::ZERO);
 }
 
 #[test]
-fn changes_in_quick_succession_are_asked_for_together() {
-    let mut observation = watching();
-    assert_eq!(observation.delay(), Duration::ZERO);
-    let _ = observation.handle_changes(changes(&[("b", 11)], 11));
-    assert_eq!(observation.delay(), terms().spacing);
-    let _ = observation.handle_changes(changes(&[], 11));
-    assert_eq!(observation.delay(), Duration::ZERO);
+fn frequent_changes_are_batched() {
+    let mut list_watch = listed_watch();
+    assert_eq!(list_watch.delay(), Duration::ZERO);
+    let _ = list_watch.handle_changes(changes(&[("b", 11)], 11));
+    assert_eq!(list_watch.delay(), options().spacing);
+    let _ = list_watch.handle_changes(changes(&[], 11));
+    assert_eq!(list_watch.delay(), Duration::ZERO);
 }
 
 #[test]
-fn waits_stay_within_the_history_unless_nothing_changes_at_all() {
-    let mut observation = watching();
-    assert!(observation.watch_timeout() < terms().history);
-    let _ = observation.handle_changes(changes(&[], 14));
+fn watch_timeout_stays_within_the_history_unless_idle() {
+    let mut list_watch = listed_watch();
+    assert!(list_watch.watch_timeout() < options().history);
+    let _ = list_watch.handle_changes(changes(&[], 14));
     assert!(
-        observation.watch_timeout() < terms().history,
-        "others changed"
+        list_watch.watch_timeout() < options().history,
+        "objects of other kinds changed"
     );
-    let _ = observation.handle_changes(changes(&[], 14));
+    let _ = list_watch.handle_changes(changes(&[], 14));
     assert!(
-        observation.watch_timeout() > terms().history,
+        list_watch.watch_timeout() > options().history,
         "nothing changed"
     );
-    let _ = observation.handle_changes(changes(&[("b", 15)], 15));
-    assert!(observation.watch_timeout() < terms().history);
+    let _ = list_watch.handle_changes(changes(&[("b", 15)], 15));
+    assert!(list_watch.watch_timeout() < options().history);
 }
 
 #[test]
-fn a_long_watch_is_asked_for_only_right_after_an_answer() {
-    // A store that is silent swallows what it is asked: a watch asked for after a pause may be
-    // swallowed without a sign, so it must be short.
+fn long_watch_starts_only_right_after_a_response() {
+    // An unresponsive store drops requests without an error, so a watch that starts after a delay must be
+    // short.
     let short = Duration::from_secs(1);
-    let mut observation = watching();
-    assert!(observation.delay().is_zero() && observation.watch_timeout() > short);
-    let _ = observation.handle_changes(changes(&[("b", 11)], 11));
-    assert!(!observation.delay().is_zero() && observation.watch_timeout() < short);
-    let _ = observation.handle_changes(changes(&[], 11));
-    assert!(observation.delay().is_zero() && observation.watch_timeout() > short);
-    let hasty = WatchOptions {
+    let mut list_watch = listed_watch();
+    assert!(list_watch.delay().is_zero() && list_watch.watch_timeout() > short);
+    let _ = list_watch.handle_changes(changes(&[("b", 11)], 11));
+    assert!(!list_watch.delay().is_zero() && list_watch.watch_timeout() < short);
+    let _ = list_watch.handle_changes(changes(&[], 11));
+    assert!(list_watch.delay().is_zero() && list_watch.watch_timeout() > short);
+    let unspaced = WatchOptions {
         spacing: Duration::ZERO,
-        ..terms()
+        ..options()
     };
-    let mut observation = ListWatch::new(hasty);
-    observation.handle_page(page(&[("a", 5)], false, 10));
-    let _ = observation.handle_changes(changes(&[("a", 11)], 11));
-    assert!(observation.delay().is_zero() && observation.watch_timeout() > short);
+    let mut list_watch = ListWatch::new(unspaced);
+    list_watch.handle_page(page(&[("a", 5)], false, 10));
+    let _ = list_watch.handle_changes(changes(&[("a", 11)], 11));
+    assert!(list_watch.delay().is_zero() && list_watch.watch_timeout() > short);
 }
 
 #[test]
-fn objects_that_are_only_just_created_are_waited_for_together() {
-    let mut observation = ListWatch::new(terms());
-    observation.handle_page(page(&[], false, 1));
-    let _ = observation.handle_changes(changes(&[("a", 2)], 2));
-    assert!(observation.delay() > terms().spacing);
-    let _ = observation.handle_changes(changes(&[], 2));
-    let _ = observation.handle_changes(changes(&[("a", 3)], 3));
-    assert_eq!(observation.delay(), terms().spacing);
+fn recently_created_objects_are_batched() {
+    let mut list_watch = ListWatch::new(options());
+    list_watch.handle_page(page(&[], false, 1));
+    let _ = list_watch.handle_changes(changes(&[("a", 2)], 2));
+    assert!(list_watch.delay() > options().spacing);
+    let _ = list_watch.handle_changes(changes(&[], 2));
+    let _ = list_watch.handle_changes(changes(&[("a", 3)], 3));
+    assert_eq!(list_watch.delay(), options().spacing);
 }
 
-/// What was gone by then would come back, and nobody would tell that it is gone.
+/// A stale listing would restore removed objects, and no later change would remove them.
 #[test]
-fn a_listing_of_an_earlier_moment_is_no_answer() {
-    let mut observation = watching();
-    let gone = Changes {
+fn stale_listing_is_ignored() {
+    let mut list_watch = listed_watch();
+    let removal = Changes {
         changes: vec![Change::Removed("a".to_owned())],
         revision: 15,
     };
-    assert_eq!(names(observation.handle_changes(Ok(gone))), ["-a"]);
-    let _ = observation.handle_changes(Err(ObjectError::HistoryGone));
-    assert_eq!(observation.handle_page(page(&[("a", 5)], false, 14)), None);
-    assert!(!observation.is_connected());
-    assert_eq!(observation.next_query(), StoreQuery::List(None));
+    assert_eq!(names(list_watch.handle_changes(Ok(removal))), ["-a"]);
+    let _ = list_watch.handle_changes(Err(ObjectError::HistoryGone));
+    assert_eq!(list_watch.handle_page(page(&[("a", 5)], false, 14)), None);
+    assert!(!list_watch.is_connected());
+    assert_eq!(list_watch.next_query(), StoreQuery::List(None));
     assert_eq!(
-        names(observation.handle_page(page(&[("b", 7)], false, 15))),
+        names(list_watch.handle_page(page(&[("b", 7)], false, 15))),
         ["b"]
     );
-    assert!(observation.is_connected());
+    assert!(list_watch.is_connected());
 }
 
 #[test]
-fn entries_without_a_name_that_can_be_read_are_passed_over() {
-    let mut observation = ListWatch::new(terms());
-    let learned = observation.handle_page(page(&[("", 6), ("a", 5), ("", 9)], true, 10));
-    assert_eq!(learned, None);
+fn entries_without_a_readable_name_are_skipped() {
+    let mut list_watch = ListWatch::new(options());
+    let update = list_watch.handle_page(page(&[("", 6), ("a", 5), ("", 9)], true, 10));
+    assert_eq!(update, None);
     assert_eq!(
-        observation.next_query(),
+        list_watch.next_query(),
         StoreQuery::List(Some("a".to_owned())),
-        "a name that cannot be read cannot be gone on from"
+        "a listing cannot continue from an unreadable name"
     );
-    let learned = observation.handle_page(page(&[("", 9), ("b", 7), ("", 8)], false, 10));
-    assert_eq!(names(learned), ["a", "b"]);
+    let update = list_watch.handle_page(page(&[("", 9), ("b", 7), ("", 8)], false, 10));
+    assert_eq!(names(update), ["a", "b"]);
 }
 
-// A page of which no name can be read, with more behind it, was taken for the last one: all that was known of
-// what stands behind it would be gone.
+// A page without readable names that isn't the last must not end the listing: objects on the pages after it
+// would be dropped.
 #[test]
-fn a_page_that_leads_no_further_ends_no_listing() {
-    for stuck in [&[("", 6)][..], &[], &[("a", 5)]] {
-        let mut observation = ListWatch::new(terms());
-        observation.handle_page(page(&[("a", 5)], true, 10));
+fn page_without_progress_does_not_end_a_listing() {
+    for objects in [&[("", 6)][..], &[], &[("a", 5)]] {
+        let mut list_watch = ListWatch::new(options());
+        list_watch.handle_page(page(&[("a", 5)], true, 10));
         assert_eq!(
-            observation.handle_page(page(stuck, true, 10)),
+            list_watch.handle_page(page(objects, true, 10)),
             None,
-            "{stuck:?}"
+            "{objects:?}"
         );
         assert_eq!(
-            observation.next_query(),
+            list_watch.next_query(),
             StoreQuery::List(None),
-            "{stuck:?}"
+            "{objects:?}"
         );
-        assert_eq!(observation.failures(), 1, "{stuck:?}");
+        assert_eq!(list_watch.failures(), 1, "{objects:?}");
     }
 }
 
-// Nobody can tell whom a change without a name is about: the listing shows who is still there.
+// A change without a name may concern any object: a new listing shows which remain.
 #[test]
-fn a_change_without_a_name_leads_to_a_listing() {
-    let mut observation = watching();
-    let learned = observation.handle_changes(changes(&[("", 11), ("c", 12)], 12));
-    assert_eq!(names(learned), ["c"], "the others hold");
+fn change_without_a_name_leads_to_a_listing() {
+    let mut list_watch = listed_watch();
+    let update = list_watch.handle_changes(changes(&[("", 11), ("c", 12)], 12));
+    assert_eq!(names(update), ["c"], "the other changes are applied");
     assert_eq!(
-        observation.revision(),
+        list_watch.revision(),
         Some(12),
-        "and may be passed on at once"
+        "changes up to here may be forwarded at once"
     );
-    assert_eq!(observation.next_query(), StoreQuery::List(None));
+    assert_eq!(list_watch.next_query(), StoreQuery::List(None));
     assert!(
-        observation.delay() > Duration::ZERO,
-        "another writer may go on and on"
+        list_watch.delay() > Duration::ZERO,
+        "another writer may repeat such changes without end"
     );
-    let learned = observation.handle_page(page(&[("a", 5), ("", 11), ("c", 12)], false, 12));
-    assert_eq!(names(learned), ["a", "c"]);
-    assert_eq!(observation.next_query(), StoreQuery::Watch(12));
+    let update = list_watch.handle_page(page(&[("a", 5), ("", 11), ("c", 12)], false, 12));
+    assert_eq!(names(update), ["a", "c"]);
+    assert_eq!(list_watch.next_query(), StoreQuery::Watch(12));
     assert_eq!(
-        observation.delay(),
+        list_watch.delay(),
         Duration::ZERO,
-        "the pause came before the listing"
+        "the delay preceded the listing"
     );
 }
--- a/crates/firshore-node/tests/missing_results.rs
+++ b/crates/firshore-node/tests/missing_results.rs
@@ -1,5 +1,5 @@
-//! Readers of results that cannot be read ask again many times a second: the log must say which
-//! entries are missing, and must not fill up with it.
+//! Readers retry unreadable results many times per second: the log names the missing entries at most once
+//! per second.
 
 use firshore_node::journal::missing_results::MissingResults;
 use slog::{Drain, Logger, OwnedKVList, Record, o};
@@ -8,22 +8,22 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Default)]
-struct LineList(Arc<Mutex<Vec<String>>>);
+struct MessageList(Arc<Mutex<Vec<String>>>);
 
-impl Drain for LineList {
+impl Drain for MessageList {
     type Ok = ();
     type Err = slog::Never;
 
     fn log(&self, record: &Record<'_>, _values: &OwnedKVList) -> Result<(), slog::Never> {
-        let mut lines = self.0.lock().expect("nobody panics");
+        let mut lines = self.0.lock().expect("no thread panicked while logging");
         lines.push(record.msg().to_string());
         Ok(())
     }
 }
 
 #[test]
-fn missing_results_are_told_once_a_second() {
-    let lines = LineList::default();
+fn missing_results_are_logged_once_per_second() {
+    let lines = MessageList::default();
     let missing = MissingResults::new(Logger::root(lines.clone(), o!()));
     let start = Instant::now();
     let entries = BTreeSet::from([7, 9]);
@@ -31,6 +31,10 @@
         let now = start + Duration::from_millis(100 * step);
         missing.record(now, "job", &entries);
     }
-    let told = lines.0.lock().expect("nobody panics").clone();
-    assert_eq!(told, ["journal: Results missing."; 3]);
+    let messages = lines
+        .0
+        .lock()
+        .expect("no thread panicked while logging")
+        .clone();
+    assert_eq!(messages, ["journal: Results missing."; 3]);
 }
--- a/crates/firshore-node/tests/relay.rs
+++ b/crates/firshore-node/tests/relay.rs
@@ -1,5 +1,5 @@
-//! Nodes that learn what the store holds from relays: what that costs the store, and what relays and
-//! their ways to the store may suffer.
+//! Nodes that follow the store through relays: the load on the store, and failures of relays and of their access
+//! to the store.
 
 mod cluster;
 
@@ -28,53 +28,54 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A node's own way to the store.
+/// A node's access to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum StoreAccess {
     Open,
     /// Every call is refused.
     Refused,
-    /// Nothing is answered any more, as behind a cut that nobody has noticed yet.
+    /// Calls get no response, as during a network partition.
     Silent,
 }
 
-struct OwnStore {
+/// The store as one node reaches it, with counts of calls.
+struct LocalStore {
     store: Rc<MemoryStore>,
-    way: Cell<Way>,
+    access: Cell<StoreAccess>,
     calls: Cell<usize>,
     probes: Cell<usize>,
 }
 
-impl OwnStore {
+impl LocalStore {
     fn new(store: &Rc<MemoryStore>) -> Rc<Self> {
         Rc::new(Self {
             store: store.clone(),
-            way: Cell::new(Way::Open),
+            access: Cell::new(StoreAccess::Open),
             calls: Cell::new(0),
             probes: Cell::new(0),
         })
     }
 
-    async fn pass(&self) -> Result<(), ObjectError> {
+    async fn check_access(&self) -> Result<(), ObjectError> {
         self.calls.set(self.calls.get() + 1);
-        match self.way.get() {
-            Way::Open => Ok(()),
-            Way::Refused => Err(ObjectError::Refused("turned away".to_owned())),
-            Way::Silent => Err(no_answer(Duration::ZERO).await),
+        match self.access.get() {
+            StoreAccess::Open => Ok(()),
+            StoreAccess::Refused => Err(ObjectError::Refused("refused by the test".to_owned())),
+            StoreAccess::Silent => Err(no_response(Duration::ZERO).await),
         }
     }
 }
 
-/// A call that nobody answers ends within a bound of its own.
-async fn no_answer(wait: Duration) -> ObjectError {
+/// Returns the error of a call without a response, 300 ms after `wait`.
+async fn no_response(wait: Duration) -> ObjectError {
     actix_rt::time::sleep(wait + Duration::from_millis(300)).await;
-    ObjectError::Unanswered("silent".to_owned())
+    ObjectError::Unanswered("no response".to_owned())
 }
 
-impl ObjectStore for OwnStore {
+impl ObjectStore for LocalStore {
     fn list<'a>(&'a self, kind: &'a str, after: Option<&'a str>) -> Answer<'a, Page> {
         async move {
-            self.pass().await?;
+            self.check_access().await?;
             self.store.list(kind, after).await
         }
         .boxed_local()
@@ -82,13 +83,13 @@
 
     fn watch<'a>(&'a self, kind: &'a str, after: Revision, wait: Duration) -> Answer<'a, Changes> {
         async move {
-            self.pass().await?;
+            self.check_access().await?;
             let changes = self.store.watch(kind, after, wait).await;
-            // A call that waited when the way was closed is lost too.
-            match self.way.get() {
-                Way::Open => changes,
-                Way::Refused => Err(ObjectError::Unanswered("reset".to_owned())),
-                Way::Silent => Err(no_answer(Duration::from_secs(18)).await),
+            // Calls in flight when the access was lost fail too.
+            match self.access.get() {
+                StoreAccess::Open => changes,
+                StoreAccess::Refused => Err(ObjectError::Unanswered("reset".to_owned())),
+                StoreAccess::Silent => Err(no_response(Duration::from_secs(18)).await),
             }
         }
         .boxed_local()
@@ -97,10 +98,10 @@
     fn reach<'a>(&'a self) -> Answer<'a, Revision> {
         async move {
             self.probes.set(self.probes.get() + 1);
-            match self.way.get() {
-                Way::Open => self.store.reach().await,
-                Way::Refused => Err(ObjectError::Refused("turned away".to_owned())),
-                Way::Silent => Err(no_answer(Duration::from_secs(1)).await),
+            match self.access.get() {
+                StoreAccess::Open => self.store.reach().await,
+                StoreAccess::Refused => Err(ObjectError::Refused("refused by the test".to_owned())),
+                StoreAccess::Silent => Err(no_response(Duration::from_secs(1)).await),
             }
         }
         .boxed_local()
@@ -137,7 +138,7 @@
 
 struct RelayHandler {
     relay: Rc<Relay>,
-    /// It was killed, and its machine says nothing more.
+    /// The node was killed and no longer responds.
     dead: Rc<Cell<bool>>,
 }
 
@@ -174,15 +175,15 @@
     name: String,
     zone: &'static str,
     address: SocketAddr,
-    store: Rc<OwnStore>,
+    store: Rc<LocalStore>,
     dead: Rc<Cell<bool>>,
 }
 
-/// Tells all relays of changes, as their own registries would let them.
-fn announce(to: &Rc<RefCell<Vec<SocketAddr>>>) -> Announce {
-    let (to, peers) = (to.clone(), peers());
+/// Returns a callback that notifies all relays of changes.
+fn announce(addresses: &Rc<RefCell<Vec<SocketAddr>>>) -> Announce {
+    let (addresses, peers) = (addresses.clone(), peers());
     Rc::new(move |kind, revision| {
-        for address in to.borrow().iter() {
+        for address in addresses.borrow().iter() {
             let changed = PeerRequest::Changed {
                 kind: kind.to_owned(),
                 revision,
@@ -192,7 +193,7 @@
     })
 }
 
-/// Starts relays, each in a zone, that know of each other.
+/// Starts one relay for each of the given zones; all notify each other.
 async fn start_relays(zones: &[&'static str], store: &Rc<MemoryStore>) -> Vec<RelayNode> {
     let addresses = Rc::default();
     let mut relays = Vec::new();
@@ -212,8 +213,13 @@
         store: &Rc<MemoryStore>,
         addresses: &Rc<RefCell<Vec<SocketAddr>>>,
     ) -> Self {
-        let own = OwnStore::new(store);
-        let relay = Relay::new(own.clone(), log(), relayed_kinds(), announce(addresses));
+        let local_store = LocalStore::new(store);
+        let relay = Relay::new(
+            local_store.clone(),
+            log(),
+            relayed_kinds(),
+            announce(addresses),
+        );
         actix_rt::spawn(relay.clone().run());
         let address = free_address();
         let listener = TcpListener::bind(address).await.unwrap();
@@ -228,7 +234,7 @@
             name: name.to_owned(),
             zone,
             address,
-            store: own,
+            store: local_store,
             dead,
         }
     }
@@ -244,34 +250,34 @@
     }
 }
 
-/// The relay that the store was asked by.
-fn in_use(relays: &[RelayNode]) -> &RelayNode {
-    let used = relays.iter().find(|one| one.store.calls.get() > 0);
-    used.expect("one is asked")
+/// Returns the first relay that has queried the store.
+fn relay_in_use(relays: &[RelayNode]) -> &RelayNode {
+    let relay = relays.iter().find(|one| one.store.calls.get() > 0);
+    relay.expect("no relay is in use")
 }
 
 /// A node that follows back ends through relays.
 struct Follower {
-    own: Rc<OwnStore>,
-    known: Rc<RefCell<Vec<String>>>,
-    belief: Rc<Freshness>,
-    _following: actix_rt::task::JoinHandle<()>,
+    local_store: Rc<LocalStore>,
+    names: Rc<RefCell<Vec<String>>>,
+    freshness: Rc<Freshness>,
+    _task: actix_rt::task::JoinHandle<()>,
 }
 
-fn take(known: &RefCell<Vec<String>>, learned: ObjectUpdate) {
-    let mut known = known.borrow_mut();
-    match learned {
+fn apply(names: &RefCell<Vec<String>>, update: ObjectUpdate) {
+    let mut names = names.borrow_mut();
+    match update {
         ObjectUpdate::All(objects) => {
-            *known = objects.into_iter().map(|one| one.name).collect();
+            *names = objects.into_iter().map(|one| one.name).collect();
         }
         ObjectUpdate::Changed(changes) => {
             for change in changes {
                 match change {
                     Change::Written(object) => {
-                        known.retain(|name| *name != object.name);
-                        known.push(object.name);
+                        names.retain(|name| *name != object.name);
+                        names.push(object.name);
                     }
-                    Change::Removed(gone) => known.retain(|name| *name != gone),
+                    Change::Removed(removed) => names.retain(|name| *name != removed),
                 }
             }
         }
@@ -280,8 +286,8 @@
 
 impl Follower {
     fn start(number: usize, store: &Rc<MemoryStore>) -> Self {
-        let own = OwnStore::new(store);
-        let asker = RelayClient {
+        let local_store = LocalStore::new(store);
+        let client = RelayClient {
             node: format!("follower-{number}").as_str().into(),
             zone: "z1".into(),
             registry: Rc::new(Registry::new(store.clone(), log())),
@@ -290,12 +296,12 @@
             on_contact: Rc::new(|_, _| {}),
             excluded: RefCell::default(),
         };
-        let belief = Rc::<Freshness>::default();
-        let relayed = RelayedStore::new(asker, own.clone(), budget(), belief.clone());
-        let known = Rc::new(RefCell::new(Vec::new()));
-        let learning = known.clone();
+        let freshness = Rc::<Freshness>::default();
+        let relayed = RelayedStore::new(client, local_store.clone(), budget(), freshness.clone());
+        let names = Rc::new(RefCell::new(Vec::new()));
+        let updated = names.clone();
         let kind = relayed_kinds().remove(0);
-        let following = firshore_node::watcher::follow(
+        let task = firshore_node::watcher::follow(
             firshore_node::watcher::Watcher {
                 log: log(),
                 store: relayed,
@@ -303,37 +309,36 @@
                 options: kind.terms,
                 renewal: Rc::default(),
             },
-            move |learned| take(&learning, learned),
+            move |update| apply(&updated, update),
         );
         Self {
-            own,
-            known,
-            belief,
-            _following: actix_rt::spawn(following),
+            local_store,
+            names,
+            freshness,
+            _task: actix_rt::spawn(task),
         }
     }
 
-    /// Listings that a node asks of the store in a time in which no relay is of use: one each 0.6 of the
-    /// bound, and one as that begins.
-    fn most_listings(time: Duration) -> usize {
-        let pause = budget().bound().mul_f64(0.6);
-        1 + (time.as_secs_f64() / pause.as_secs_f64()).ceil() as usize
+    /// Returns the maximum number of listings that a node requests from the store within `time` without a usable
+    /// relay: one per 0.6 of the freshness bound, and one at the start.
+    fn max_listings(time: Duration) -> usize {
+        let interval = budget().bound().mul_f64(0.6);
+        1 + (time.as_secs_f64() / interval.as_secs_f64()).ceil() as usize
     }
 
-    /// Waits until it knows just these back ends, within the time that it has for a change and as much
-    /// again: tests run side by side.
-    async fn knows_in_time(&self, names: &[&str]) {
+    /// Waits for exactly these back ends for at most twice the freshness bound, because tests run in parallel.
+    async fn wait_for_in_time(&self, names: &[&str]) {
         let limit = budget().bound() * 2;
-        let known = tokio::time::timeout(limit, self.knows(names)).await;
-        known.unwrap_or_else(|_| panic!("{names:?}: {:?}", self.known.borrow()));
+        let wait = tokio::time::timeout(limit, self.wait_for(names)).await;
+        wait.unwrap_or_else(|_| panic!("{names:?}: {:?}", self.names.borrow()));
     }
 
-    /// Waits until it knows just these back ends.
-    async fn knows(&self, names: &[&str]) {
+    /// Waits until the follower has exactly these back ends.
+    async fn wait_for(&self, names: &[&str]) {
         loop {
-            let mut known = self.known.borrow().clone();
-            known.sort();
-            if known == names {
+            let mut current = self.names.borrow().clone();
+            current.sort();
+            if current == names {
                 return;
             }
             pause().await;
@@ -346,7 +351,7 @@
 }
 
 #[test]
-fn many_nodes_cost_the_store_as_much_as_their_relays_do() {
+fn many_nodes_cost_the_store_only_the_calls_of_their_relays() {
     run(async {
         let store = MemoryStore::new();
         put(&store, "a");
@@ -354,175 +359,198 @@
         let followers: Vec<Follower> = (0..40)
             .map(|number| Follower::start(number, &store))
             .collect();
-        join_all(followers.iter().map(|one| one.knows(&["a"]))).await;
+        join_all(followers.iter().map(|one| one.wait_for(&["a"]))).await;
         put(&store, "b");
-        join_all(followers.iter().map(|one| one.knows(&["a", "b"]))).await;
+        join_all(followers.iter().map(|one| one.wait_for(&["a", "b"]))).await;
         store.remove(BACKENDS, "a");
-        join_all(followers.iter().map(|one| one.knows(&["b"]))).await;
-        let own: usize = followers.iter().map(|one| one.own.calls.get()).sum();
-        assert_eq!(own, 0, "no node asks the store itself");
-        assert_eq!(relays[2].store.calls.get(), 0, "nobody of its zone asks");
+        join_all(followers.iter().map(|one| one.wait_for(&["b"]))).await;
+        let local_calls: usize = followers
+            .iter()
+            .map(|one| one.local_store.calls.get())
+            .sum();
+        assert_eq!(local_calls, 0, "no node queries the store itself");
+        assert_eq!(relays[2].store.calls.get(), 0, "no client in its zone");
         let relayed: usize = relays.iter().map(|one| one.store.calls.get()).sum();
         assert!(relayed <= 12, "{relayed} calls");
     });
 }
 
-// One object that could not be decoded at its receiver failed all that a relay told, again and again.
+// An object that a node cannot decode must not fail the other objects of a relay's response.
 #[test]
-fn what_a_relay_tells_stands_object_by_object() {
+fn undecodable_object_does_not_affect_others() {
     run(async {
         let store = MemoryStore::new();
-        // As deep as an answer of the store can hold it: it travels wrapped.
+        // The maximum depth in a response of the store; wrapped for the relay's response, it is deeper.
         let deep = (0..127).fold(json!(1), |inner, _| json!([inner]));
         store.put(BACKENDS, "deep", deep.clone());
         put(&store, "a");
         let _relays = start_relays(&["z1"], &store).await;
         let follower = Follower::start(1, &store);
-        follower.knows_in_time(&["a", "deep"]).await;
+        follower.wait_for_in_time(&["a", "deep"]).await;
         store.put(BACKENDS, "later", deep);
         put(&store, "b");
-        follower.knows_in_time(&["a", "b", "deep", "later"]).await;
-        assert_eq!(follower.own.calls.get(), 0, "the relay is of use");
+        follower
+            .wait_for_in_time(&["a", "b", "deep", "later"])
+            .await;
+        assert_eq!(follower.local_store.calls.get(), 0, "the relay is used");
     });
 }
 
 #[test]
-fn a_relay_that_goes_is_passed_over() {
+fn lost_relay_is_excluded() {
     run(async {
         let store = MemoryStore::new();
         put(&store, "a");
         let relays = start_relays(&["z1", "z1", "z2"], &store).await;
         let follower = Follower::start(1, &store);
-        follower.knows(&["a"]).await;
-        in_use(&relays).dead.set(true);
+        follower.wait_for(&["a"]).await;
+        relay_in_use(&relays).dead.set(true);
         put(&store, "b");
-        follower.knows(&["a", "b"]).await;
+        follower.wait_for(&["a", "b"]).await;
         assert_eq!(
-            follower.own.calls.get(),
+            follower.local_store.calls.get(),
             0,
-            "the other relay of the zone tells"
+            "the zone's other relay responds"
         );
-        // The one that is left stands in another zone.
+        // Only the relay in another zone remains.
         for relay in &relays[..2] {
             relay.dead.set(true);
         }
         put(&store, "c");
-        follower.knows_in_time(&["a", "b", "c"]).await;
-        // One of the two is waited for; the store is asked at most where the machine is busy.
-        let asked = follower.own.calls.get();
-        assert!(asked <= 2, "{asked} calls");
+        follower.wait_for_in_time(&["a", "b", "c"]).await;
+        // The node waits for one of the two lost relays; it queries the store only on a busy machine.
+        let calls = follower.local_store.calls.get();
+        assert!(calls <= 2, "{calls} calls");
         actix_rt::time::sleep(Duration::from_secs(3)).await;
         put(&store, "d");
-        follower.knows_in_time(&["a", "b", "c", "d"]).await;
+        follower.wait_for_in_time(&["a", "b", "c", "d"]).await;
         assert_eq!(
-            follower.own.calls.get(),
-            asked,
-            "the relay that is left tells"
+            follower.local_store.calls.get(),
+            calls,
+            "the remaining relay responds"
         );
     });
 }
 
 #[test]
-fn a_node_learns_in_time_whatever_becomes_of_its_relays() {
-    for way in [Way::Refused, Way::Silent] {
+fn node_is_updated_in_time_whatever_happens_to_its_relays() {
+    for access in [StoreAccess::Refused, StoreAccess::Silent] {
         run(async move {
             let store = MemoryStore::new();
             put(&store, "a");
             let relays = start_relays(&["z1", "z1", "z2"], &store).await;
             let follower = Follower::start(1, &store);
-            follower.knows(&["a"]).await;
+            follower.wait_for(&["a"]).await;
             for relay in &relays {
-                relay.store.way.set(way);
+                relay.store.access.set(access);
             }
             put(&store, "b");
-            follower.knows_in_time(&["a", "b"]).await;
-            let limit = Follower::most_listings(budget().bound() * 2);
-            assert!(follower.own.calls.get() <= limit, "more than {limit} calls");
+            follower.wait_for_in_time(&["a", "b"]).await;
+            let limit = Follower::max_listings(budget().bound() * 2);
+            assert!(
+                follower.local_store.calls.get() <= limit,
+                "more than {limit} calls"
+            );
             for relay in &relays {
                 relay.dead.set(true);
             }
             put(&store, "c");
-            follower.knows_in_time(&["a", "b", "c"]).await;
+            follower.wait_for_in_time(&["a", "b", "c"]).await;
         });
     }
 }
 
 #[test]
-fn a_relay_out_of_contact_passes_on_nothing() {
-    for way in [Way::Refused, Way::Silent] {
+fn isolated_relay_forwards_nothing() {
+    for access in [StoreAccess::Refused, StoreAccess::Silent] {
         run(async move {
             let store = MemoryStore::new();
             put(&store, "a");
             let relays = start_relays(&["z1", "z1"], &store).await;
             let followers = [0, 1, 2, 3].map(|number| Follower::start(number, &store));
-            join_all(followers.iter().map(|one| one.knows(&["a"]))).await;
-            in_use(&relays).store.way.set(way);
+            join_all(followers.iter().map(|one| one.wait_for(&["a"]))).await;
+            relay_in_use(&relays).store.access.set(access);
             put(&store, "b");
-            join_all(followers.iter().map(|one| one.knows(&["a", "b"]))).await;
-            let own: usize = followers.iter().map(|one| one.own.calls.get()).sum();
-            assert_eq!(own, 0, "{way:?}");
+            join_all(followers.iter().map(|one| one.wait_for(&["a", "b"]))).await;
+            let local_calls: usize = followers
+                .iter()
+                .map(|one| one.local_store.calls.get())
+                .sum();
+            assert_eq!(local_calls, 0, "{access:?}");
         });
     }
 }
 
 #[test]
-fn a_cut_that_no_other_relay_tells_of_is_noticed() {
+fn partition_is_detected_without_other_relays() {
     run(async {
         let store = MemoryStore::new();
         put(&store, "a");
         let relays = start_relays(&["z1", "z2"], &store).await;
         let follower = Follower::start(1, &store);
-        follower.knows(&["a"]).await;
-        let used = in_use(&relays);
-        used.store.way.set(Way::Silent);
+        follower.wait_for(&["a"]).await;
+        let relay = relay_in_use(&relays);
+        relay.store.access.set(StoreAccess::Silent);
         put(&store, "b");
-        // A watch that waits ends after 18 s only; nobody follows the other relay yet.
-        let known = tokio::time::timeout(Duration::from_secs(6), follower.knows(&["a", "b"]));
-        known.await.expect("the cut is noticed");
-        assert_eq!(follower.own.calls.get(), 0, "the other relay is asked");
+        // A watch in flight ends only after 18 s, and the other relay has no client yet.
+        let wait = tokio::time::timeout(Duration::from_secs(6), follower.wait_for(&["a", "b"]));
+        wait.await.expect("the partition is detected");
+        assert_eq!(
+            follower.local_store.calls.get(),
+            0,
+            "the other relay is queried"
+        );
     });
 }
 
 #[test]
-fn a_relay_that_nobody_asks_asks_nothing() {
+fn relay_without_clients_queries_nothing() {
     run(async {
         let store = MemoryStore::new();
         let relays = start_relays(&["z1"], &store).await;
         actix_rt::time::sleep(Duration::from_secs(2)).await;
-        let asked = &relays[0].store;
-        assert_eq!((asked.calls.get(), asked.probes.get()), (0, 0));
+        let store = &relays[0].store;
+        assert_eq!((store.calls.get(), store.probes.get()), (0, 0));
     });
 }
 
 #[test]
-fn the_store_itself_is_asked_where_no_relay_is_of_use_and_relays_again_afterwards() {
+fn store_is_queried_only_while_no_relay_is_usable() {
     run(async {
         let store = MemoryStore::new();
         put(&store, "a");
         let relays = start_relays(&["z1"], &store).await;
-        relays[0].store.way.set(Way::Refused);
+        relays[0].store.access.set(StoreAccess::Refused);
         let follower = Follower::start(1, &store);
-        follower.knows(&["a"]).await;
-        assert!(follower.own.calls.get() > 0, "the store itself is asked");
-        relays[0].store.way.set(Way::Open);
-        follower.own.way.set(Way::Refused);
+        follower.wait_for(&["a"]).await;
+        assert!(
+            follower.local_store.calls.get() > 0,
+            "the store itself is queried"
+        );
+        relays[0].store.access.set(StoreAccess::Open);
+        follower.local_store.access.set(StoreAccess::Refused);
         put(&store, "b");
-        follower.knows(&["a", "b"]).await;
+        follower.wait_for(&["a", "b"]).await;
     });
 }
 
 #[test]
-fn a_relay_that_knows_less_than_the_asker_asks_the_store_anew() {
+fn relay_behind_its_client_queries_the_store_again() {
     run(async {
         let store = MemoryStore::new();
         put(&store, "a");
-        let own = OwnStore::new(&store);
-        let relay = Relay::new(own.clone(), log(), relayed_kinds(), Rc::new(|_, _| {}));
+        let local_store = LocalStore::new(&store);
+        let relay = Relay::new(
+            local_store.clone(),
+            log(),
+            relayed_kinds(),
+            Rc::new(|_, _| {}),
+        );
         let first = relay.list(BACKENDS, None, 0).await;
         let PeerResponse::Page(page) = first else {
             panic!("{first:?}");
         };
-        // Other kinds move the store's revision on, of which the relay's watch is not told.
+        // Changes of other kinds advance the store's revision, but not the relay's watch.
         store.put(RETIREMENTS, "x", json!({}));
         let known = page.revision + 1;
         let wait = Duration::from_millis(50);
@@ -539,7 +567,7 @@
 }
 
 #[test]
-fn a_store_that_is_down_for_all_is_asked_by_relays_alone() {
+fn unreachable_store_is_queried_only_by_relays() {
     run(async {
         let store = MemoryStore::new();
         put(&store, "a");
@@ -547,50 +575,56 @@
         let followers: Vec<Follower> = (0..20)
             .map(|number| Follower::start(number, &store))
             .collect();
-        join_all(followers.iter().map(|one| one.knows(&["a"]))).await;
+        join_all(followers.iter().map(|one| one.wait_for(&["a"]))).await;
         let before = store.calls();
         for relay in &relays {
-            relay.store.way.set(Way::Refused);
+            relay.store.access.set(StoreAccess::Refused);
         }
         for follower in &followers {
-            follower.own.way.set(Way::Refused);
+            follower.local_store.access.set(StoreAccess::Refused);
         }
-        // Ends the watches that wait.
+        // Ends the watches in flight.
         put(&store, "b");
         actix_rt::time::sleep(Duration::from_secs(4)).await;
-        let own: usize = followers.iter().map(|one| one.own.calls.get()).sum();
+        let local_calls: usize = followers
+            .iter()
+            .map(|one| one.local_store.calls.get())
+            .sum();
         let listings = store.calls() - before;
         assert_eq!(
-            (own, listings),
+            (local_calls, listings),
             (0, 0),
-            "neither back ends nor nodes are asked for"
+            "neither back ends nor nodes are queried"
         );
-        // A look whether the store can be reached costs a tenth of a question.
-        let probes: usize = followers.iter().map(|one| one.own.probes.get()).sum();
-        assert!(probes <= 6 * followers.len(), "{probes} looks in 4 s");
+        // A probe costs the store a tenth of a query.
+        let probes: usize = followers
+            .iter()
+            .map(|one| one.local_store.probes.get())
+            .sum();
+        assert!(probes <= 6 * followers.len(), "{probes} probes in 4 s");
         for relay in &relays {
-            relay.store.way.set(Way::Open);
+            relay.store.access.set(StoreAccess::Open);
         }
-        join_all(followers.iter().map(|one| one.knows(&["a", "b"]))).await;
+        join_all(followers.iter().map(|one| one.wait_for(&["a", "b"]))).await;
     });
 }
 
 #[test]
-fn a_relay_tells_how_old_its_contact_is() {
+fn relay_reports_the_age_of_its_contact() {
     run(async {
         let store = MemoryStore::new();
         put(&store, "a");
         let relays = start_relays(&["z1"], &store).await;
         let follower = Follower::start(1, &store);
-        follower.knows(&["a"]).await;
-        while follower.belief.as_of().is_none() {
+        follower.wait_for(&["a"]).await;
+        while follower.freshness.as_of().is_none() {
             pause().await;
         }
-        assert_eq!(follower.belief.source().as_deref(), Some("r0"));
-        // Nothing is heard of the store any more: what the relay tells is of before.
-        let closed_at = tokio::time::Instant::now();
-        relays[0].store.way.set(Way::Silent);
+        assert_eq!(follower.freshness.source().as_deref(), Some("r0"));
+        // The relay has lost the store: its freshness must not advance.
+        let lost_at = tokio::time::Instant::now();
+        relays[0].store.access.set(StoreAccess::Silent);
         actix_rt::time::sleep(Duration::from_millis(400)).await;
-        assert!(follower.belief.as_of() <= Some(closed_at));
+        assert!(follower.freshness.as_of() <= Some(lost_at));
     });
 }
--- a/crates/firshore-node/tests/relay_cache.rs
+++ b/crates/firshore-node/tests/relay_cache.rs
@@ -1,4 +1,4 @@
-//! The objects of one kind as a relay keeps them for other nodes.
+//! A relay's cache of the objects of one kind.
 
 use firshore_adapter::objects::{Change, Object};
 use firshore_node::list_watch::ObjectUpdate;
@@ -14,38 +14,38 @@
     }
 }
 
-fn listed(names: &[(&str, u64)], revision: u64) -> KindCache {
+fn cache_of(names: &[(&str, u64)], revision: u64) -> KindCache {
     let mut cache = KindCache::default();
-    learn_all(&mut cache, names, revision);
+    apply_listing(&mut cache, names, revision);
     cache
 }
 
-fn learn_all(cache: &mut KindCache, names: &[(&str, u64)], revision: u64) {
+fn apply_listing(cache: &mut KindCache, names: &[(&str, u64)], revision: u64) {
     let objects = names.iter().map(|(name, at)| object(name, *at));
     cache.apply(Some(ObjectUpdate::All(objects.collect())), revision);
 }
 
-fn learn(cache: &mut KindCache, changes: Vec<Change>, revision: u64) {
+fn apply_changes(cache: &mut KindCache, changes: Vec<Change>, revision: u64) {
     cache.apply(Some(ObjectUpdate::Changed(changes)), revision);
 }
 
-/// Names written and removed after a revision, and the revision to go on from.
-fn news(cache: &KindCache, known: u64) -> Option<(Vec<String>, Vec<String>, u64)> {
+/// Returns the names written and removed after revision `known`, and the revision to continue from.
+fn changes_since(cache: &KindCache, known: u64) -> Option<(Vec<String>, Vec<String>, u64)> {
     let changes = cache.changes(known).unwrap()?;
     let written = changes.written.iter().map(|one| one.name.clone());
     Some((written.collect(), changes.removed, changes.revision))
 }
 
 #[test]
-fn nothing_is_told_before_the_first_listing() {
+fn empty_cache_returns_nothing() {
     let cache = KindCache::default();
     assert_eq!(cache.list(None, 0).unwrap_err(), CacheMiss::Empty);
     assert_eq!(cache.changes(0).unwrap_err(), CacheMiss::Empty);
 }
 
 #[test]
-fn a_listing_gives_back_what_was_learned() {
-    let cache = listed(&[("a", 3), ("b", 5)], 9);
+fn listing_returns_cached_objects() {
+    let cache = cache_of(&[("a", 3), ("b", 5)], 9);
     let page = cache.list(None, 0).unwrap();
     let objects: Vec<Object> = page
         .objects
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn large_listings_come_in_pages() {
+fn large_listings_are_paged() {
     let mut cache = KindCache::default();
     let objects = (0..10).map(|number| Object {
         spec: json!("x".repeat(100 * 1024)),
@@ -81,78 +81,84 @@
 }
 
 #[test]
-fn changes_are_told_from_any_revision_since_the_first_listing() {
-    let mut cache = listed(&[("a", 3), ("b", 5)], 9);
-    assert_eq!(news(&cache, 9), None);
-    learn(&mut cache, vec![Change::Written(object("c", 11))], 12);
-    learn(&mut cache, vec![Change::Removed("a".to_owned())], 15);
+fn changes_are_available_since_the_first_listing() {
+    let mut cache = cache_of(&[("a", 3), ("b", 5)], 9);
+    assert_eq!(changes_since(&cache, 9), None);
+    apply_changes(&mut cache, vec![Change::Written(object("c", 11))], 12);
+    apply_changes(&mut cache, vec![Change::Removed("a".to_owned())], 15);
     cache.apply(None, 20);
     let (written, removed) = (vec!["c".to_owned()], vec!["a".to_owned()]);
-    assert_eq!(news(&cache, 9), Some((written, removed.clone(), 20)));
-    assert_eq!(news(&cache, 12), Some((vec![], removed, 20)));
-    assert_eq!(news(&cache, 15), None);
+    assert_eq!(
+        changes_since(&cache, 9),
+        Some((written, removed.clone(), 20))
+    );
+    assert_eq!(changes_since(&cache, 12), Some((vec![], removed, 20)));
+    assert_eq!(changes_since(&cache, 15), None);
     assert_eq!(cache.changes(8).unwrap_err(), CacheMiss::Forgotten);
     assert_eq!(cache.changes(21).unwrap_err(), CacheMiss::Behind);
     assert_eq!(cache.list(None, 21).unwrap_err(), CacheMiss::Behind);
 }
 
 #[test]
-fn a_new_listing_tells_only_what_differs() {
-    let mut cache = listed(&[("a", 3), ("b", 5), ("c", 6)], 9);
-    learn_all(&mut cache, &[("a", 3), ("b", 14), ("d", 13)], 20);
+fn new_listing_yields_only_differences() {
+    let mut cache = cache_of(&[("a", 3), ("b", 5), ("c", 6)], 9);
+    apply_listing(&mut cache, &[("a", 3), ("b", 14), ("d", 13)], 20);
     let (written, removed) = (vec!["b".to_owned(), "d".to_owned()], vec!["c".to_owned()]);
-    assert_eq!(news(&cache, 9), Some((written, removed, 20)));
+    assert_eq!(changes_since(&cache, 9), Some((written, removed, 20)));
 }
 
 #[test]
-fn an_object_that_came_back_is_not_told_as_gone() {
-    let mut cache = listed(&[("a", 3)], 9);
-    learn(&mut cache, vec![Change::Removed("a".to_owned())], 12);
-    learn(&mut cache, vec![Change::Written(object("a", 14))], 15);
-    assert_eq!(news(&cache, 9), Some((vec!["a".to_owned()], vec![], 15)));
+fn recreated_object_is_not_reported_as_removed() {
+    let mut cache = cache_of(&[("a", 3)], 9);
+    apply_changes(&mut cache, vec![Change::Removed("a".to_owned())], 12);
+    apply_changes(&mut cache, vec![Change::Written(object("a", 14))], 15);
+    assert_eq!(
+        changes_since(&cache, 9),
+        Some((vec!["a".to_owned()], vec![], 15))
+    );
 }
 
 #[test]
-fn names_of_what_is_gone_are_bounded() {
-    let mut cache = listed(&[], 9);
+fn removed_names_are_bounded() {
+    let mut cache = cache_of(&[], 9);
     for number in 0..3_000 {
-        let gone = Change::Removed(format!("o{number}"));
-        learn(&mut cache, vec![gone], 10 + number);
+        let removal = Change::Removed(format!("o{number}"));
+        apply_changes(&mut cache, vec![removal], 10 + number);
     }
     assert_eq!(cache.changes(9).unwrap_err(), CacheMiss::Forgotten);
-    let (_, removed, _) = news(&cache, 3_000).unwrap();
+    let (_, removed, _) = changes_since(&cache, 3_000).unwrap();
     assert_eq!(removed.len(), 9);
 }
 
 #[test]
-fn the_revision_never_goes_back() {
-    let mut cache = listed(&[("a", 3)], 9);
+fn revision_never_decreases() {
+    let mut cache = cache_of(&[("a", 3)], 9);
     cache.apply(None, 7);
     assert_eq!(cache.revision(), Some(9));
 }
 
-/// An object that came to be and was removed between two listings is told by nobody here: whoever may know
-/// it lists anew.
+/// An object that was created and removed between two listings is missing from the changes: a client whose
+/// revision lies between them may have it and must list again.
 #[test]
-fn who_may_know_what_was_missed_lists_anew() {
-    let mut cache = listed(&[("a", 3)], 9);
-    learn_all(&mut cache, &[("a", 3), ("c", 14)], 20);
-    for between in [10, 15, 19] {
-        assert_eq!(cache.changes(between).unwrap_err(), CacheMiss::Forgotten);
+fn client_between_two_listings_must_list_again() {
+    let mut cache = cache_of(&[("a", 3)], 9);
+    apply_listing(&mut cache, &[("a", 3), ("c", 14)], 20);
+    for revision in [10, 15, 19] {
+        assert_eq!(cache.changes(revision).unwrap_err(), CacheMiss::Forgotten);
     }
-    let (written, removed, revision) = news(&cache, 9).unwrap();
+    let (written, removed, revision) = changes_since(&cache, 9).unwrap();
     assert_eq!(
         (written, removed.len(), revision),
         (vec!["c".to_owned()], 0, 20)
     );
-    assert_eq!(news(&cache, 20), None);
+    assert_eq!(changes_since(&cache, 20), None);
 }
 
 #[test]
-fn who_knows_less_than_the_gaps_that_are_kept_lists_anew() {
-    let mut cache = listed(&[], 10);
+fn client_older_than_the_kept_gaps_must_list_again() {
+    let mut cache = cache_of(&[], 10);
     for listing in 1..=40 {
-        learn_all(&mut cache, &[], 10 + listing * 10);
+        apply_listing(&mut cache, &[], 10 + listing * 10);
     }
     for known in [10, 15, 20, 195] {
         assert_eq!(
@@ -161,7 +167,11 @@
             "{known}"
         );
     }
-    assert_eq!(news(&cache, 410), None);
-    assert_eq!(news(&cache, 400), None, "as of a listing");
+    assert_eq!(changes_since(&cache, 410), None);
+    assert_eq!(
+        changes_since(&cache, 400),
+        None,
+        "the revision of a listing"
+    );
     assert_eq!(cache.changes(405).unwrap_err(), CacheMiss::Forgotten);
 }
--- a/crates/firshore-node/tests/relay_loads.rs
+++ b/crates/firshore-node/tests/relay_loads.rs
@@ -1,4 +1,4 @@
-//! Loads that nodes tell a relay, and what they learn from it.
+//! Loads that nodes report to a relay, and the loads they receive in return.
 
 mod cluster;
 
@@ -39,7 +39,7 @@
     counts.collect()
 }
 
-fn picture(counts: &[(&str, u32)]) -> HashMap<BackendName, u32> {
+fn load_by_backend(counts: &[(&str, u32)]) -> HashMap<BackendName, u32> {
     let counts = counts.iter();
     let counts = counts.map(|(backend, count)| (BackendName::from(*backend), *count));
     counts.collect()
@@ -53,41 +53,44 @@
         .collect()
 }
 
-fn told(counts: &[(&str, u32)]) -> Vec<(String, u32)> {
+fn sorted_counts(counts: &[(&str, u32)]) -> Vec<(String, u32)> {
     sorted(self::counts(counts))
 }
 
 #[test]
-fn a_node_learns_what_its_zone_and_the_rest_have() {
+fn node_receives_loads_of_its_zone_and_the_rest() {
     let relay = LoadRelay::new(Duration::from_secs(5));
     let now = Instant::now();
     let first = relay.exchange(now, "n1".into(), counts(&[("a", 2)]).into());
-    assert!(first.is_none(), "the leader has told nothing yet");
-    relay.record_leader_report(now, picture(&[("a", 5), ("c", 1)]));
+    assert!(first.is_none(), "no report of the leader yet");
+    relay.record_leader_report(now, load_by_backend(&[("a", 5), ("c", 1)]));
     let later = now + Duration::from_millis(40);
     let second = relay.exchange(later, "n2".into(), counts(&[("b", 3)]).into());
     let second = second.unwrap();
-    assert_eq!(sorted(second.others), told(&[("a", 7), ("c", 1)]));
+    assert_eq!(sorted(second.others), sorted_counts(&[("a", 7), ("c", 1)]));
     assert_eq!((second.age, second.nodes), (Duration::from_millis(40), 2));
     let again = relay.exchange(later, "n1".into(), counts(&[("a", 1)]).into());
     let again = again.unwrap();
-    assert_eq!(sorted(again.others), told(&[("a", 5), ("b", 3), ("c", 1)]));
+    assert_eq!(
+        sorted(again.others),
+        sorted_counts(&[("a", 5), ("b", 3), ("c", 1)])
+    );
     let sums = relay.sums(later).unwrap();
-    assert_eq!(sorted(sums), told(&[("a", 1), ("b", 3)]));
+    assert_eq!(sorted(sums), sorted_counts(&[("a", 1), ("b", 3)]));
 }
 
 #[test]
-fn an_old_picture_is_not_passed_on() {
+fn stale_view_is_not_forwarded() {
     let relay = LoadRelay::new(Duration::from_secs(5));
     let now = Instant::now();
-    relay.record_leader_report(now, picture(&[("a", 5)]));
+    relay.record_leader_report(now, load_by_backend(&[("a", 5)]));
     let later = now + Duration::from_secs(1);
     assert!(
         relay
             .exchange(later, "n1".into(), NodeLoadReport::default())
             .is_none()
     );
-    relay.record_leader_report(later, picture(&[("a", 4)]));
+    relay.record_leader_report(later, load_by_backend(&[("a", 4)]));
     assert!(
         relay
             .exchange(later, "n1".into(), NodeLoadReport::default())
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn nodes_that_say_no_more_are_forgotten() {
+fn stale_reports_are_dropped() {
     let relay = LoadRelay::new(Duration::from_secs(5));
     let now = Instant::now();
     assert!(relay.sums(now).is_none());
@@ -105,13 +108,13 @@
     assert!(relay.sums(now + Duration::from_secs(5)).is_none());
 }
 
-fn node(name: &str, store: &Rc<MemoryStore>) -> JournalClient {
+fn journal_client(name: &str, store: &Rc<MemoryStore>) -> JournalClient {
     let registry = Rc::new(Registry::new(store.clone(), log()));
     JournalClient::new(name.into(), registry, peers(), log())
 }
 
 #[test]
-fn nodes_of_different_relays_learn_of_each_other_through_the_leader() {
+fn leader_forwards_loads_between_relays() {
     run(async {
         let cluster = Cluster::start().await;
         cluster.submit("job", 1).await;
@@ -122,8 +125,11 @@
             .iter()
             .map(|number| format!("n{number}").as_str().into());
         let names: Vec<NodeName> = names.collect();
-        let (one, other) = (node("one", &cluster.store), node("other", &cluster.store));
-        // Any question makes them list the nodes.
+        let (one, other) = (
+            journal_client("one", &cluster.store),
+            journal_client("other", &cluster.store),
+        );
+        // Any request makes the clients list the nodes.
         one.report_to_leader(NodeLoadReport::default(), false).await;
         other
             .report_to_leader(NodeLoadReport::default(), false)
@@ -132,28 +138,32 @@
             let at_one = one.report_to_relay(&names[0], counts(&[("a", 2)]).into());
             let at_other = other.report_to_relay(&names[1], counts(&[("b", 3)]).into());
             let (at_one, at_other) = (at_one.await, at_other.await);
-            let knows = |told: Option<_>, expected: &[(&str, u32)]| {
-                told.is_some_and(|told: firshore_node::journal::client::LoadResponse| {
-                    told.counts == picture(expected)
+            let has_counts = |response: Option<_>, expected: &[(&str, u32)]| {
+                response.is_some_and(|response: firshore_node::journal::client::LoadResponse| {
+                    response.counts == load_by_backend(expected)
                 })
             };
-            if knows(at_one, &[("b", 3)]) && knows(at_other, &[("a", 2)]) {
+            if has_counts(at_one, &[("b", 3)]) && has_counts(at_other, &[("a", 2)]) {
                 break;
             }
             pause().await;
         }
-        let known = cluster.nodes[leader].as_ref().unwrap();
-        let sums = known.journal.loads.table.borrow().sums().clone();
-        assert_eq!(sums, picture(&[("a", 2), ("b", 3)]));
-        assert_eq!(known.journal.loads.table.borrow().nodes(), 2, "relays only");
+        let leader_node = cluster.nodes[leader].as_ref().unwrap();
+        let sums = leader_node.journal.loads.table.borrow().sums().clone();
+        assert_eq!(sums, load_by_backend(&[("a", 2), ("b", 3)]));
+        assert_eq!(
+            leader_node.journal.loads.table.borrow().nodes(),
+            2,
+            "only the relays report"
+        );
     });
 }
 
-/// A node that takes loads in, and counts how often.
+/// A node that accepts load reports and counts them.
 struct LoadPeer {
-    told: Rc<Cell<u32>>,
+    reports: Rc<Cell<u32>>,
     pause: u64,
-    /// It names this node as the leader instead.
+    /// Refuses reports and names this node as the leader.
     refers_to: Rc<RefCell<Option<NodeName>>>,
 }
 
@@ -166,8 +176,8 @@
             let refusal = JournalRefusal::NotLeader { leader };
             return ready(PeerResponse::Refused(refusal)).boxed_local();
         }
-        self.told.set(self.told.get() + 1);
-        let answer = PeerResponse::Load {
+        self.reports.set(self.reports.get() + 1);
+        let response = PeerResponse::Load {
             counts: Vec::new(),
             pause: self.pause,
             age: 0,
@@ -175,7 +185,7 @@
             paces: Vec::new(),
             leader: None,
         };
-        ready(answer).boxed_local()
+        ready(response).boxed_local()
     }
 }
 
@@ -194,26 +204,26 @@
 }
 
 #[test]
-fn a_relay_is_told_only_where_the_leader_has_too_many_nodes_to_hear() {
+fn nodes_report_to_a_relay_only_if_the_leader_has_many_nodes() {
     for (pause, through_relay) in [(15, false), (100, true), (800, true)] {
         run(async move {
             let store = MemoryStore::new();
             let (at_leader, at_relay) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
             let leader = LoadPeer {
-                told: at_leader.clone(),
+                reports: at_leader.clone(),
                 pause,
                 refers_to: Rc::default(),
             };
             start_peer(&store, "leader", "far", leader).await;
             let refers_to = Rc::new(RefCell::new(Some("leader".into())));
             let relay = LoadPeer {
-                told: at_relay.clone(),
+                reports: at_relay.clone(),
                 pause: 100,
                 refers_to: refers_to.clone(),
             };
             start_peer(&store, "relay", "home", relay).await;
-            let jobs = Rc::new(node("n", &store));
-            while jobs
+            let client = Rc::new(journal_client("n", &store));
+            while client
                 .report_to_leader(NodeLoadReport::default(), false)
                 .await
                 .is_none()
@@ -231,19 +241,22 @@
                 &mut Builder::default(),
             ));
             let _open = gateway.open_request();
-            let exchange = LoadExchange::new(gateway.clone(), jobs, "n".into(), "home".into());
+            let exchange = LoadExchange::new(gateway.clone(), client, "n".into(), "home".into());
             actix_rt::spawn(exchange.run());
             let before = at_leader.get();
             while at_leader.get() + at_relay.get() < before + 4 {
                 cluster::pause().await;
             }
             assert_eq!(at_relay.get() > 0, through_relay, "a pause of {pause} ms");
-            assert!(at_leader.get() > before, "the leader is told first");
+            assert!(
+                at_leader.get() > before,
+                "the first report goes to the leader"
+            );
         });
     }
 }
 
-fn pressed(service: &str, late: u32) -> NodeLoadReport {
+fn pressure_report(service: &str, late: u32) -> NodeLoadReport {
     let counts = PressureCounts {
         late,
         ..PressureCounts::default()
@@ -258,17 +271,20 @@
 }
 
 #[test]
-fn how_hard_requests_press_is_summed_and_told_the_leader_once() {
+fn pressure_is_summed_and_reported_to_the_leader_once() {
     let relay = LoadRelay::new(Duration::from_secs(5));
     let now = Instant::now();
-    let unheard = relay.exchange(now, "n1".into(), pressed("chat", 9));
-    assert!(unheard.is_none(), "the node tells the leader itself");
-    relay.record_leader_report(now, picture(&[]));
-    relay.exchange(now, "n1".into(), pressed("chat", 2));
-    relay.exchange(now, "n2".into(), pressed("chat", 3));
-    relay.exchange(now, "n2".into(), pressed("desk", 1));
-    let told = relay.sums_to_report(now, false).unwrap().pressures;
-    let sums: Vec<(&str, u32)> = told
+    let without_leader = relay.exchange(now, "n1".into(), pressure_report("chat", 9));
+    assert!(
+        without_leader.is_none(),
+        "the node reports to the leader itself"
+    );
+    relay.record_leader_report(now, load_by_backend(&[]));
+    relay.exchange(now, "n1".into(), pressure_report("chat", 2));
+    relay.exchange(now, "n2".into(), pressure_report("chat", 3));
+    relay.exchange(now, "n2".into(), pressure_report("desk", 1));
+    let pressures = relay.sums_to_report(now, false).unwrap().pressures;
+    let sums: Vec<(&str, u32)> = pressures
         .iter()
         .map(|one| (one.service.as_str(), one.counts.late))
         .collect();
@@ -290,13 +306,13 @@
 }
 
 #[test]
-fn pressure_costs_some_bytes_where_there_is_any_and_none_elsewhere() {
-    let calm = frame::encode(&load_message(Vec::new())).unwrap();
-    // "q", the name of its field, appears only with pressure: peers that do not know it see what they know.
-    assert!(!calm.windows(2).any(|bytes| bytes == b"\x61q"));
-    let told = pressed("a-service-of-some-name", 30).pressures;
-    let told = frame::encode(&load_message(told)).unwrap();
-    let more = told.len() - calm.len();
-    println!("{more} bytes for one service");
-    assert!(more <= 48, "{more} bytes");
+fn pressure_is_encoded_only_if_there_is_any() {
+    let unloaded = frame::encode(&load_message(Vec::new())).unwrap();
+    // Field "q" is encoded only if there is pressure, so that older peers receive a message of the former shape.
+    assert!(!unloaded.windows(2).any(|bytes| bytes == b"\x61q"));
+    let pressures = pressure_report("a-service-of-some-name", 30).pressures;
+    let loaded = frame::encode(&load_message(pressures)).unwrap();
+    let added = loaded.len() - unloaded.len();
+    println!("{added} additional bytes for one service");
+    assert!(added <= 48, "{added} bytes");
 }
--- a/crates/firshore-node/tests/stale_sources.rs
+++ b/crates/firshore-node/tests/stale_sources.rs
@@ -1,116 +1,108 @@
-//! How old the state is that nodes in touch rest on, whatever happens to those that inform them: played
-//! in virtual time over the product's own relays, watchers and lists of nodes.
+//! Age of the state that connected nodes act on while their sources fail, simulated in virtual time with the
+//! product's relays, watchers and registries of nodes.
 //!
-//! The symptom: requests were refused with 404 for routes that had been added more than 2,000 ms
-//! before, and one was sent to a back end that had said 2,236 ms earlier that it leaves.
-//!
-//! The sequence of the first: all three relays fell silent at 11.8 s. A gateway passed them over
-//! (`relay: Passed over.`) at 12.718, 14.020 and 15.320 s, 1.30 s apart, and then waited before it would
-//! ask the store itself; version 138, acknowledged at 13.296 s, was not known at 15.303 s.
-//! Of the second: the store fell silent and all relays said so (`relay: Passed over.`, `out_of_contact`,
-//! 25.546 s). 8.3 s later a gateway asked the store itself (`relay: No relay is of use`, 33.839 s),
-//! which answered again between 34.0 and 34.6 s. Relays knew at 37.48 s of a back end that left at
-//! 37.307 s; the gateway sent to it at 39.543 s.
-//!
-//! The cause: waits that add up. Relays are asked one after the other, each silence costs the whole wait
-//! of 1.3 s, and 1.2 to 2.4 s of patience follow; and a watch that is asked of a silent store is
-//! swallowed, while nobody else is asked for as long as it was to wait.
+//! Guards against timeouts that add up (relays queried in turn, a wait before the store is queried, watches without
+//! a response): requests were then refused with 404 for routes older than the freshness bound, or sent to leaving
+//! back ends.
 
 mod stale_world;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use stale_world::crowd::{self, Made};
+use stale_world::crowd::{self, CallCounts};
+use stale_world::faults::*;
 use stale_world::losses::*;
 use stale_world::machines::Health;
-use stale_world::scene::{Event, Played, Scene, Sheet, Who};
-use stale_world::troubles::*;
-use stale_world::ways::Way;
-use stale_world::{KINDS, play};
+use stale_world::scene::{Event, FreshnessLimits, Scene, SceneResult, Target};
+use stale_world::store_access::StoreAccess;
+use stale_world::{KINDS, run_scene};
 use std::time::Duration;
 
-/// Age up to which a change may be unknown at a node in touch, by the sheets that there are.
-const SHEETS: [Sheet; 2] = [
-    Sheet {
+/// The freshness limits to check.
+const LIMITS: [FreshnessLimits; 2] = [
+    FreshnessLimits {
         bound: Duration::from_millis(2_000),
-        in_touch_after: Duration::from_secs(3),
+        connected_after: Duration::from_secs(3),
     },
-    Sheet {
+    FreshnessLimits {
         bound: Duration::from_millis(3_000),
-        in_touch_after: Duration::from_secs(4),
+        connected_after: Duration::from_secs(4),
     },
 ];
 
-/// Seeds that are played of each class: `FIRSHORE_STALE_SEEDS`, or 12; by the second sheet, a quarter of
-/// them.
-const SEEDS: u64 = 12;
+/// Number of seeds per class unless `FIRSHORE_STALE_SEEDS` is set; the second limits use a quarter of them.
+const DEFAULT_SEED_COUNT: u64 = 12;
 
-/// Time that is played after the last event: what happened last is judged too, and a watch that was
-/// swallowed has ended.
-const AFTERWARDS: Duration = Duration::from_secs(20);
+/// Simulated time after the last event, so that its effects are checked and watches without a response have timed
+/// out.
+const TIME_AFTER_EVENTS: Duration = Duration::from_secs(20);
 
-/// Time by which the copy of the store is behind that relays may read.
-const LAG: Duration = Duration::from_millis(300);
+/// Lag of the copy of the store that relays may read.
+const DEFAULT_LAG: Duration = Duration::from_millis(300);
 
-/// When a crowd is calm, in milliseconds.
-const CALM: u64 = 4_000;
+/// Time in milliseconds by which a crowd has finished its start.
+const CALM_AT_MS: u64 = 4_000;
 
-/// Objects in a page of the stand-in's.
+/// Number of objects per page of the stand-in store.
 const PAGE_OBJECTS: u64 = 3;
 
-/// Draws what happens to so many relays.
-type Draw = fn(&mut StdRng, usize) -> Events;
+/// Draws the events of a scene with this many relays.
+type DrawEvents = fn(&mut StdRng, usize) -> Events;
 
 fn seeds() -> u64 {
-    let wanted = std::env::var("FIRSHORE_STALE_SEEDS");
-    wanted.map_or(SEEDS, |seeds| seeds.parse().expect("a number of seeds"))
+    let setting = std::env::var("FIRSHORE_STALE_SEEDS");
+    setting.map_or(DEFAULT_SEED_COUNT, |seeds| {
+        seeds
+            .parse()
+            .expect("FIRSHORE_STALE_SEEDS must be a number")
+    })
 }
 
-/// One way in which those that inform a node may be lost.
+/// A class of scenes with a common kind of failure.
 #[derive(Clone, Copy)]
-struct Class {
+struct EventClass {
     name: &'static str,
-    draw: Draw,
+    draw: DrawEvents,
     connections: bool,
     removals: bool,
     lag: Duration,
-    /// Of so many seeds one is played.
-    one_of: u64,
+    /// One of this many seeds is run.
+    one_seed_in: u64,
 }
 
-const fn class(name: &'static str, draw: Draw) -> Class {
-    Class {
+const fn class(name: &'static str, draw: DrawEvents) -> EventClass {
+    EventClass {
         name,
         draw,
         connections: false,
         removals: false,
-        lag: LAG,
-        one_of: 1,
+        lag: DEFAULT_LAG,
+        one_seed_in: 1,
     }
 }
 
-impl Class {
-    /// Has calls between nodes go over connections.
+impl EventClass {
+    /// Simulates connections for calls between nodes.
     const fn with_connections(mut self) -> Self {
         self.connections = true;
         self
     }
 
-    /// Has entries of back ends removed.
+    /// Removes entries of back ends.
     const fn with_removals(mut self) -> Self {
         self.removals = true;
         self
     }
 
-    /// Has the copy of the store that relays may read so far behind.
+    /// Sets the lag of the copy of the store that relays may read.
     const fn with_lag(mut self, lag: Duration) -> Self {
         self.lag = lag;
         self
     }
 
-    /// Has a third of the seeds played: the class repeats another one with more.
-    const fn repeated(mut self) -> Self {
-        self.one_of = 3;
+    /// Runs a third of the seeds, because the class extends another one.
+    const fn with_fewer_seeds(mut self) -> Self {
+        self.one_seed_in = 3;
         self
     }
 
@@ -120,7 +112,7 @@
         let zones = random.random_range(1..=3);
         let mut events = (self.draw)(&mut random, relays);
         events.sort_by_key(|(at, _)| *at);
-        let last = events.last().map_or(FIRST, |(at, _)| *at);
+        let last = events.last().map_or(FIRST_EVENT_MS, |(at, _)| *at);
         let at = |(at, event)| (Duration::from_millis(at), event);
         Scene {
             class: self.name,
@@ -131,83 +123,87 @@
             connections: self.connections,
             removals: self.removals,
             lag: self.lag,
-            changes_unheard: random.random_bool(0.5),
+            changes_while_unreachable: random.random_bool(0.5),
             events: events.into_iter().map(at).collect(),
-            length: Duration::from_millis(last) + AFTERWARDS,
-            marks: Vec::new(),
+            length: Duration::from_millis(last) + TIME_AFTER_EVENTS,
+            count_at: Vec::new(),
         }
     }
 }
 
-/// Plays classes by all sheets.
+/// Runs classes with all limits.
 ///
 /// # Panics
 ///
-/// Panics if a follower in touch passed the bound, or took back what it knew, and tells of each class in
-/// which one did.
-fn hold(classes: &[Class]) {
-    let mut broken = Vec::new();
+/// Panics if a connected follower exceeded the bound or returned to an older state; the message describes each
+/// failed class.
+fn check_classes(classes: &[EventClass]) {
+    let mut failed = Vec::new();
     for class in classes {
-        for (sheet, seeds) in SHEETS.into_iter().zip([seeds(), seeds().div_ceil(4)]) {
-            broken.extend(broken_in(class, sheet, seeds.div_ceil(class.one_of)));
+        for (limits, seeds) in LIMITS.into_iter().zip([seeds(), seeds().div_ceil(4)]) {
+            failed.extend(check_class(
+                class,
+                limits,
+                seeds.div_ceil(class.one_seed_in),
+            ));
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n\n"));
+    assert!(failed.is_empty(), "{}", failed.join("\n\n"));
 }
 
-/// Plays a class, prints what was oldest in it, and tells what was broken, if anything was.
-fn broken_in(class: &Class, sheet: Sheet, seeds: u64) -> Option<String> {
-    let mut oldest = [Duration::ZERO; 2];
-    let mut broken = Vec::new();
+/// Runs a class, prints its maximum ages, and describes its failures, if any.
+fn check_class(class: &EventClass, limits: FreshnessLimits, seeds: u64) -> Option<String> {
+    let mut max_ages = [Duration::ZERO; 2];
+    let mut failed = Vec::new();
     for seed in 0..seeds {
         let scene = class.scene(seed);
-        let played = play(&scene, sheet);
-        assert!(played.changes > 20, "hardly any changes: {scene:?}");
-        for (oldest, age) in oldest.iter_mut().zip(played.oldest) {
-            *oldest = age.max(*oldest);
+        let result = run_scene(&scene, limits);
+        assert!(result.changes > 20, "too few changes: {scene:?}");
+        for (max_age, age) in max_ages.iter_mut().zip(result.max_ages) {
+            *max_age = age.max(*max_age);
         }
-        if played.first_late.is_some() || played.taken_back.is_some() {
-            broken.push((scene, played));
+        if result.first_late.is_some() || result.regression.is_some() {
+            failed.push((scene, result));
         }
     }
-    let ages = KINDS.into_iter().zip(oldest);
+    let ages = KINDS.into_iter().zip(max_ages);
     let ages: Vec<String> = ages.map(|(kind, age)| format!("{kind} {age:?}")).collect();
     let ages = ages.join(", ");
     println!(
-        "{} at {:?}: {} of {seeds} broken; oldest: {ages}",
+        "{} at {:?}: {} of {seeds} failed; maximum ages: {ages}",
         class.name,
-        sheet.bound,
-        broken.len(),
+        limits.bound,
+        failed.len(),
     );
-    // What is taken back is the worse, and is told first.
-    let worst = broken
+    // A regression is worse than a late change and is reported first.
+    let first_regression = failed
         .iter()
-        .find(|(_, played)| played.taken_back.is_some());
-    let (scene, played) = worst.or(broken.first())?;
-    let seeds: Vec<u64> = broken.iter().map(|(scene, _)| scene.seed).collect();
-    let told = told(scene, played);
+        .find(|(_, result)| result.regression.is_some());
+    let (scene, result) = first_regression.or(failed.first())?;
+    let seeds: Vec<u64> = failed.iter().map(|(scene, _)| scene.seed).collect();
+    let description = describe(scene, result);
     Some(format!(
-        "{told}\nat {:?}, seeds {seeds:?} are broken; oldest: {ages}",
-        sheet.bound
+        "{description}\nat {:?}, seeds {seeds:?} failed; maximum ages: {ages}",
+        limits.bound
     ))
 }
 
-fn told(scene: &Scene, played: &Played) -> String {
-    let mut told = vec![format!("{}, seed {}", scene.class, scene.seed)];
-    let first = played.first_late.iter();
-    told.extend(first.map(|late| format!("first past the bound: {late}")));
-    let latest = played.latest.iter();
-    told.extend(latest.map(|late| format!("oldest: {late}")));
-    let back = played.taken_back.iter();
-    told.extend(back.map(|back| format!("taken back: {back}")));
-    told.push(format!("{scene:?}"));
-    told.join("\n")
+fn describe(scene: &Scene, result: &SceneResult) -> String {
+    let mut lines = vec![format!("{}, seed {}", scene.class, scene.seed)];
+    let first = result.first_late.iter();
+    lines.extend(first.map(|late| format!("first over the bound: {late}")));
+    let max_late = result.max_late.iter();
+    lines.extend(max_late.map(|late| format!("maximum age: {late}")));
+    let regression = result.regression.iter();
+    lines.extend(regression.map(|regression| format!("returned to an older state: {regression}")));
+    lines.push(format!("{scene:?}"));
+    lines.join("\n")
 }
 
 #[test]
-fn all_is_known_soon_where_relays_and_the_store_answer() {
-    hold(&[
-        class("nothing happens", nothing),
+fn changes_arrive_in_time_without_losses() {
+    check_classes(&[
+        class("no events", no_events),
         class("relays slow", relays_slow),
         class("store slow", store_slow),
         class("watches cut", watches_cut),
@@ -215,10 +211,10 @@
 }
 
 #[test]
-fn all_is_known_in_time_where_relays_are_lost() {
-    hold(&[
+fn changes_arrive_in_time_with_lost_relays() {
+    check_classes(&[
         class("all dark at once", all_dark),
-        class("all cut off at once", all_cut_off),
+        class("all isolated at once", all_isolated),
         class("dark one after the other", dark_in_turn),
         class("all killed", all_killed),
         class("relays paused", relays_paused),
@@ -227,181 +223,230 @@
 }
 
 #[test]
-fn all_is_known_in_time_where_the_store_is_shut_to_some_or_was_to_all() {
-    hold(&[
-        class("store silent for all", store_silent),
-        class("store silent for long", store_silent_for_long),
-        class("store silent for relays", store_silent_for_relays),
+fn changes_arrive_in_time_with_an_unreachable_store() {
+    check_classes(&[
+        class("store unresponsive for all", store_unresponsive),
+        class("store unresponsive for long", store_unresponsive_for_long),
+        class(
+            "store unresponsive for relays",
+            store_unresponsive_for_relays,
+        ),
         class("store refuses relays", store_refuses_relays),
     ]);
 }
 
 #[test]
-fn nothing_is_taken_back_where_relays_are_behind_or_anything_happens_together() {
-    hold(&[
-        class("one relay back and behind", one_relay_behind),
-        class("relays back and behind", come_back_behind),
-        class("listed behind", listed_behind),
+fn state_never_returns_to_an_older_one() {
+    check_classes(&[
+        class("one relay returns behind", one_relay_returns_behind),
+        class("relays return behind", relays_return_behind),
+        class("listing from the lagging copy", listed_from_lagging_copy),
         class("mixtures", mixtures),
     ]);
 }
 
 #[test]
-fn all_is_known_in_time_by_followers_that_were_paused_or_hardly_run() {
-    hold(&[
+fn changes_arrive_in_time_at_paused_or_slow_followers() {
+    check_classes(&[
         class("followers paused", followers_paused),
-        class("followers paused, and loss", followers_paused_and_loss).repeated(),
+        class(
+            "followers paused, with losses",
+            followers_paused_with_losses,
+        )
+        .with_fewer_seeds(),
         class("followers slow", followers_slow),
-        class("followers slow, and loss", followers_slow_and_loss).repeated(),
+        class("followers slow, with losses", followers_slow_with_losses).with_fewer_seeds(),
     ]);
 }
 
 #[test]
-fn all_is_known_in_time_where_connections_hang_or_are_reset() {
+fn changes_arrive_in_time_with_hanging_or_reset_connections() {
     let classes = [
         class("connections: all dark at once", all_dark),
         class("connections: dark one after the other", dark_in_turn),
         class("connections: all killed", all_killed),
         class("connections: relays paused", relays_paused),
-        class("connections: followers paused", followers_paused_and_loss),
+        class(
+            "connections: followers paused",
+            followers_paused_with_losses,
+        ),
     ];
-    hold(&classes.map(|class| class.with_connections().repeated()));
-    hold(&[
-        class("connections: dark for a moment", dark_for_a_moment).with_connections(),
+    check_classes(&classes.map(|class| class.with_connections().with_fewer_seeds()));
+    check_classes(&[
+        class("connections: dark briefly", dark_briefly).with_connections(),
         class("connections: dark again", dark_again).with_connections(),
     ]);
 }
 
 #[test]
-fn all_is_known_in_time_where_connections_fall_silent() {
-    hold(&[
-        class("silent: idle ones too", all_connections_silent),
-        class("silent: idle ones too, links kept", all_connections_silent).with_connections(),
+fn changes_arrive_in_time_with_unresponsive_connections() {
+    check_classes(&[
+        class(
+            "unresponsive: all connections",
+            all_connections_unresponsive,
+        ),
+        class(
+            "unresponsive: all connections, links kept",
+            all_connections_unresponsive,
+        )
+        .with_connections(),
     ]);
 }
 
 #[test]
-fn all_is_known_in_time_where_only_what_waits_falls_silent() {
-    hold(&[
-        class("silent: what waits", waiting_silent),
-        class("silent: what waits, links kept", waiting_silent).with_connections(),
-        class("silent: what waits, and ended", waiting_silent_and_ended),
+fn changes_arrive_in_time_with_unresponsive_calls_in_flight() {
+    check_classes(&[
+        class("unresponsive: in flight", in_flight_unresponsive),
+        class(
+            "unresponsive: in flight, links kept",
+            in_flight_unresponsive,
+        )
+        .with_connections(),
+        class(
+            "unresponsive: in flight, closed",
+            in_flight_unresponsive_and_closed,
+        ),
     ]);
 }
 
 #[test]
-fn what_is_removed_is_dropped_in_time_where_those_that_tell_are_lost() {
+fn removals_arrive_in_time_with_losses() {
     let classes = [
-        class("removals: nothing happens", nothing),
+        class("removals: no events", no_events),
         class("removals: all dark at once", all_dark),
         class("removals: watches cut", watches_cut),
     ];
-    hold(&classes.map(|class| class.with_removals().repeated()));
+    check_classes(&classes.map(|class| class.with_removals().with_fewer_seeds()));
 }
 
 #[test]
-fn what_is_removed_does_not_come_back() {
+fn removed_objects_do_not_return() {
     let classes = [
-        class("removals: relays back and behind", come_back_behind),
-        class("removals: listed behind", listed_behind),
+        class("removals: relays return behind", relays_return_behind),
+        class(
+            "removals: listing from the lagging copy",
+            listed_from_lagging_copy,
+        ),
         class("removals: mixtures", mixtures),
         class("removals: mixtures of all", mixtures_of_all).with_connections(),
     ];
-    hold(&classes.map(|class| class.with_removals().repeated()));
+    check_classes(&classes.map(|class| class.with_removals().with_fewer_seeds()));
 }
 
 #[test]
-fn what_is_removed_is_dropped_where_relays_never_knew_it() {
+fn removals_unknown_to_relays_arrive() {
     let classes = [
-        class("removals: unheard by relays", removed_unheard),
-        class("removals: store silent for all", store_silent),
+        class("removals: relays isolated", removed_while_relays_isolated),
+        class("removals: store unresponsive for all", store_unresponsive),
     ];
-    hold(&classes.map(Class::with_removals));
+    check_classes(&classes.map(EventClass::with_removals));
 }
 
 #[test]
-fn what_is_removed_does_not_come_back_by_a_listing_older_than_what_relays_knew() {
-    let older = class("removals: relays list older", relays_list_older);
-    hold(&[older.with_removals().with_lag(FAR_BEHIND)]);
+fn removed_objects_do_not_return_by_a_stale_listing() {
+    let lagging_listing = class(
+        "removals: relays list the lagging copy",
+        relays_list_lagging_copy,
+    );
+    check_classes(&[lagging_listing.with_removals().with_lag(FAR_BEHIND)]);
 }
 
-/// Plays a crowd by the first sheet, and returns what its followers asked of the store between marks.
-fn asked(class: &'static str, events: Events, marks: &[u64]) -> Vec<Made> {
+/// Runs a crowd with the first limits and returns its followers' calls to the store between marks (milliseconds).
+fn calls_between(class: &'static str, events: Events, marks: &[u64]) -> Vec<CallCounts> {
     let scene = crowd::scene(class, events, marks);
-    let played = play(&scene, SHEETS[0]);
-    let spans = played.made.windows(2);
-    let asked: Vec<Made> = spans.map(|made| made[1] - made[0]).collect();
-    for (marks, asked) in marks.windows(2).zip(&asked) {
-        println!("{class}: {} to {} ms: {asked}", marks[0], marks[1]);
+    let result = run_scene(&scene, LIMITS[0]);
+    let spans = result.calls.windows(2);
+    let calls: Vec<CallCounts> = spans.map(|counts| counts[1] - counts[0]).collect();
+    for (marks, calls) in marks.windows(2).zip(&calls) {
+        println!("{class}: {} to {} ms: {calls}", marks[0], marks[1]);
     }
-    println!("{class}: oldest: {:?}", played.oldest);
-    let broken = played.first_late.is_some() || played.taken_back.is_some();
-    assert!(!broken, "{}", told(&scene, &played));
-    asked
+    println!("{class}: maximum ages: {:?}", result.max_ages);
+    let failed = result.first_late.is_some() || result.regression.is_some();
+    assert!(!failed, "{}", describe(&scene, &result));
+    calls
 }
 
-/// Returns marks at each of so many seconds from when the crowd is calm.
-fn seconds(count: u64) -> Vec<u64> {
-    let marks = (0..=count).map(|second| CALM + second * 1_000);
+/// Returns `count` + 1 marks, one per second from [`CALM_AT_MS`] on.
+fn every_second(count: u64) -> Vec<u64> {
+    let marks = (0..=count).map(|second| CALM_AT_MS + second * 1_000);
     marks.collect()
 }
 
 #[test]
-fn a_crowd_asks_nothing_of_the_store_in_a_calm_minute() {
-    let asked = asked("crowd: calm", Events::new(), &[0, CALM, CALM + 60_000]);
-    // Before, the nodes are listed once, on so many pages of the stand-in's.
+fn crowd_makes_no_store_calls_without_failures() {
+    let calls = calls_between(
+        "crowd: calm",
+        Events::new(),
+        &[0, CALM_AT_MS, CALM_AT_MS + 60_000],
+    );
+    // During the start, each follower lists the nodes once, on this many pages.
     let pages = (2 * crowd::ZONES as u64).div_ceil(PAGE_OBJECTS);
-    let listed = Made {
-        nodes: crowd::FOLLOWERS * pages,
-        ..Made::default()
+    let startup = CallCounts {
+        node_pages: crowd::FOLLOWERS * pages,
+        ..CallCounts::default()
     };
-    assert_eq!(asked, [listed, Made::default()]);
+    assert_eq!(calls, [startup, CallCounts::default()]);
 }
 
-/// A zone's other relay is asked before what is known grows old: few nodes ask the store, and once. More
-/// would mean that the loss of a relay reaches the store.
+/// The zone's other relay is queried before the view is too old, so few nodes query the store, once each. More
+/// queries would mean that the loss of a relay loads the store.
 #[test]
-fn a_crowd_asks_little_of_the_store_while_a_relay_of_each_zone_is_dark() {
+fn crowd_rarely_queries_the_store_while_one_relay_per_zone_is_dark() {
     let one_each = 0..crowd::ZONES;
-    let events = one_each.map(|relay| (CALM, Event::Ends(relay, Health::Dark)));
-    let asked = asked(
+    let events = one_each.map(|relay| (CALM_AT_MS, Event::Ends(relay, Health::Dark)));
+    let calls = calls_between(
         "crowd: one of each zone dark",
         events.collect(),
-        &seconds(6),
+        &every_second(6),
     );
-    let full: u64 = asked.iter().map(|made| made.full).sum();
-    assert!(full <= crowd::FOLLOWERS, "{full} calls");
+    let queries: u64 = calls.iter().map(|counts| counts.queries).sum();
+    assert!(queries <= crowd::FOLLOWERS, "{queries} queries");
 }
 
-/// The store is asked instead of relays, of each kind once in 0.6 of the bound. More than two calls of each
-/// node and kind in a second would mean that waits are so short, or so much in step, that the loss of all
-/// relays becomes one of the store.
+/// Each node queries the store for each kind once per 0.6 of the bound. More than two queries per node, kind and
+/// second would mean that intervals are too short or synchronized, so that the loss of all relays overloads the
+/// store.
 #[test]
-fn a_crowd_asks_the_store_in_turn_while_all_relays_are_dark() {
+fn crowd_spreads_its_store_queries_while_all_relays_are_dark() {
     let relays = 0..2 * crowd::ZONES;
     let dark = relays
         .clone()
-        .map(|relay| (CALM, Event::Ends(relay, Health::Dark)));
-    let back = relays.map(|relay| (CALM + 3_000, Event::Starts(relay)));
+        .map(|relay| (CALM_AT_MS, Event::Ends(relay, Health::Dark)));
+    let back = relays.map(|relay| (CALM_AT_MS + 3_000, Event::Starts(relay)));
     let events = dark.chain(back).collect();
-    let asked = asked("crowd: all relays dark", events, &seconds(6));
-    let most = asked.iter().map(|made| made.full).max().unwrap_or(0);
-    assert!(most <= 4 * crowd::FOLLOWERS, "{most} calls in a second");
+    let calls = calls_between("crowd: all relays dark", events, &every_second(6));
+    let max_per_second = calls.iter().map(|counts| counts.queries).max().unwrap_or(0);
+    assert!(
+        max_per_second <= 4 * crowd::FOLLOWERS,
+        "{max_per_second} queries in 1 s"
+    );
 }
 
-/// Relays say that the store is out of reach, so nodes look before they ask, less and less often. A full
-/// call of each node while the store is silent would mean that they do not look first; more than two looks
-/// of each node and kind in a second, or calls when the store is back, that they pile up on it.
+/// Relays report that the store is unreachable, so nodes probe it with backoff before they query it. One query per
+/// node while the store is unresponsive would mean that they don't probe first; more than two probes or queries
+/// per node, kind and second would mean that they overload the store when it returns.
 #[test]
-fn a_crowd_asks_little_of_a_store_that_is_silent() {
+fn crowd_rarely_calls_an_unresponsive_store() {
     let events = vec![
-        (CALM, Event::Ways(Who::All, Way::Silent)),
-        (CALM + 10_000, Event::Ways(Who::All, Way::Open)),
+        (CALM_AT_MS, Event::Ways(Target::All, StoreAccess::Silent)),
+        (
+            CALM_AT_MS + 10_000,
+            Event::Ways(Target::All, StoreAccess::Open),
+        ),
     ];
-    let asked = asked("crowd: store silent", events, &seconds(13));
-    let full: u64 = asked.iter().take(10).map(|made| made.full).sum();
-    assert!(full <= crowd::FOLLOWERS, "{full} calls of a silent store");
-    let most = asked.iter().map(|made| made.full.max(made.looks)).max();
-    let most = most.unwrap_or(0);
-    assert!(most <= 4 * crowd::FOLLOWERS, "{most} in a second");
+    let calls = calls_between("crowd: store unresponsive", events, &every_second(13));
+    let queries: u64 = calls.iter().take(10).map(|counts| counts.queries).sum();
+    assert!(
+        queries <= crowd::FOLLOWERS,
+        "{queries} queries to an unresponsive store"
+    );
+    let max_per_second = calls
+        .iter()
+        .map(|counts| counts.queries.max(counts.probes))
+        .max();
+    let max_per_second = max_per_second.unwrap_or(0);
+    assert!(
+        max_per_second <= 4 * crowd::FOLLOWERS,
+        "{max_per_second} calls in 1 s"
+    );
 }
--- a/crates/firshore-node/tests/stale_world/crowd.rs
+++ b/crates/firshore-node/tests/stale_world/crowd.rs
@@ -1,4 +1,4 @@
-//! Many followers, to count what they ask of the store themselves.
+//! A scene with many followers, to count their own calls to the store.
 
 use super::scene::{Event, Scene};
 use std::fmt::{Display, Formatter};
@@ -7,55 +7,66 @@
 
 pub const FOLLOWERS: u64 = 250;
 
-/// Zones, with two relays each.
+/// Number of zones, with two relays each.
 pub const ZONES: usize = 5;
 
-/// Calls that were made.
+/// Numbers of calls to the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Made {
-    /// Pages of the listing of nodes.
-    pub nodes: u64,
-    /// Questions for a kind that is followed.
-    pub full: u64,
-    /// Looks whether the store can be reached.
-    pub looks: u64,
+pub struct CallCounts {
+    /// Pages of listings of nodes.
+    pub node_pages: u64,
+    /// Queries for a followed kind.
+    pub queries: u64,
+    /// Probes of whether the store is reachable.
+    pub probes: u64,
 }
 
-impl Display for Made {
-    fn fmt(&self, text: &mut Formatter<'_>) -> std::fmt::Result {
-        let Self { nodes, full, looks } = self;
-        write!(text, "{nodes} pages of nodes, {full} full, {looks} looks")
+impl Display for CallCounts {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        let Self {
+            node_pages,
+            queries,
+            probes,
+        } = self;
+        write!(
+            formatter,
+            "{node_pages} pages of nodes, {queries} queries, {probes} probes"
+        )
     }
 }
 
-impl Add for Made {
+impl Add for CallCounts {
     type Output = Self;
 
     fn add(self, other: Self) -> Self {
         Self {
-            nodes: self.nodes + other.nodes,
-            full: self.full + other.full,
-            looks: self.looks + other.looks,
+            node_pages: self.node_pages + other.node_pages,
+            queries: self.queries + other.queries,
+            probes: self.probes + other.probes,
         }
     }
 }
 
-impl Sub for Made {
+impl Sub for CallCounts {
     type Output = Self;
 
     fn sub(self, before: Self) -> Self {
         Self {
-            nodes: self.nodes - before.nodes,
-            full: self.full - before.full,
-            looks: self.looks - before.looks,
+            node_pages: self.node_pages - before.node_pages,
+            queries: self.queries - before.queries,
+            probes: self.probes - before.probes,
         }
     }
 }
 
-/// A scene with a crowd in which something happens, and whose followers' calls are counted at moments.
-pub fn scene(class: &'static str, events: Vec<(u64, Event)>, marks: &[u64]) -> Scene {
+/// Returns a scene with [`FOLLOWERS`] followers whose calls are counted at `count_at` (milliseconds).
+pub fn scene(class: &'static str, events: Vec<(u64, Event)>, count_at: &[u64]) -> Scene {
     let at = |(at, event)| (Duration::from_millis(at), event);
-    let marks: Vec<Duration> = marks.iter().copied().map(Duration::from_millis).collect();
+    let count_at: Vec<Duration> = count_at
+        .iter()
+        .copied()
+        .map(Duration::from_millis)
+        .collect();
     Scene {
         class,
         seed: 1,
@@ -65,9 +76,9 @@
         connections: false,
         lag: Duration::ZERO,
         removals: false,
-        changes_unheard: true,
+        changes_while_unreachable: true,
         events: events.into_iter().map(at).collect(),
-        length: marks.last().copied().unwrap_or_default() + Duration::from_millis(20),
-        marks,
+        length: count_at.last().copied().unwrap_or_default() + Duration::from_millis(20),
+        count_at,
     }
 }
--- a/crates/firshore-node/tests/stale_world/followers.rs
+++ b/crates/firshore-node/tests/stale_world/followers.rs
@@ -1,8 +1,8 @@
-//! Followers: nodes that learn of both kinds through relays.
+//! Followers: nodes that follow both kinds through relays.
 
-use super::machines::{Task, terms};
+use super::machines::{Task, watch_options};
 use super::process::Process;
-use super::ways::OwnStore;
+use super::store_access::LocalStore;
 use super::{KINDS, log};
 use firshore_adapter::objects::{Change, Object};
 use firshore_node::journal::PeerClient;
@@ -19,78 +19,81 @@
 use tokio::time::Instant;
 
 /// Names of objects that were removed.
-pub type Removed = Rc<RefCell<HashSet<String>>>;
+pub type RemovedNames = Rc<RefCell<HashSet<String>>>;
 
-/// What a follower knows: the number in each object, by kind and name.
-struct Knowledge {
+/// A follower's view: the number in each object, by kind and name.
+struct ObjectView {
     numbers: BTreeMap<&'static str, BTreeMap<String, u64>>,
-    removed: Removed,
-    /// Names of objects that were dropped, as they were removed: none of them may come back.
+    removed: RemovedNames,
+    /// Names of removed objects that the follower has dropped; none of them may return.
     dropped: HashSet<String>,
-    /// What was taken back, if anything was.
-    taken_back: Option<String>,
+    /// The first return to an older state.
+    regression: Option<String>,
 }
 
-impl Knowledge {
-    fn new(removed: &Removed) -> Self {
+impl ObjectView {
+    fn new(removed: &RemovedNames) -> Self {
         Self {
             numbers: BTreeMap::new(),
             removed: removed.clone(),
             dropped: HashSet::new(),
-            taken_back: None,
+            regression: None,
         }
     }
 
     fn number(&self, kind: &str, name: &str) -> Option<u64> {
-        let known = self.numbers.get(kind)?;
-        known.get(name).copied()
+        let numbers = self.numbers.get(kind)?;
+        numbers.get(name).copied()
     }
 
-    fn take(&mut self, kind: &'static str, object: Object) {
+    fn insert(&mut self, kind: &'static str, object: Object) {
         let number = object.spec["number"].as_u64().expect("a number");
         if self.dropped.contains(&object.name) {
-            let back = format!("dropped {} of {kind}, and had it again", object.name);
-            self.taken_back.get_or_insert(back);
+            let regression = format!("dropped {} of {kind} and received it again", object.name);
+            self.regression.get_or_insert(regression);
         }
-        let known = self.numbers.entry(kind).or_default();
-        let before = known.get(&object.name).copied().unwrap_or(0);
+        let numbers = self.numbers.entry(kind).or_default();
+        let before = numbers.get(&object.name).copied().unwrap_or(0);
         if number < before {
             let name = &object.name;
-            let back = format!("knew {name} of {kind} at {before} and went back to {number}");
-            self.taken_back.get_or_insert(back);
+            let regression = format!("had {name} of {kind} at {before} and returned to {number}");
+            self.regression.get_or_insert(regression);
         }
-        known.insert(object.name, number);
+        numbers.insert(object.name, number);
     }
 
-    fn lose(&mut self, kind: &'static str, name: &str) {
+    fn remove(&mut self, kind: &'static str, name: &str) {
         match self.removed.borrow().contains(name) {
             true => {
                 self.dropped.insert(name.to_owned());
             }
             false => {
-                let back = format!("lost {name} of {kind}, which nobody removed");
-                self.taken_back.get_or_insert(back);
+                let regression = format!("lost {name} of {kind}, which was not removed");
+                self.regression.get_or_insert(regression);
             }
         }
-        if let Some(known) = self.numbers.get_mut(kind) {
-            known.remove(name);
+        if let Some(numbers) = self.numbers.get_mut(kind) {
+            numbers.remove(name);
         }
     }
 
-    fn learn(&mut self, kind: &'static str, learned: ObjectUpdate) {
-        match learned {
+    fn apply(&mut self, kind: &'static str, update: ObjectUpdate) {
+        match update {
             ObjectUpdate::All(objects) => {
-                let known = self.numbers.get(kind).into_iter().flat_map(BTreeMap::keys);
-                let gone = known.filter(|name| objects.iter().all(|one| one.name != **name));
-                let gone: Vec<String> = gone.cloned().collect();
-                gone.iter().for_each(|name| self.lose(kind, name));
-                objects.into_iter().for_each(|one| self.take(kind, one));
+                let names = self.numbers.get(kind).into_iter().flat_map(BTreeMap::keys);
+                let removed_names =
+                    names.filter(|name| objects.iter().all(|one| one.name != **name));
+                let removed_names: Vec<String> = removed_names.cloned().collect();
+                removed_names
+                    .iter()
+                    .for_each(|name| self.remove(kind, name));
+                objects.into_iter().for_each(|one| self.insert(kind, one));
             }
             ObjectUpdate::Changed(changes) => {
                 for change in changes {
                     match change {
-                        Change::Written(object) => self.take(kind, object),
-                        Change::Removed(name) => self.lose(kind, &name),
+                        Change::Written(object) => self.insert(kind, object),
+                        Change::Removed(name) => self.remove(kind, &name),
                     }
                 }
             }
@@ -101,28 +104,28 @@
 /// A node that follows both kinds through relays.
 pub struct Follower {
     pub name: String,
-    pub own: Rc<OwnStore>,
+    pub local_store: Rc<LocalStore>,
     pub process: Rc<Process>,
     started_at: Instant,
-    knowledge: Rc<RefCell<Knowledge>>,
-    _following: [Task; 2],
+    view: Rc<RefCell<ObjectView>>,
+    _tasks: [Task; 2],
 }
 
 impl Follower {
-    /// Starts one in a zone, with its way to the store and to relays.
+    /// Starts a follower in a zone, with its access to the store and its client for relays.
     pub fn start(
         name: String,
         zone: usize,
-        own: Rc<OwnStore>,
+        local_store: Rc<LocalStore>,
         peers: PeerClient,
         budget: FreshnessBudget,
-        removed: &Removed,
+        removed: &RemovedNames,
     ) -> Self {
-        let process = own.process().clone();
-        let registry = Rc::new(Registry::new(own.clone(), log()));
-        let knowledge = Rc::new(RefCell::new(Knowledge::new(removed)));
-        let following = KINDS.map(|kind| {
-            let asker = RelayClient {
+        let process = local_store.process().clone();
+        let registry = Rc::new(Registry::new(local_store.clone(), log()));
+        let view = Rc::new(RefCell::new(ObjectView::new(removed)));
+        let tasks = KINDS.map(|kind| {
+            let client = RelayClient {
                 node: name.as_str().into(),
                 zone: format!("z{zone}").as_str().into(),
                 registry: registry.clone(),
@@ -133,48 +136,49 @@
             };
             let watcher = Watcher {
                 log: log(),
-                store: RelayedStore::new(asker, own.clone(), budget, Rc::default()),
+                store: RelayedStore::new(client, local_store.clone(), budget, Rc::default()),
                 kind: kind.to_owned(),
-                options: terms(Duration::ZERO),
+                options: watch_options(Duration::ZERO),
                 renewal: Rc::default(),
             };
-            let learning = knowledge.clone();
-            let learn = move |learned| learning.borrow_mut().learn(kind, learned);
-            let running = process.clone();
-            let following = async move { running.run(watcher::follow(watcher, learn)).await };
-            Task::spawn(following)
+            let updated_view = view.clone();
+            let apply = move |update| updated_view.borrow_mut().apply(kind, update);
+            let runner = process.clone();
+            let task = async move { runner.run(watcher::follow(watcher, apply)).await };
+            Task::spawn(task)
         });
         Self {
             name,
-            own,
+            local_store,
             process,
             started_at: Instant::now(),
-            knowledge,
-            _following: following,
+            view,
+            _tasks: tasks,
         }
     }
 
-    /// Whether it has run and reached the store for so long.
-    pub fn in_touch_for(&self, span: Duration) -> bool {
-        let runs = self.started_at.elapsed() >= span && self.process.has_run_for(span);
-        runs && self.own.open_for(span)
+    /// Returns whether the follower has run, with access to the store, for at least `span`.
+    pub fn connected_for(&self, span: Duration) -> bool {
+        let is_running = self.started_at.elapsed() >= span && self.process.running_for(span);
+        is_running && self.local_store.open_for(span)
     }
 
-    /// Whether it knows an object at this number or a later one, or has it no more since it was removed.
-    pub fn knows(&self, kind: &str, name: &str, number: u64) -> bool {
-        let knowledge = self.knowledge.borrow();
-        match knowledge.number(kind, name) {
-            Some(known) => known >= number,
-            None => knowledge.removed.borrow().contains(name),
+    /// Returns whether the follower has the object at this number or a later one, or has dropped it after its
+    /// removal.
+    pub fn has_received(&self, kind: &str, name: &str, number: u64) -> bool {
+        let view = self.view.borrow();
+        match view.number(kind, name) {
+            Some(current) => current >= number,
+            None => view.removed.borrow().contains(name),
         }
     }
 
-    /// Whether it has an object, at whatever number.
-    pub fn has(&self, kind: &str, name: &str) -> bool {
-        self.knowledge.borrow().number(kind, name).is_some()
+    /// Returns whether the follower has the object, at any number.
+    pub fn has_object(&self, kind: &str, name: &str) -> bool {
+        self.view.borrow().number(kind, name).is_some()
     }
 
-    pub fn taken_back(&self) -> Option<String> {
-        self.knowledge.borrow().taken_back.clone()
+    pub fn regression(&self) -> Option<String> {
+        self.view.borrow().regression.clone()
     }
 }
--- a/crates/firshore-node/tests/stale_world/links.rs
+++ b/crates/firshore-node/tests/stale_world/links.rs
@@ -1,4 +1,4 @@
-//! Calls between nodes, and the connections on which they go.
+//! Calls between nodes and their connections.
 
 use super::machines::{Health, LATENCY, RelayNode};
 use super::process::Process;
@@ -15,56 +15,56 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Time after which the product's client gives up a connect, and each step of the handshake.
+/// Timeout of the product's client for a connect and for each step of the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time after which the kernel ends a connection to a machine that vanished.
-const KEPT: Duration = Duration::from_secs(3);
+/// Time after which the kernel closes a connection to a lost machine.
+const KERNEL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What lies between the nodes.
+/// The network between the nodes.
 pub struct Network {
-    /// Whether calls need connections. Without them, each call gets through as the machine is reached.
-    connections: bool,
+    /// Whether calls use simulated connections. Otherwise each call depends only on the machine's health.
+    uses_connections: bool,
     relays: RefCell<Vec<Rc<RelayNode>>>,
-    /// Counts how often what waits on open connections was lost.
-    silences: watch::Sender<u64>,
+    /// Number of outages of open connections.
+    outages: watch::Sender<u64>,
 }
 
-/// A connection that is or was open.
+/// A connection that is open or was open.
 struct Connection {
     relay: Rc<RelayNode>,
-    /// How often the machine had gone dark when this was opened.
-    darkened: u64,
-    /// Nothing comes any more of what is sent here.
-    silent: Cell<bool>,
-    ended: watch::Sender<bool>,
+    /// Number of times that the machine had gone dark when the connection opened.
+    dark_count: u64,
+    /// Whether calls on this connection get no response.
+    unresponsive: Cell<bool>,
+    closed: watch::Sender<bool>,
 }
 
-/// What has become of a connect.
-type Opened = watch::Receiver<Option<Result<Rc<Connection>, ()>>>;
+/// The outcome of a connect; `None` while it is in flight.
+type PendingConnection = watch::Receiver<Option<Result<Rc<Connection>, ()>>>;
 
-/// Connections of one machine to relays.
-struct Links {
+/// Connections of one machine to relays, by the relay's number.
+struct PeerConnections {
     network: Rc<Network>,
     process: Rc<Process>,
-    opened: RefCell<HashMap<usize, Opened>>,
+    connections: RefCell<HashMap<usize, PendingConnection>>,
 }
 
-/// A name for a relay's machine; nothing listens there.
-pub fn address(number: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 1 + number as u16))
+/// Returns the address that identifies a relay's machine; nothing listens there.
+pub fn address(relay_number: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 1 + relay_number as u16))
 }
 
-fn number(address: SocketAddr) -> usize {
+fn relay_number(address: SocketAddr) -> usize {
     usize::from(address.port()) - 1
 }
 
 impl Network {
-    pub fn new(connections: bool) -> Rc<Self> {
+    pub fn new(uses_connections: bool) -> Rc<Self> {
         Rc::new(Self {
-            connections,
+            uses_connections,
             relays: RefCell::default(),
-            silences: watch::Sender::new(0),
+            outages: watch::Sender::new(0),
         })
     }
 
@@ -72,71 +72,77 @@
         self.relays.borrow_mut().push(relay);
     }
 
-    /// What waits on open connections is never answered. Where calls need connections, these stay open
-    /// and silent until the kernel ends them; otherwise, calls from now on get through.
-    pub fn fall_silent(&self) {
-        self.silences.send_modify(|count| *count += 1);
+    /// Leaves calls in flight without a response. Simulated connections stay open and unresponsive until the
+    /// kernel closes them; without them, later calls succeed.
+    pub fn begin_outage(&self) {
+        self.outages.send_modify(|count| *count += 1);
     }
 
-    /// How a process asks relays.
+    /// Returns a process's client for relays.
     pub fn client(self: &Rc<Self>, process: &Rc<Process>) -> PeerClient {
         let (peers, calls) = PeerClient::new();
-        let links = Rc::new(Links {
+        let clients = Rc::new(PeerConnections {
             network: self.clone(),
             process: process.clone(),
-            opened: RefCell::default(),
+            connections: RefCell::default(),
         });
-        let answer = move |address: SocketAddr, request: PeerRequest| {
-            let links = links.clone();
-            async move { links.call(number(address), request).await }.boxed_local()
+        let respond = move |address: SocketAddr, request: PeerRequest| {
+            let clients = clients.clone();
+            async move { clients.call(relay_number(address), request).await }.boxed_local()
         };
-        actix_rt::spawn(client::serve_with(calls, answer));
+        actix_rt::spawn(client::serve_with(calls, respond));
         peers
     }
 }
 
-impl Links {
+impl PeerConnections {
     async fn call(
         self: Rc<Self>,
-        number: usize,
+        relay_number: usize,
         request: PeerRequest,
     ) -> Result<PeerResponse, PeerError> {
-        let relay = self.network.relays.borrow()[number].clone();
-        let answer = match self.network.connections {
-            true => match self.connection(number, &relay).await {
+        let relay = self.network.relays.borrow()[relay_number].clone();
+        let response = match self.network.uses_connections {
+            true => match self.connection(relay_number, &relay).await {
                 Ok(connection) => connection.call(request).await,
                 Err(()) => Err(PeerError::NotSent),
             },
-            false => self.call_anew(&relay, request).await,
+            false => self.call_directly(&relay, request).await,
         };
-        self.process.takes_in().await;
-        answer
+        self.process.wait_until_handled().await;
+        response
     }
 
-    async fn call_anew(
+    async fn call_directly(
         &self,
         relay: &RelayNode,
         request: PeerRequest,
     ) -> Result<PeerResponse, PeerError> {
-        let mut silences = self.network.silences.subscribe();
+        let mut outages = self.network.outages.subscribe();
         tokio::select! {
             biased;
-            _ = silences.changed() => pending().await,
-            answer = relay.ask(request) => answer,
+            _ = outages.changed() => pending().await,
+            response = relay.call(request) => response,
         }
     }
 
-    /// Returns the connection that is open, or waits for the connect under way, or begins one.
-    async fn connection(&self, number: usize, relay: &Rc<RelayNode>) -> Result<Rc<Connection>, ()> {
-        let known = self.opened.borrow().get(&number).cloned();
-        let known = known.filter(|opened| match &*opened.borrow() {
+    /// Returns the open connection, or waits for the connect in flight, or starts one.
+    async fn connection(
+        &self,
+        relay_number: usize,
+        relay: &Rc<RelayNode>,
+    ) -> Result<Rc<Connection>, ()> {
+        let current = self.connections.borrow().get(&relay_number).cloned();
+        let current = current.filter(|opened| match &*opened.borrow() {
             None => true,
-            Some(Ok(connection)) => !*connection.ended.borrow(),
+            Some(Ok(connection)) => !*connection.closed.borrow(),
             Some(Err(())) => false,
         });
-        let mut opened = known.unwrap_or_else(|| {
+        let mut opened = current.unwrap_or_else(|| {
             let opened = self.open(relay.clone());
-            self.opened.borrow_mut().insert(number, opened.clone());
+            self.connections
+                .borrow_mut()
+                .insert(relay_number, opened.clone());
             opened
         });
         match opened.wait_for(Option::is_some).await {
@@ -145,32 +151,32 @@
         }
     }
 
-    fn open(&self, relay: Rc<RelayNode>) -> Opened {
-        let (settle, opened) = watch::channel(None);
-        let silences = self.network.silences.subscribe();
+    fn open(&self, relay: Rc<RelayNode>) -> PendingConnection {
+        let (connection_sender, opened) = watch::channel(None);
+        let outages = self.network.outages.subscribe();
         actix_rt::spawn(async move {
             let connected = connect(&relay).await;
             let connection = connected.map(|()| Connection::new(relay));
-            settle.send_replace(Some(connection.clone()));
+            connection_sender.send_replace(Some(connection.clone()));
             if let Ok(connection) = connection {
-                connection.last(silences).await;
+                connection.close_when_lost(outages).await;
             }
         });
         opened
     }
 }
 
-/// Connects, and has the handshake done by the machine's process. What a dark machine was sent is lost:
-/// the connect hangs also if the machine is back meanwhile.
+/// Connects, with the handshake done by the machine's process. Packets to a dark machine are lost, so the connect
+/// hangs even if the machine returns meanwhile.
 async fn connect(relay: &RelayNode) -> Result<(), ()> {
-    let reached = async {
+    let handshake = async {
         sleep(LATENCY).await;
         match relay.health() {
             Health::Dark => return pending().await,
             Health::Reset => return Err(()),
-            Health::Up | Health::Slow | Health::Stopped => relay.goes_on().await,
+            Health::Up | Health::Slow | Health::Stopped => relay.wait_until_running().await,
         }
-        // There and back: the connect, and two steps of the handshake.
+        // The rest of the connect's round trip, and two round trips of the handshake.
         sleep(LATENCY * 5).await;
         match relay.health() {
             Health::Dark => pending().await,
@@ -178,66 +184,69 @@
             Health::Up | Health::Slow | Health::Stopped => Ok(()),
         }
     };
-    timeout(CONNECT_TIMEOUT, reached).await.unwrap_or(Err(()))
+    timeout(CONNECT_TIMEOUT, handshake).await.unwrap_or(Err(()))
 }
 
 impl Connection {
     fn new(relay: Rc<RelayNode>) -> Rc<Self> {
         Rc::new(Self {
-            darkened: relay.darkened(),
+            dark_count: relay.dark_count(),
             relay,
-            silent: Cell::new(false),
-            ended: watch::Sender::new(false),
+            unresponsive: Cell::new(false),
+            closed: watch::Sender::new(false),
         })
     }
 
-    fn end(&self) {
-        self.ended.send_replace(true);
+    fn close(&self) {
+        self.closed.send_replace(true);
     }
 
-    /// Ends the connection once the machine's process is killed, or the kernel takes it for vanished.
-    /// One that was dark for less is noticed with the next call.
-    async fn last(&self, mut silences: watch::Receiver<u64>) {
-        let vanished = async {
-            while self.relay.lost().await == Health::Dark {
-                if timeout(KEPT, self.relay.is_back()).await.is_err() {
+    /// Closes the connection once the machine's process is killed or the kernel considers the machine lost. A
+    /// shorter dark period is detected by the next call.
+    async fn close_when_lost(&self, mut outages: watch::Receiver<u64>) {
+        let lost = async {
+            while self.relay.wait_until_lost().await == Health::Dark {
+                if timeout(KERNEL_TIMEOUT, self.relay.wait_until_back())
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
         };
         tokio::select! {
             biased;
-            _ = silences.changed() => {
-                self.silent.set(true);
-                sleep(KEPT).await;
-                self.end();
+            _ = outages.changed() => {
+                self.unresponsive.set(true);
+                sleep(KERNEL_TIMEOUT).await;
+                self.close();
             }
-            () = vanished => self.end(),
+            () = lost => self.close(),
         }
     }
 
     async fn call(&self, request: PeerRequest) -> Result<PeerResponse, PeerError> {
         let relay = &self.relay;
-        if relay.health() != Health::Dark && relay.darkened() != self.darkened {
+        if relay.health() != Health::Dark && relay.dark_count() != self.dark_count {
             sleep(LATENCY * 2).await;
-            self.end();
+            self.close();
             return Err(PeerError::Unanswered);
         }
-        let answered = async {
-            let answer = match self.silent.get() {
+        let exchange = async {
+            let response = match self.unresponsive.get() {
                 true => pending().await,
-                false => relay.ask(request).await,
+                false => relay.call(request).await,
             };
-            // It may have fallen silent meanwhile, or the machine was dark and has forgotten it.
-            match self.silent.get() || relay.darkened() != self.darkened {
+            // The response is lost if an outage began or the machine went dark meanwhile.
+            match self.unresponsive.get() || relay.dark_count() != self.dark_count {
                 true => pending().await,
-                false => answer,
+                false => response,
             }
         };
-        let mut ended = self.ended.subscribe();
+        let mut closed = self.closed.subscribe();
         tokio::select! {
-            answer = answered => answer,
-            _ = ended.wait_for(|ended| *ended) => Err(PeerError::Unanswered),
+            response = exchange => response,
+            _ = closed.wait_for(|closed| *closed) => Err(PeerError::Unanswered),
         }
     }
 }
--- a/crates/firshore-node/tests/stale_world/machines.rs
+++ b/crates/firshore-node/tests/stale_world/machines.rs
@@ -1,6 +1,6 @@
-//! Relays: the product's own code on machines that are lost, slow or stopped.
+//! Relays: the product's code on machines that may be lost, slow or stopped.
 
-use super::ways::OwnStore;
+use super::store_access::LocalStore;
 use super::{KINDS, log};
 use firshore_link::client::PeerError;
 use firshore_node::journal::PeerClient;
@@ -18,30 +18,30 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Time that a call between nodes takes each way.
+/// One-way latency of calls between nodes.
 pub const LATENCY: Duration = Duration::from_millis(2);
 
-/// Time that a slow machine's answer takes.
-const SLOWNESS: Duration = Duration::from_millis(300);
+/// Delay of a slow machine's responses.
+const SLOW_RESPONSE: Duration = Duration::from_millis(300);
 
-/// Age at which the store may forget changes, as the settings have it by default.
+/// Age at which the store may drop changes, as in the default settings.
 const HISTORY: Duration = Duration::from_secs(20);
 
-/// How a machine is reached by others.
+/// How a machine responds to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Up,
-    /// Each answer takes longer.
+    /// Responses are delayed.
     Slow,
-    /// It stands still: answers come once it goes on.
+    /// The machine is suspended and responds once it is resumed.
     Stopped,
-    /// It says nothing, and what it was asked is never answered.
+    /// Calls never get a response, even after the machine is back.
     Dark,
     /// Calls fail at once.
     Reset,
 }
 
-/// A task that ends with the machine that it runs on.
+/// A task that is aborted when dropped, with its machine.
 pub struct Task(actix_rt::task::JoinHandle<()>);
 
 impl Task {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Pause of a relay after a change, as nodes in an environment have it: for back ends only.
+/// Returns the minimum interval of a relay's watches after a change, as configured on nodes: for back ends only.
 fn relay_spacing(kind: &str, budget: FreshnessBudget) -> Duration {
     match kind {
         BACKENDS => budget.relay_spacing(),
@@ -64,7 +64,7 @@
     }
 }
 
-pub fn terms(spacing: Duration) -> WatchOptions {
+pub fn watch_options(spacing: Duration) -> WatchOptions {
     WatchOptions {
         history: HISTORY,
         spacing,
@@ -73,41 +73,41 @@
     }
 }
 
-/// What runs on a relay's machine.
+/// The process on a relay's machine.
 struct RelayProcess {
     relay: Rc<Relay>,
-    _running: Task,
+    _task: Task,
 }
 
 /// A relay's machine.
 pub struct RelayNode {
-    pub own: Rc<OwnStore>,
+    pub local_store: Rc<LocalStore>,
     peers: PeerClient,
     others: Vec<SocketAddr>,
     budget: FreshnessBudget,
     health: Rc<watch::Sender<Health>>,
-    /// How often the machine has gone dark.
-    darkened: Cell<u64>,
+    /// Number of times that the machine has gone dark.
+    dark_count: Cell<u64>,
     process: RefCell<Option<RelayProcess>>,
 }
 
 impl RelayNode {
     pub fn start(
-        own: Rc<OwnStore>,
+        local_store: Rc<LocalStore>,
         peers: PeerClient,
         others: Vec<SocketAddr>,
         budget: FreshnessBudget,
     ) -> Rc<Self> {
         let node = Rc::new(Self {
-            own,
+            local_store,
             peers,
             others,
             budget,
             health: Rc::new(watch::Sender::new(Health::Up)),
-            darkened: Cell::new(0),
+            dark_count: Cell::new(0),
             process: RefCell::new(None),
         });
-        node.start_again();
+        node.restart();
         node
     }
 
@@ -115,14 +115,14 @@
         *self.health.borrow()
     }
 
-    /// Has a machine whose process runs reached in this way.
-    pub fn reached(&self, health: Health) {
+    /// Sets the health if the machine's process is running.
+    pub fn set_health_if_running(&self, health: Health) {
         if self.process.borrow().is_some() {
             self.set_health(health);
         }
     }
 
-    /// Ends the process; the machine is reached in this way.
+    /// Ends the process and sets the machine's health.
     pub fn end(&self, health: Health) {
         self.process.take();
         self.set_health(health);
@@ -131,32 +131,37 @@
     fn set_health(&self, health: Health) {
         let before = self.health.send_replace(health);
         if health == Health::Dark && before != Health::Dark {
-            self.darkened.set(self.darkened.get() + 1);
+            self.dark_count.set(self.dark_count.get() + 1);
         }
     }
 
-    /// Returns how often the machine has gone dark.
-    pub fn darkened(&self) -> u64 {
-        self.darkened.get()
+    /// Returns the number of times that the machine has gone dark.
+    pub fn dark_count(&self) -> u64 {
+        self.dark_count.get()
     }
 
-    /// Starts the process anew: it knows nothing.
-    pub fn start_again(&self) {
+    /// Starts a new process with an empty cache.
+    pub fn restart(&self) {
         let kinds = KINDS.map(|kind| RelayedKind {
             name: kind.to_owned(),
             terms: WatchOptions {
                 max_wait: self.budget.watch_wait(),
-                ..terms(relay_spacing(kind, self.budget))
+                ..watch_options(relay_spacing(kind, self.budget))
             },
             budget: self.budget,
         });
-        let relay = Relay::new(self.own.clone(), log(), kinds.to_vec(), self.announce());
+        let relay = Relay::new(
+            self.local_store.clone(),
+            log(),
+            kinds.to_vec(),
+            self.announce(),
+        );
         let process = RelayProcess {
-            _running: Task::spawn(relay.clone().run()),
+            _task: Task::spawn(relay.clone().run()),
             relay,
         };
         self.process.replace(Some(process));
-        self.reached(Health::Up);
+        self.set_health_if_running(Health::Up);
     }
 
     fn relay(&self) -> Option<Rc<Relay>> {
@@ -164,7 +169,7 @@
         process.as_ref().map(|process| process.relay.clone())
     }
 
-    /// Tells the other relays of changes while the machine can.
+    /// Returns a callback that notifies the other relays of changes while the machine is up or slow.
     fn announce(&self) -> Announce {
         let (peers, others) = (self.peers.clone(), self.others.clone());
         let health = self.health.clone();
@@ -182,42 +187,42 @@
         })
     }
 
-    pub async fn ask(&self, request: PeerRequest) -> Result<PeerResponse, PeerError> {
+    pub async fn call(&self, request: PeerRequest) -> Result<PeerResponse, PeerError> {
         sleep(LATENCY).await;
-        let answer = tokio::select! {
+        let response = tokio::select! {
             biased;
-            health = self.lost() => match health {
+            health = self.wait_until_lost() => match health {
                 Health::Dark => return pending().await,
                 _ => return Err(PeerError::NotSent),
             },
-            answer = self.answer(request) => answer,
+            response = self.handle(request) => response,
         };
         sleep(LATENCY).await;
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Returns how the machine is lost, once it is.
-    pub async fn lost(&self) -> Health {
+    /// Waits until the machine is lost and returns its health.
+    pub async fn wait_until_lost(&self) -> Health {
         let mut health = self.health.subscribe();
-        let lost = |health: &Health| matches!(health, Health::Dark | Health::Reset);
+        let is_lost = |health: &Health| matches!(health, Health::Dark | Health::Reset);
         health
-            .wait_for(lost)
+            .wait_for(is_lost)
             .await
             .map_or(Health::Dark, |health| *health)
     }
 
-    /// Ends once the machine is not dark.
-    pub async fn is_back(&self) {
+    /// Waits until the machine isn't dark.
+    pub async fn wait_until_back(&self) {
         let mut health = self.health.subscribe();
         let _ = health.wait_for(|health| *health != Health::Dark).await;
     }
 
-    async fn answer(&self, request: PeerRequest) -> PeerResponse {
-        self.goes_on().await;
+    async fn handle(&self, request: PeerRequest) -> PeerResponse {
+        self.wait_until_running().await;
         let Some(relay) = self.relay() else {
             return pending().await;
         };
-        let answer = match request {
+        let response = match request {
             PeerRequest::List { kind, after, known } => {
                 relay.list(&kind, after.as_deref(), known).await
             }
@@ -231,15 +236,15 @@
             }
             other => panic!("{other:?}"),
         };
-        self.goes_on().await;
+        self.wait_until_running().await;
         if self.health() == Health::Slow {
-            sleep(SLOWNESS).await;
+            sleep(SLOW_RESPONSE).await;
         }
-        answer
+        response
     }
 
-    /// Ends once the machine does not stand still.
-    pub async fn goes_on(&self) {
+    /// Waits until the machine isn't stopped.
+    pub async fn wait_until_running(&self) {
         let mut health = self.health.subscribe();
         let _ = health.wait_for(|health| *health != Health::Stopped).await;
     }
--- a/crates/firshore-node/tests/stale_world/scene.rs
+++ b/crates/firshore-node/tests/stale_world/scene.rs
@@ -1,65 +1,68 @@
-//! What is played, and what came of it.
+//! Scenes, their events and their results.
 
-use super::crowd::Made;
+use super::crowd::CallCounts;
 use super::machines::Health;
-use super::ways::Way;
+use super::store_access::StoreAccess;
 use std::fmt::{Display, Formatter};
 use std::time::Duration;
 
-/// Whose way to the store something happens to.
+/// The machines whose access to the store an event changes.
 #[derive(Clone, Copy, Debug)]
-pub enum Who {
+pub enum Target {
     All,
     Relays,
     Relay(usize),
     Follower(usize),
 }
 
-/// How soon changes must be known, and how long a node must have been in touch to be held to that.
+/// The freshness bound, and the time for which a node must have been connected before the bound applies to it.
 #[derive(Clone, Copy, Debug)]
-pub struct Sheet {
+pub struct FreshnessLimits {
     pub bound: Duration,
-    pub in_touch_after: Duration,
+    pub connected_after: Duration,
 }
 
-/// Something that happens to a machine or to the store.
+/// An event at a machine or at the store.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A relay's machine is reached in this way from now on; its process goes on.
+    /// The health of a relay's machine changes; its process keeps running.
     Reached(usize, Health),
-    /// A relay's process ends, and its machine is reached in this way.
+    /// A relay's process ends, and its machine gets this health.
     Ends(usize, Health),
-    /// A relay's process starts, and its machine is reached.
+    /// A relay's process starts, and its machine is up.
     Starts(usize),
-    /// The way to the store changes.
-    Ways(Who, Way),
-    /// Answers of the store take so much longer.
-    Delays(Who, Duration),
-    /// A relay reads a copy of the store that is behind, or no more.
+    /// The access to the store changes.
+    Ways(Target, StoreAccess),
+    /// Responses of the store are delayed by this much.
+    Delays(Target, Duration),
+    /// A relay reads the lagging copy of the store, or the store again.
     Lags(usize, bool),
-    /// All watches that wait hear nothing any more.
+    /// All watches in flight stop receiving changes.
     CutBegins,
-    /// These watches fail, and the store's history is gone.
+    /// These watches fail, and the store drops its history.
     CutEnds,
     /// One more follower starts.
     Joins,
-    /// Back ends change until an entry is removed; only where entries are removed at all.
+    /// Back ends change until an entry is removed; has an effect only in scenes with removals.
     Removes,
-    /// Back ends change until all that were there are removed and others are in their places; only where
-    /// entries are removed at all.
+    /// Back ends change until all former entries are removed and replaced; has an effect only in scenes with
+    /// removals.
     ReplacesAll,
-    /// A follower's process stands still, if there is such a follower.
+    /// A follower's process is suspended, if that follower exists.
     Pauses(usize),
-    /// It goes on.
+    /// A follower's process is resumed.
     GoesOn(usize),
-    /// A follower's process gets a tenth of a core, or a whole one again.
+    /// A follower's process gets a tenth of a core, or a whole core again.
     Slows(usize, bool),
-    /// What waits on open connections is never answered, nor is what goes out on connections to the
-    /// store that are `idle`. The kernel ends those to the store after `kept`, if at all.
-    FallsSilent { idle: bool, kept: Option<Duration> },
+    /// Calls in flight on open connections get no response; if `idle`, nor do calls sent later on idle
+    /// connections to the store. The kernel closes connections to the store after `kernel_timeout`, if set.
+    FallsSilent {
+        idle: bool,
+        kernel_timeout: Option<Duration>,
+    },
 }
 
-/// What is played.
+/// The machines and events of one run.
 #[derive(Clone, Debug)]
 pub struct Scene {
     pub class: &'static str,
@@ -67,36 +70,37 @@
     /// Zones of the relays.
     pub zones: Vec<usize>,
     pub followers: usize,
-    /// In how many zones they are.
+    /// Number of zones of the followers.
     pub follower_zones: usize,
-    /// Whether calls between nodes need connections.
+    /// Whether calls between nodes use simulated connections.
     pub connections: bool,
-    /// Time by which the copy of the store is behind that a relay may read.
+    /// Lag of the copy of the store that relays may read.
     pub lag: Duration,
     /// Whether entries of back ends are removed.
     pub removals: bool,
-    /// Whether the store takes changes while no machine of the cluster hears of it.
-    pub changes_unheard: bool,
-    /// What happens, in order of time.
+    /// Whether the store accepts changes while no machine of the cluster can reach it.
+    pub changes_while_unreachable: bool,
+    /// Events by time since the start, in order.
     pub events: Vec<(Duration, Event)>,
     pub length: Duration,
-    /// When the calls of followers at the store are counted.
-    pub marks: Vec<Duration>,
+    /// Times since the start at which the followers' calls to the store are counted.
+    pub count_at: Vec<Duration>,
 }
 
-/// A follower that did not know a change.
+/// A change that a follower had not received.
 #[derive(Clone, Debug)]
-pub struct Late {
+pub struct LateChange {
+    /// Time since the start of the scene.
     pub after: Duration,
     pub follower: String,
     pub kind: &'static str,
     pub age: Duration,
-    /// How relays were reached, and their ways to the store.
+    /// Health of the relays and their access to the store.
     pub relays: String,
 }
 
-impl Display for Late {
-    fn fmt(&self, text: &mut Formatter<'_>) -> std::fmt::Result {
+impl Display for LateChange {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         let Self {
             after,
             follower,
@@ -105,25 +109,25 @@
             relays,
         } = self;
         write!(
-            text,
+            formatter,
             "{follower} lacked a change of {kind} {age:?} old at {after:?} ({relays})"
         )
     }
 }
 
-/// What came of a scene.
+/// The result of a scene.
 #[derive(Debug, Default)]
-pub struct Played {
-    /// Oldest change that a follower in touch did not know, of each of [`KINDS`].
-    pub oldest: [Duration; 2],
-    /// When the bound was first passed.
-    pub first_late: Option<Late>,
-    /// When a change was unknown for longest.
-    pub latest: Option<Late>,
-    /// What a follower took back.
-    pub taken_back: Option<String>,
-    /// Changes that were acknowledged.
+pub struct SceneResult {
+    /// Maximum age of a change that a connected follower had not received, for each of [`KINDS`].
+    pub max_ages: [Duration; 2],
+    /// The first change that exceeded the bound.
+    pub first_late: Option<LateChange>,
+    /// The change that was missing for longest.
+    pub max_late: Option<LateChange>,
+    /// The first return of a follower to an older state.
+    pub regression: Option<String>,
+    /// Number of acknowledged changes.
     pub changes: usize,
-    /// What all followers together had asked of the store at each mark.
-    pub made: Vec<Made>,
+    /// Calls of all followers to the store up to each count.
+    pub calls: Vec<CallCounts>,
 }
--- a/crates/firshore-node/tests/urgency.rs
+++ b/crates/firshore-node/tests/urgency.rs
@@ -1,4 +1,4 @@
-//! Which item goes first.
+//! Order in which items are started.
 
 use firshore_node::runner::urgency::{DueTable, ItemUrgency};
 use std::time::{Duration, Instant};
@@ -10,12 +10,12 @@
 }
 
 #[test]
-fn what_is_wanted_first_goes_first_and_what_is_late_last() {
+fn earliest_deadline_goes_first_and_late_items_last() {
     let mut table = DueTable::default();
     let start = Instant::now();
     let late = table.due(start, "late", seconds(10), DUE_AFTER);
     let later_still = table.due(start, "later still", seconds(12), DUE_AFTER);
-    let next = table.due(start, "next", seconds(5), DUE_AFTER);
+    let soonest = table.due(start, "next", seconds(5), DUE_AFTER);
     let newest = table.due(start, "newest", seconds(0), DUE_AFTER);
     let undated = table.due(start, "undated", seconds(17), None);
     let now = start + seconds(9);
@@ -24,7 +24,7 @@
         ("newest", newest.urgency(now)),
         ("undated", undated.urgency(now)),
         ("later still", later_still.urgency(now)),
-        ("next", next.urgency(now)),
+        ("next", soonest.urgency(now)),
     ];
     jobs.sort_by_key(|(_, urgency)| *urgency);
     let order = jobs.map(|(job, _)| job);
@@ -32,18 +32,18 @@
 }
 
 #[test]
-fn an_item_is_late_from_the_moment_it_was_wanted() {
+fn item_is_late_after_its_deadline() {
     let mut table = DueTable::default();
     let now = Instant::now();
     let due = table.due(now, "job", seconds(8), DUE_AFTER);
-    let wanted = now + seconds(10);
-    assert_eq!(due.urgency(wanted), ItemUrgency::InTime(wanted));
-    let after = wanted + Duration::from_millis(1);
-    assert_eq!(due.urgency(after), ItemUrgency::Late(wanted));
+    let deadline = now + seconds(10);
+    assert_eq!(due.urgency(deadline), ItemUrgency::InTime(deadline));
+    let after = deadline + Duration::from_millis(1);
+    assert_eq!(due.urgency(after), ItemUrgency::Late(deadline));
 }
 
 #[test]
-fn a_clock_that_jumps_moves_no_job_that_is_known() {
+fn clock_jump_does_not_move_known_jobs() {
     let mut table = DueTable::default();
     let now = Instant::now();
     let due = table.due(now, "job", seconds(1), DUE_AFTER);
@@ -52,12 +52,12 @@
         assert_eq!(table.due(later, "job", age, DUE_AFTER), due, "{age:?} old");
     }
     table.keep(|job| job != "job");
-    let anew = table.due(later, "job", seconds(4), DUE_AFTER);
-    assert_eq!(anew.deadline, due.deadline);
+    let reinserted = table.due(later, "job", seconds(4), DUE_AFTER);
+    assert_eq!(reinserted.deadline, due.deadline);
 }
 
 #[test]
-fn a_clock_that_is_far_off_makes_a_job_late_and_nothing_worse() {
+fn wrong_clock_only_makes_a_job_late() {
     let now = Instant::now();
     for age in [seconds(100_000), seconds(u64::MAX / 4), Duration::MAX] {
         let mut table = DueTable::default();
@@ -67,7 +67,7 @@
             matches!(urgency, ItemUrgency::Late(_)),
             "{age:?}: {urgency:?}"
         );
-        let sound = table.due(now, "other", seconds(1), DUE_AFTER);
-        assert!(sound.urgency(now) < urgency, "{age:?}");
+        let correct = table.due(now, "other", seconds(1), DUE_AFTER);
+        assert!(correct.urgency(now) < urgency, "{age:?}");
     }
 }
