--- a/crates/firshore-journal/src/claim.rs
+++ b/crates/firshore-journal/src/claim.rs
@@ -1,84 +1,84 @@
-//! Claims of non-repeatable requests: committed before the request is sent, so that no second
-//! request with the same key is ever sent.
+//! Claims of non-repeatable requests. A claim is committed before its request is sent, so that at most
+//! one request with the same key is sent.
 
 use firshore_types::ids::TenantName;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What identifies a non-repeatable request.
+/// Identity of a non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// Caller.
+    /// Tenant that sent the request.
     pub tenant: TenantName,
-    /// The caller's `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header.
     pub key: String,
 }
 
-/// Random number drawn anew for each request that claims. A claim whose answer was lost may be
-/// proposed again with the same token and is granted again; no other token ever is.
+/// Random number of one claiming request. A claim whose outcome was lost may be proposed again with the
+/// same token and is granted again; a claim with another token is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimToken(pub u64);
 
-/// How a claimed request ended.
+/// Response to a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimedAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Content type of the body.
     pub content_type: String,
-    /// Body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
-/// Change to the claims.
+/// Command that changes the claims.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimCommand {
     /// Claims the right to send the request once.
     Claim {
-        /// Key.
+        /// Identity of the request.
         key: ClaimKey,
-        /// Who claims.
+        /// Token of the claiming request.
         proposer: ClaimToken,
-        /// SHA-256 of the request; a second request must match it.
+        /// SHA-256 of the request. A later request with the same key must have the same digest.
         digest: String,
-        /// Unix milliseconds on the leader's clock.
+        /// Time of the claim by the leader's clock, in Unix milliseconds.
         at: u64,
     },
-    /// Records the answer.
+    /// Records the response.
     Settle {
-        /// Key.
+        /// Identity of the request.
         key: ClaimKey,
-        /// Who claimed; nobody else's answer is recorded.
+        /// Token of the claim; a response with another token is not recorded.
         proposer: ClaimToken,
-        /// Answer.
+        /// Response to record.
         answer: ClaimedAnswer,
     },
-    /// Gives the claim up: the request certainly was not run.
+    /// Releases the claim of a request that was certainly not run.
     Release {
-        /// Key.
+        /// Identity of the request.
         key: ClaimKey,
-        /// Who claimed; a release that arrives late does not free another's claim.
+        /// Token of the claim; a late release does not remove a claim with another token.
         proposer: ClaimToken,
     },
-    /// Forgets claims made before this time.
+    /// Removes claims made before a time.
     Forget {
-        /// Unix milliseconds on the leader's clock.
+        /// Time by the leader's clock, in Unix milliseconds.
         before: u64,
     },
 }
 
-/// Outcome of a claim.
+/// Outcome of a claim command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// The claim is the proposer's: it may send the request, once.
+    /// The claim is granted: the proposer may send the request once.
     Granted,
-    /// Another request holds the claim, and its answer is not known.
+    /// Another request holds the claim, and no response is recorded yet.
     Held,
-    /// The request was answered before, like this.
+    /// The request already has this response.
     Settled(ClaimedAnswer),
-    /// The key was used for another request.
+    /// The key was used for a request with another digest.
     Conflict,
-    /// Settled or released as asked.
+    /// The command that records, releases or removes claims was applied.
     Done,
 }
 
@@ -90,14 +90,14 @@
     answer: Option<ClaimedAnswer>,
 }
 
-/// All claims.
+/// All claims of a group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ClaimTable {
     claims: BTreeMap<ClaimKey, Claim>,
 }
 
 impl ClaimTable {
-    /// Applies a committed command.
+    /// Applies a committed command and returns its outcome.
     pub fn apply(&mut self, command: ClaimCommand) -> ClaimOutcome {
         match command {
             ClaimCommand::Claim {
--- a/crates/firshore-journal/src/lib.rs
+++ b/crates/firshore-journal/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a journal group keeps: batch jobs, claims of non-repeatable requests, and the floor of the
-//! configuration. A deterministic state machine, changed only by committed commands.
+//! State machine of a journal group: batch jobs, claims of non-repeatable requests, and the
+//! configuration floor. It is deterministic and changed only by committed commands.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod claim;
--- a/crates/firshore-journal/src/state.rs
+++ b/crates/firshore-journal/src/state.rs
@@ -8,36 +8,36 @@
 use firshore_types::ids::Revision;
 use serde::{Deserialize, Serialize};
 
-/// A command, as committed in the log.
+/// Command committed in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Concerns batch jobs.
+    /// Changes batch jobs.
     Batch(batch::Command),
-    /// Concerns claims.
+    /// Changes claims.
     Claim(ClaimCommand),
-    /// Raises the floor: no node serves a configuration below it from now on.
+    /// Raises the configuration floor: nodes no longer serve a lower revision.
     RaiseFloor(Revision),
 }
 
 /// Outcome of a committed command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Of a batch command.
+    /// Outcome of a batch command.
     Batch(batch::Outcome),
-    /// Of a claim.
+    /// Outcome of a claim command.
     Claim(ClaimOutcome),
-    /// The floor after the command.
+    /// Configuration floor after the command.
     Floor(Revision),
 }
 
-/// Everything a journal group keeps.
+/// State of a journal group.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct JournalState {
     /// Batch jobs.
     pub jobs: JobTable,
-    /// Claims.
+    /// Claims of non-repeatable requests.
     pub claims: ClaimTable,
-    /// Floor of the configuration.
+    /// Lowest configuration revision that nodes may serve.
     pub floor: Revision,
 }
 
--- a/crates/firshore-lab/tests/journal.rs
+++ b/crates/firshore-lab/tests/journal.rs
@@ -353,7 +353,7 @@
     let node = cluster.nodes[leader].take().expect("the node runs");
     let shared = node.shared.clone();
     let group = &shared.journal.as_ref().expect("it has a disk").groups()[0];
-    group.step_aside().await;
+    group.step_down().await;
     assert!(!group.status().leads);
     cluster
         .until("another leads", |cluster| cluster.leader().is_some())
--- a/crates/firshore-link/src/client.rs
+++ b/crates/firshore-link/src/client.rs
@@ -1,7 +1,7 @@
-//! Asks peers, over one connection each.
+//! Client of peers: sends requests and notices over one connection per peer.
 
 use crate::error::ProtocolError;
-use crate::frame::{self, MAXIMUM_FRAME_BYTES};
+use crate::frame::{self, MAX_FRAME_BYTES};
 use crate::handshake::{self, ClusterSecret};
 use crate::{NOTICE, RequestFrame, ResponseFrame};
 use firshore_exchange::keep_alive;
@@ -19,53 +19,56 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
+/// Limit for opening a connection, and again for its handshake.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit for a call from its entry into the client's queue until its response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-pub(crate) const QUEUE_LENGTH: usize = 1024;
+/// Maximum number of messages in each queue.
+pub(crate) const QUEUE_CAPACITY: usize = 1024;
 
-/// Free places that a notice leaves in a queue, so that gossip is dropped before work.
-const RESERVED_FOR_CALLS: usize = QUEUE_LENGTH / 2;
+/// Free queue slots below which notices are dropped, so that they cannot displace calls.
+const RESERVED_FOR_CALLS: usize = QUEUE_CAPACITY / 2;
 
-/// Time without a call after which a connection is closed.
+/// Time without a call or notice after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 quick_error! {
-    /// Why a peer gave no answer.
+    /// Failure to get a response from a peer.
     #[derive(Debug)]
     pub enum PeerError {
         /// The request was not sent.
         NotSent {
-            display("The peer could not be reached. It may be down; try another.")
+            display("The peer could not be reached. It may be down; try another peer.")
         }
         /// The request was sent; whether it took effect is unknown.
         Unanswered {
-            display("The peer did not answer. Ask again before acting.")
+            display("The peer did not respond; the request may have taken effect. Check before you retry.")
         }
     }
 }
 
-/// A message of the product's own. Anything that serde handles is one.
+/// Content of a request or response: any type that serde can encode and decode.
 pub trait Message: Serialize + DeserializeOwned + Send + 'static {}
 
 impl<T: Serialize + DeserializeOwned + Send + 'static> Message for T {}
 
-type Settled<A> = oneshot::Sender<Result<A, PeerError>>;
+type ResponseSender<A> = oneshot::Sender<Result<A, PeerError>>;
 
 struct Call<Q, A> {
     address: SocketAddr,
     request: Q,
-    answer: Option<Settled<A>>,
+    response: Option<ResponseSender<A>>,
 }
 
 impl<Q, A> Call<Q, A> {
-    fn settle(self, result: Result<A, PeerError>) {
-        if let Some(answer) = self.answer {
-            let _ = answer.send(result);
+    fn complete(self, result: Result<A, PeerError>) {
+        if let Some(sender) = self.response {
+            let _ = sender.send(result);
         }
     }
 }
 
-/// Handle through which any thread asks peers.
+/// Handle through which any thread sends requests and notices to peers.
 pub struct PeerClient<Q, A> {
     calls: mpsc::Sender<Call<Q, A>>,
 }
@@ -78,19 +81,19 @@
     }
 }
 
-/// The receiving end of a [`PeerClient`], to be run by the node.
+/// Receiving end of a [`PeerClient`], served by [`run`] or [`serve_with`].
 pub struct PeerCalls<Q, A> {
     receiver: mpsc::Receiver<Call<Q, A>>,
 }
 
 impl<Q: Message, A: Message> PeerClient<Q, A> {
-    /// A client and the end that serves it.
+    /// Returns a client and its receiving end.
     pub fn new() -> (Self, PeerCalls<Q, A>) {
-        let (calls, receiver) = mpsc::channel(QUEUE_LENGTH);
+        let (calls, receiver) = mpsc::channel(QUEUE_CAPACITY);
         (Self { calls }, PeerCalls { receiver })
     }
 
-    /// Sends a request that has no answer; it is dropped where calls would have to wait.
+    /// Sends a notice, which has no response. It is dropped if fewer than half of the queue slots are free.
     pub fn notify(&self, address: SocketAddr, request: Q) {
         if self.calls.capacity() < RESERVED_FOR_CALLS {
             return;
@@ -98,17 +101,22 @@
         let _ = self.calls.try_send(Call {
             address,
             request,
-            answer: None,
+            response: None,
         });
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for its response, up to 10 seconds once the request is queued.
+    ///
+    /// # Errors
+    ///
+    /// [`PeerError::NotSent`] if the request did not leave this node, [`PeerError::Unanswered`] if no
+    /// response arrived, in which case it is unknown whether the request took effect.
     pub async fn call(&self, address: SocketAddr, request: Q) -> Result<A, PeerError> {
-        let (answer, received) = oneshot::channel();
+        let (response, received) = oneshot::channel();
         let call = Call {
             address,
             request,
-            answer: Some(answer),
+            response: Some(response),
         };
         self.calls
             .send(call)
@@ -121,45 +129,45 @@
     }
 }
 
-type Waiting<A> = Rc<RefCell<HashMap<u64, Settled<A>>>>;
+type PendingCalls<A> = Rc<RefCell<HashMap<u64, ResponseSender<A>>>>;
 
-/// Serves a client's calls, over one connection a peer, until every handle is gone.
+/// Serves a client's calls over one connection per peer, until every handle is dropped.
 pub async fn run<Q: Message, A: Message>(mut calls: PeerCalls<Q, A>, secret: ClusterSecret) {
     let mut connections: HashMap<SocketAddr, mpsc::Sender<Call<Q, A>>> = HashMap::new();
     while let Some(call) = calls.receiver.recv().await {
         let address = call.address;
-        let open = connections
+        let existing = connections
             .get(&address)
             .filter(|sender| !sender.is_closed())
             .cloned();
-        let sender = open.unwrap_or_else(|| {
-            let (sender, receiver) = mpsc::channel(QUEUE_LENGTH);
+        let sender = existing.unwrap_or_else(|| {
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
             actix_rt::spawn(run_connection(address, receiver, secret.clone()));
             connections.insert(address, sender.clone());
             sender
         });
-        if call.answer.is_none() && sender.capacity() < RESERVED_FOR_CALLS {
+        if call.response.is_none() && sender.capacity() < RESERVED_FOR_CALLS {
             continue;
         }
-        if let Err(refused) = sender.try_send(call) {
-            refused.into_inner().settle(Err(PeerError::NotSent));
+        if let Err(error) = sender.try_send(call) {
+            error.into_inner().complete(Err(PeerError::NotSent));
         }
     }
 }
 
-/// Serves a client's calls by a function instead of connections until every handle is gone, for
-/// simulations. Notices are served too; what the function answers them is dropped.
+/// Serves a client's calls with a function instead of connections until every handle is dropped, for
+/// simulations. The function also receives notices; its responses to them are discarded.
 pub async fn serve_with<Q: Message, A: Message>(
     mut calls: PeerCalls<Q, A>,
-    answer: impl Fn(SocketAddr, Q) -> LocalBoxFuture<'static, Result<A, PeerError>>,
+    handler: impl Fn(SocketAddr, Q) -> LocalBoxFuture<'static, Result<A, PeerError>>,
 ) {
     while let Some(call) = calls.receiver.recv().await {
-        let answering = answer(call.address, call.request);
-        let settled = call.answer;
+        let response_future = handler(call.address, call.request);
+        let sender = call.response;
         actix_rt::spawn(async move {
-            let result = answering.await;
-            if let Some(settled) = settled {
-                let _ = settled.send(result);
+            let result = response_future.await;
+            if let Some(sender) = sender {
+                let _ = sender.send(result);
             }
         });
     }
@@ -184,51 +192,51 @@
     let Ok(stream) = open(address, &secret).await else {
         calls.close();
         while let Some(call) = calls.recv().await {
-            call.settle(Err(PeerError::NotSent));
+            call.complete(Err(PeerError::NotSent));
         }
         return;
     };
     let (reader, mut writer) = stream.into_split();
-    let waiting: Waiting<A> = Rc::default();
-    let mut reading = actix_rt::spawn(read_answers(reader, waiting.clone()));
+    let pending: PendingCalls<A> = Rc::default();
+    let mut read_task = actix_rt::spawn(read_responses(reader, pending.clone()));
     let mut correlation = 0;
     loop {
         let call = tokio::select! {
             call = timeout(IDLE_TIMEOUT, calls.recv()) => call.unwrap_or_default(),
-            _ = &mut reading => None,
+            _ = &mut read_task => None,
         };
         let Some(call) = call else { break };
-        let number = match call.answer {
-            Some(answer) => {
+        let correlation_id = match call.response {
+            Some(sender) => {
                 correlation += 1;
-                waiting.borrow_mut().insert(correlation, answer);
+                pending.borrow_mut().insert(correlation, sender);
                 correlation
             }
             None => NOTICE,
         };
         let frame = RequestFrame {
-            correlation: number,
+            correlation: correlation_id,
             request: call.request,
         };
         if frame::write(&mut writer, &frame).await.is_err() {
             break;
         }
     }
-    reading.abort();
+    read_task.abort();
     calls.close();
     while let Some(call) = calls.recv().await {
-        call.settle(Err(PeerError::NotSent));
+        call.complete(Err(PeerError::NotSent));
     }
-    for (_, answer) in waiting.borrow_mut().drain() {
-        let _ = answer.send(Err(PeerError::Unanswered));
+    for (_, sender) in pending.borrow_mut().drain() {
+        let _ = sender.send(Err(PeerError::Unanswered));
     }
 }
 
-async fn read_answers<A: Message>(mut reader: OwnedReadHalf, waiting: Waiting<A>) {
-    while let Ok(frame) = frame::read::<ResponseFrame<A>>(&mut reader, MAXIMUM_FRAME_BYTES).await {
-        let answer = waiting.borrow_mut().remove(&frame.correlation);
-        if let Some(answer) = answer {
-            let _ = answer.send(Ok(frame.response));
+async fn read_responses<A: Message>(mut reader: OwnedReadHalf, pending: PendingCalls<A>) {
+    while let Ok(frame) = frame::read::<ResponseFrame<A>>(&mut reader, MAX_FRAME_BYTES).await {
+        let sender = pending.borrow_mut().remove(&frame.correlation);
+        if let Some(sender) = sender {
+            let _ = sender.send(Ok(frame.response));
         }
     }
 }
--- a/crates/firshore-link/src/error.rs
+++ b/crates/firshore-link/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a peer's connection was refused or ended.
+//! Errors that end a connection between nodes.
 
 use quick_error::quick_error;
 
@@ -19,11 +19,11 @@
         Malformed(reason: String) {
             display("A frame is malformed: {reason}. Check that both nodes run compatible versions.")
         }
-        /// The peer speaks another version.
+        /// The peer uses another protocol version.
         Version(theirs: u32) {
             display("The peer speaks protocol version {theirs}. Upgrade the older node.")
         }
-        /// The peer does not hold the secret.
+        /// The peer did not prove that it has the cluster secret.
         Secret {
             display("The peer did not prove the cluster secret. Give both nodes the same secret file.")
         }
--- a/crates/firshore-link/src/handshake.rs
+++ b/crates/firshore-link/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Mutual proof of the cluster's secret by challenge; the secret itself is never sent.
+//! Mutual authentication by challenge and HMAC-SHA256; the cluster secret itself is never sent.
 
 use crate::error::ProtocolError;
 use crate::frame;
@@ -8,13 +8,13 @@
 use sha2::Sha256;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Version of the protocol; peers of another version are refused.
+/// Protocol version. Peers with another version are refused.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Longest handshake frame in bytes; a stranger cannot make a node allocate more.
-const MAXIMUM_HANDSHAKE_BYTES: usize = 1024;
+/// Maximum length of a handshake frame in bytes; limits what an unauthenticated peer can make a node allocate.
+const MAX_HANDSHAKE_BYTES: usize = 1024;
 
-/// Shared secret of the cluster.
+/// Secret that all nodes of a cluster share.
 #[derive(Clone)]
 pub struct ClusterSecret(pub Vec<u8>);
 
@@ -57,28 +57,32 @@
     secret: &ClusterSecret,
     side: Side,
 ) -> Result<(), ProtocolError> {
-    let own = Challenge {
+    let local = Challenge {
         version: PROTOCOL_VERSION,
         nonce: rand::rng().random(),
     };
-    frame::write(stream, &own).await?;
-    let theirs: Challenge = frame::read(stream, MAXIMUM_HANDSHAKE_BYTES).await?;
-    if theirs.version != PROTOCOL_VERSION {
-        return Err(ProtocolError::Version(theirs.version));
+    frame::write(stream, &local).await?;
+    let remote: Challenge = frame::read(stream, MAX_HANDSHAKE_BYTES).await?;
+    if remote.version != PROTOCOL_VERSION {
+        return Err(ProtocolError::Version(remote.version));
     }
-    let (client, server, other) = match side {
-        Side::Client => (&own, &theirs, Side::Server),
-        Side::Server => (&theirs, &own, Side::Client),
+    let (client, server, remote_side) = match side {
+        Side::Client => (&local, &remote, Side::Server),
+        Side::Server => (&remote, &local, Side::Client),
     };
     let mac = proof(secret, side, client, server).finalize().into_bytes();
     frame::write(stream, &Proof { mac: mac.into() }).await?;
-    let answer: Proof = frame::read(stream, MAXIMUM_HANDSHAKE_BYTES).await?;
-    proof(secret, other, client, server)
-        .verify_slice(&answer.mac)
+    let remote_proof: Proof = frame::read(stream, MAX_HANDSHAKE_BYTES).await?;
+    proof(secret, remote_side, client, server)
+        .verify_slice(&remote_proof.mac)
         .map_err(|_| ProtocolError::Secret)
 }
 
-/// Runs the handshake as the end that connected.
+/// Runs the handshake as the side that opened the connection.
+///
+/// # Errors
+///
+/// [`ProtocolError::Version`], [`ProtocolError::Secret`], or a failure to exchange frames.
 pub async fn connect<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     secret: &ClusterSecret,
@@ -86,7 +90,11 @@
     exchange(stream, secret, Side::Client).await
 }
 
-/// Runs the handshake as the end that accepted.
+/// Runs the handshake as the side that accepted the connection.
+///
+/// # Errors
+///
+/// [`ProtocolError::Version`], [`ProtocolError::Secret`], or a failure to exchange frames.
 pub async fn accept<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     secret: &ClusterSecret,
--- a/crates/firshore-link/src/lib.rs
+++ b/crates/firshore-link/src/lib.rs
@@ -1,8 +1,8 @@
 //! Connections between nodes: authenticated TCP that carries typed messages in CBOR frames.
 //!
-//! A connection starts with a handshake in which both ends prove that they hold the cluster's
-//! secret; after it, each frame is a length (four bytes, big endian) and a CBOR body. Requests are
-//! numbered, so that many are under way at once; notices have no answer.
+//! A connection starts with a handshake in which both sides prove that they have the cluster secret.
+//! Each frame is a length (four bytes, big endian) and a CBOR body. Requests are numbered, so that
+//! several can be in flight at once. Notices have no response.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod client;
@@ -13,25 +13,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Correlation of a notice, which is not answered.
+/// Correlation number of a notice, which has no response.
 pub const NOTICE: u64 = 0;
 
-/// A question or notice to a peer, with a number that its answer repeats.
+/// Request or notice to a peer, with a number that the response repeats.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestFrame<Q> {
-    /// Chosen by the sender, unique on the connection; [`NOTICE`] if no answer is expected.
+    /// Number chosen by the sender, unique on the connection; [`NOTICE`] if no response is expected.
     #[serde(rename = "c")]
     pub correlation: u64,
-    /// Content.
+    /// The request itself.
     #[serde(rename = "r")]
     pub request: Q,
 }
 
-/// The answer to a request.
+/// Response to a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ResponseFrame<A> {
-    /// The request's number.
+    /// Number of the request.
     pub correlation: u64,
-    /// Content.
+    /// The response itself.
     pub response: A,
 }
--- a/crates/firshore-link/src/listener.rs
+++ b/crates/firshore-link/src/listener.rs
@@ -1,8 +1,8 @@
-//! Answers peers.
+//! Accepts connections from peers and serves their requests.
 
-use crate::client::{CONNECT_TIMEOUT, Message, QUEUE_LENGTH};
+use crate::client::{CONNECT_TIMEOUT, Message, QUEUE_CAPACITY};
 use crate::error::ProtocolError;
-use crate::frame::{self, MAXIMUM_FRAME_BYTES};
+use crate::frame::{self, MAX_FRAME_BYTES};
 use crate::handshake::{self, ClusterSecret};
 use crate::{NOTICE, RequestFrame, ResponseFrame};
 use firshore_exchange::keep_alive;
@@ -14,16 +14,16 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// What a node does with its peers' messages.
+/// Handles requests and notices from peers.
 pub trait Handler<Q, A>: 'static {
-    /// Takes in a notice; called in order of arrival.
+    /// Handles a notice. Notices of a connection are handled in order of arrival.
     fn notice(&self, request: Q);
 
-    /// Answers a request; many are under way at once.
+    /// Returns the response to a request. Several requests are in flight at once.
     fn answer(&self, request: Q) -> LocalBoxFuture<'static, A>;
 }
 
-/// Accepts peers until the node ends.
+/// Accepts connections from peers; never returns.
 pub async fn run<Q: Message, A: Message>(
     listener: TcpListener,
     secret: ClusterSecret,
@@ -59,19 +59,19 @@
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
     let (mut reader, writer) = stream.into_split();
-    let (answers, queue) = mpsc::channel(QUEUE_LENGTH);
-    actix_rt::spawn(write_answers(writer, queue));
+    let (responses, queue) = mpsc::channel(QUEUE_CAPACITY);
+    actix_rt::spawn(write_responses(writer, queue));
     loop {
-        let frame: RequestFrame<Q> = frame::read(&mut reader, MAXIMUM_FRAME_BYTES).await?;
+        let frame: RequestFrame<Q> = frame::read(&mut reader, MAX_FRAME_BYTES).await?;
         if frame.correlation == NOTICE {
             handler.notice(frame.request);
             continue;
         }
-        let answering = handler.answer(frame.request);
-        let answers = answers.clone();
+        let response_future = handler.answer(frame.request);
+        let responses = responses.clone();
         actix_rt::spawn(async move {
-            let response = answering.await;
-            let _ = answers
+            let response = response_future.await;
+            let _ = responses
                 .send(ResponseFrame {
                     correlation: frame.correlation,
                     response,
@@ -81,7 +81,7 @@
     }
 }
 
-async fn write_answers<A: Message>(
+async fn write_responses<A: Message>(
     mut writer: OwnedWriteHalf,
     mut queue: mpsc::Receiver<ResponseFrame<A>>,
 ) {
--- a/crates/firshore-log/src/driver/mod.rs
+++ b/crates/firshore-log/src/driver/mod.rs
@@ -1,10 +1,10 @@
-//! The thread of one replica: takes inputs in batches, writes each batch in one transaction, sends
-//! messages, applies committed commands, takes snapshots. Workers never wait for the disk.
+//! Thread of one replica: processes inputs in batches, writes each batch in one transaction, sends
+//! messages, applies committed commands and takes snapshots. Other threads do not block on the disk.
 
 mod referenced;
 mod requests;
 mod snapshot;
-mod survey;
+mod status;
 
 use crate::group::GroupStatus;
 use crate::machine::{ReplicaSettings, SharedState, StateMachine, Transport};
@@ -31,78 +31,74 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// Time between ticks of the replica.
+/// Maximum time between ticks of the replica.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Most inputs written in one transaction.
-const MAXIMUM_BATCH: usize = 512;
+/// Maximum number of inputs written in one transaction.
+const MAX_BATCH_INPUTS: usize = 512;
 
-/// Pause before a full disk is tried again.
-const FULL_DISK_PAUSE: Duration = Duration::from_secs(1);
+/// Backoff after a write to a full disk.
+const FULL_DISK_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Where the answer to a read goes.
-pub(crate) type ReadAnswer<M> = oneshot::Sender<Result<SharedState<M>, JournalRefusal>>;
+/// Sender of the response to a read.
+pub(crate) type ReadSender<M> = oneshot::Sender<Result<SharedState<M>, JournalRefusal>>;
 
-/// Where commands that the state refers to go; those that are not there are left out.
-pub(crate) type LoadAnswer<M> = oneshot::Sender<BTreeMap<LogIndex, <M as StateMachine>::Command>>;
+/// Sender of referenced commands; commands that cannot be read are omitted.
+pub(crate) type CommandsSender<M> =
+    oneshot::Sender<BTreeMap<LogIndex, <M as StateMachine>::Command>>;
 
-type ProposalAnswer<M> = oneshot::Sender<Result<<M as StateMachine>::Outcome, JournalRefusal>>;
+type OutcomeSender<M> = oneshot::Sender<Result<<M as StateMachine>::Outcome, JournalRefusal>>;
 
-/// Milliseconds since the Unix epoch by the machine's wall clock.
+/// Returns the wall clock in milliseconds since the Unix epoch.
 fn unix_milliseconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// What the thread is given.
+/// Input of the replica's thread.
 pub(crate) enum Input<M: StateMachine> {
-    /// A message from another replica.
+    /// Handle a message from another replica.
     Received {
-        /// Node that holds the replica.
+        /// Node of the sending replica.
         node: NodeName,
-        /// The message.
         envelope: Envelope,
     },
     /// Commit a command.
     Propose {
-        /// Command.
         command: M::Command,
-        /// Where its outcome goes.
-        answer: ProposalAnswer<M>,
+        response: OutcomeSender<M>,
     },
-    /// Give the state with everything committed before now.
-    Read(ReadAnswer<M>),
-    /// Give the commands of entries that the state refers to.
+    /// Return the state with all entries that were committed before the read.
+    Read(ReadSender<M>),
+    /// Return the commands of entries that the state refers to.
     Load {
-        /// Indexes of the entries.
         indexes: BTreeSet<LogIndex>,
-        /// Where they go.
-        answer: LoadAnswer<M>,
+        response: CommandsSender<M>,
     },
-    /// Become a founding replica.
+    /// Start as a voter of the founding membership, if the replica is empty.
     Found(Membership),
-    /// Change the membership.
+    /// Propose a membership change.
     Change(MembershipChange),
-    /// Go on with these disks as the only voters.
+    /// Continue with these disks as the only voters.
     ContinueWith(Survivors),
-    /// Leave the history of the log for this later one.
+    /// Switch to a later history of the log.
     JoinHistory(u64),
-    /// Hand leadership over, to this voter or to the one that holds most.
-    StepAside(Option<DiskId>),
-    /// End.
+    /// Transfer leadership to this voter, or else to the most up-to-date one.
+    StepDown(Option<DiskId>),
+    /// Stop the thread.
     Stop,
 }
 
 struct PendingProposal<M: StateMachine> {
     term: Term,
-    answer: ProposalAnswer<M>,
+    response: OutcomeSender<M>,
 }
 
-struct WaitingRead<M> {
-    /// Index that must be applied; unknown until the leader is confirmed.
+struct PendingRead<M> {
+    /// Index that must be applied before the read completes; `None` until leadership is confirmed.
     index: Option<LogIndex>,
-    answer: ReadAnswer<M>,
+    response: ReadSender<M>,
 }
 
 struct FinishedSnapshot {
@@ -111,7 +107,7 @@
     referenced: BTreeSet<LogIndex>,
 }
 
-/// What a replica is run with, beside its storage.
+/// Everything that a replica runs with except its storage.
 pub(crate) struct Environment {
     pub(crate) log: Logger,
     pub(crate) group: GroupId,
@@ -119,20 +115,20 @@
     pub(crate) settings: ReplicaSettings,
     pub(crate) transport: Box<dyn Transport>,
     pub(crate) status: Arc<RwLock<Arc<GroupStatus>>>,
-    /// Told the index of each entry applied last, and of each change of leadership.
+    /// Index of the last applied entry; also notified of each change of leadership.
     pub(crate) applied: watch::Sender<LogIndex>,
     pub(crate) start: Instant,
 }
 
 impl Environment {
-    /// Milliseconds since the replica's start, suspensions of the machine included: a leader that wakes has to
-    /// know for how long the others have heard nothing of it.
+    /// Returns milliseconds since the replica's start, including time in which the machine was suspended, so
+    /// that a resumed leader knows how long its peers have received nothing from it.
     fn now(&self) -> u64 {
         firshore_clock::elapsed(self.start).as_millis() as u64
     }
 }
 
-/// The thread's state.
+/// State of the replica's thread.
 pub(crate) struct Driver<'a, M: StateMachine> {
     environment: &'a mut Environment,
     log: Logger,
@@ -143,22 +139,23 @@
     applied: LogIndex,
     committed: VecDeque<Entry>,
     proposals: BTreeMap<LogIndex, PendingProposal<M>>,
-    reads: BTreeMap<ReadToken, WaitingRead<M>>,
+    reads: BTreeMap<ReadToken, PendingRead<M>>,
     next_read: ReadToken,
     snapshot: Option<Receiver<FinishedSnapshot>>,
-    /// Nodes that replicas wrote from: an empty replica knows no membership yet.
+    /// Nodes from which replicas sent messages, used while an empty replica has no membership.
     senders: BTreeMap<DiskId, NodeName>,
-    /// Replicas that get a snapshot, and the commands that it refers to before.
+    /// Transfers of referenced commands to replicas that receive a snapshot.
     transfers: ReferenceTransfers,
-    /// Referenced commands received, to be written with the next batch.
-    received: Vec<ReferencedCommand>,
-    /// Answers to them, to be sent once they are durable.
-    receipts: Vec<Envelope>,
-    survey_due: u64,
+    /// Received referenced commands that the next batch writes.
+    received_commands: Vec<ReferencedCommand>,
+    /// Acknowledgements of these commands, sent once they are durable.
+    acknowledgements: Vec<Envelope>,
+    next_status_at: u64,
+    /// Whether free disk space is below the reserve, or a write has failed on a full disk.
     full: bool,
-    led: bool,
-    /// Whether the replica asked to be restored from its storage.
-    restarts: bool,
+    was_leader: bool,
+    /// Whether the replica requested to be restored from its storage.
+    restart_requested: bool,
 }
 
 enum Flow {
@@ -167,13 +164,13 @@
     Stop,
 }
 
-/// Why a session with the storage ended.
-enum End {
-    /// The replica was told to stop, or cannot go on.
+/// Reason for which a session with the storage ended.
+enum SessionEnd {
+    /// The replica was requested to stop, or its handle was dropped.
     Stopped,
     /// The disk is full.
     Full,
-    /// The replica joined another history of its group.
+    /// The replica joined a later history of its group.
     Restarted,
 }
 
@@ -195,8 +192,8 @@
     Ok((replica, state))
 }
 
-/// Runs a replica until it is told to stop. After a full disk it starts again from what the disk
-/// holds, as after a crash: a storage whose write failed cannot be used further.
+/// Runs a replica until it is requested to stop or its storage fails. When the disk is full, the replica
+/// is restored from its storage as after a crash, because a storage is unusable after a failed write.
 pub(crate) fn run<M: StateMachine>(
     mut environment: Environment,
     mut storage: RedbStorage,
@@ -208,28 +205,28 @@
     loop {
         let disk = storage.disk();
         match session(&mut environment, storage, full, &inputs, &published) {
-            Ok(End::Stopped) => return info!(log, "journal: Replica ended."),
-            Ok(End::Restarted) => {
-                warn!(log, "journal: Replica starts again."; "reason" => "it joined a later history");
+            Ok(SessionEnd::Stopped) => return info!(log, "journal: Replica thread ended."),
+            Ok(SessionEnd::Restarted) => {
+                warn!(log, "journal: Restarting replica."; "reason" => "joined a later history");
             }
-            Ok(End::Full) => {
-                warn!(log, "journal: Disk full."; "file" => %environment.path.display());
+            Ok(SessionEnd::Full) => {
+                warn!(log, "journal: Disk is full."; "file" => %environment.path.display());
                 full = true;
-                std::thread::sleep(FULL_DISK_PAUSE);
+                std::thread::sleep(FULL_DISK_BACKOFF);
             }
             Err(reason) => {
-                error!(log, "journal: Replica stopped."; "reason" => %reason);
-                let mut last = GroupStatus::clone(&environment.status.read());
-                last.leads = false;
-                last.stopped = Some(reason.to_string());
-                *environment.status.write() = Arc::new(last);
+                error!(log, "journal: Replica failed."; "reason" => %reason);
+                let mut status = GroupStatus::clone(&environment.status.read());
+                status.leads = false;
+                status.stopped = Some(reason.to_string());
+                *environment.status.write() = Arc::new(status);
                 return;
             }
         }
         storage = match RedbStorage::open(&environment.path, disk, environment.settings.cache_bytes)
         {
             Ok(storage) => storage,
-            Err(reason) => return error!(log, "journal: Replica stopped."; "reason" => %reason),
+            Err(reason) => return error!(log, "journal: Replica failed."; "reason" => %reason),
         };
     }
 }
@@ -240,7 +237,7 @@
     full: bool,
     inputs: &Receiver<Input<M>>,
     published: &RwLock<SharedState<M>>,
-) -> Result<End, StorageError> {
+) -> Result<SessionEnd, StorageError> {
     let (replica, state) = restore(environment, &storage)?;
     let mut driver = Driver {
         log: environment.log.clone(),
@@ -257,26 +254,26 @@
         snapshot: None,
         senders: BTreeMap::new(),
         transfers: ReferenceTransfers::default(),
-        received: Vec::new(),
-        receipts: Vec::new(),
-        survey_due: 0,
+        received_commands: Vec::new(),
+        acknowledgements: Vec::new(),
+        next_status_at: 0,
         full,
-        led: false,
-        restarts: false,
+        was_leader: false,
+        restart_requested: false,
     };
     driver.publish_state();
     info!(driver.log, "journal: Replica started."; "disk" => %driver.storage.disk());
-    let ended = loop {
-        match driver.turn(inputs) {
+    let end = loop {
+        match driver.run_cycle(inputs) {
             Ok(Flow::Continue) => {}
-            Ok(Flow::Restart) => break Ok(End::Restarted),
-            Ok(Flow::Stop) => break Ok(End::Stopped),
-            Err(StorageError::Full(_)) => break Ok(End::Full),
+            Ok(Flow::Restart) => break Ok(SessionEnd::Restarted),
+            Ok(Flow::Stop) => break Ok(SessionEnd::Stopped),
+            Err(StorageError::Full(_)) => break Ok(SessionEnd::Full),
             Err(reason) => break Err(reason),
         }
     };
-    driver.fail_everything();
-    ended
+    driver.fail_pending();
+    end
 }
 
 impl<M: StateMachine> Driver<'_, M> {
@@ -284,10 +281,10 @@
         *self.published.write() = self.state.clone();
     }
 
-    fn turn(&mut self, inputs: &Receiver<Input<M>>) -> Result<Flow, StorageError> {
+    fn run_cycle(&mut self, inputs: &Receiver<Input<M>>) -> Result<Flow, StorageError> {
         match inputs.recv_timeout(TICK) {
             Ok(input) => {
-                if let Flow::Stop = self.take_batch(input, inputs) {
+                if let Flow::Stop = self.process_batch(input, inputs) {
                     return Ok(Flow::Stop);
                 }
             }
@@ -295,23 +292,23 @@
             Err(RecvTimeoutError::Disconnected) => return Ok(Flow::Stop),
         }
         self.replica.tick(self.environment.now());
-        self.settle()?;
-        self.survey();
-        match self.restarts {
+        self.process_outputs()?;
+        self.update_status();
+        match self.restart_requested {
             true => Ok(Flow::Restart),
             false => Ok(Flow::Continue),
         }
     }
 
-    fn take_batch(&mut self, first: Input<M>, inputs: &Receiver<Input<M>>) -> Flow {
+    fn process_batch(&mut self, first: Input<M>, inputs: &Receiver<Input<M>>) -> Flow {
         let mut next = Some(first);
-        let mut taken = 0;
+        let mut count = 0;
         while let Some(input) = next {
-            if let Flow::Stop = self.take(input) {
+            if let Flow::Stop = self.process_input(input) {
                 return Flow::Stop;
             }
-            taken += 1;
-            if taken == MAXIMUM_BATCH {
+            count += 1;
+            if count == MAX_BATCH_INPUTS {
                 return Flow::Continue;
             }
             next = match inputs.try_recv() {
@@ -323,21 +320,21 @@
         Flow::Continue
     }
 
-    fn take(&mut self, input: Input<M>) -> Flow {
+    fn process_input(&mut self, input: Input<M>) -> Flow {
         match input {
             Input::Received { node, envelope } => {
                 self.senders.insert(envelope.from, node);
                 self.receive(envelope);
             }
-            Input::Load { indexes, answer } => self.load(&indexes, answer),
-            Input::Propose { command, answer } => self.propose(command, answer),
-            Input::Read(answer) => self.read(answer),
-            Input::Found(membership) => self.found(membership),
+            Input::Load { indexes, response } => self.load(&indexes, response),
+            Input::Propose { command, response } => self.propose(command, response),
+            Input::Read(response) => self.read(response),
+            Input::Found(membership) => self.found_group(membership),
             Input::Change(change) => self.change(&change),
             Input::ContinueWith(survivors) => self.continue_with(&survivors),
             Input::JoinHistory(history) => self.replica.join_history(history),
-            Input::StepAside(heir) => {
-                let target = heir.or_else(|| self.replica.transfer_target());
+            Input::StepDown(target) => {
+                let target = target.or_else(|| self.replica.transfer_target());
                 if let Some(target) = target {
                     let _ = self.replica.transfer_leadership(target);
                 }
@@ -350,54 +347,55 @@
     fn continue_with(&mut self, survivors: &Survivors) {
         match self.replica.continue_with(survivors) {
             Ok(()) => {
-                // What no quorum had committed may be committed by fewer disks now: no promise.
+                // Entries without a quorum before may now be committed by fewer disks, which does not meet the
+                // durability guarantee.
                 self.fail_proposals();
-                warn!(self.log, "journal: Goes on without a quorum."; "with" => ?survivors.replicas.keys(),
+                warn!(self.log, "journal: Continuing without a quorum."; "with" => ?survivors.replicas.keys(),
                     "left_behind" => survivors.left_behind, "history" => survivors.history);
             }
             Err(reason) => {
-                info!(self.log, "journal: Does not go on without a quorum."; "reason" => %reason,
+                info!(self.log, "journal: Continuing without a quorum was refused."; "reason" => %reason,
                     "with" => ?survivors.replicas.keys());
             }
         }
     }
 
-    /// Carries out what the replica asks for until there is nothing left.
-    fn settle(&mut self) -> Result<(), StorageError> {
+    /// Processes outputs of the replica until there are none, then completes reads and snapshots.
+    fn process_outputs(&mut self) -> Result<(), StorageError> {
         loop {
             let mut output = self.replica.take_output();
-            output.writes.received = std::mem::take(&mut self.received);
-            output.messages.append(&mut self.receipts);
+            output.writes.received = std::mem::take(&mut self.received_commands);
+            output.messages.append(&mut self.acknowledgements);
             if output.is_empty() {
                 break;
             }
-            self.carry_out(output)?;
-            if self.restarts {
+            self.process_output(output)?;
+            if self.restart_requested {
                 return Ok(());
             }
         }
         self.finish_snapshot();
         self.apply_committed()?;
-        self.answer_reads();
+        self.complete_reads();
         self.start_snapshot();
         Ok(())
     }
 
-    fn carry_out(&mut self, output: Output) -> Result<(), StorageError> {
+    fn process_output(&mut self, output: Output) -> Result<(), StorageError> {
         self.send_all(output.early_messages);
         if !output.writes.is_empty() {
             self.storage.write(&output.writes)?;
         }
         self.replica.written();
         self.send_all(output.messages);
-        self.restarts = output.restart;
+        self.restart_requested = output.restart;
         if let Some(snapshot) = output.install {
             self.install(snapshot.header.position.index, &snapshot.data.0)?;
         }
         self.committed.extend(output.committed);
         for token in output.failed_reads {
             if let Some(read) = self.reads.remove(&token) {
-                let _ = read.answer.send(Err(self.not_leader()));
+                let _ = read.response.send(Err(self.not_leader()));
             }
         }
         for (token, index) in output.reads {
@@ -413,7 +411,7 @@
             return;
         }
         for envelope in envelopes {
-            let Some(envelope) = self.referenced_first(envelope) else {
+            let Some(envelope) = self.prepare_message(envelope) else {
                 continue;
             };
             let node = self.replica.node_of(envelope.to);
@@ -430,27 +428,27 @@
             let reason = format!("the leader's snapshot cannot be read by this version ({error})");
             StorageError::Database(self.environment.path.clone(), reason)
         })?;
-        // Readers that hold the former state keep it: it is never set back under them.
+        // Readers that hold the former state keep it; it must not change under them.
         self.state = Arc::new(RwLock::new(state));
         self.publish_state();
         self.applied = index;
         self.committed.clear();
         self.snapshot = None;
         let later = self.proposals.split_off(&(index + 1));
-        for (_, passed) in std::mem::replace(&mut self.proposals, later) {
-            let _ = passed.answer.send(Err(JournalRefusal::Unsettled));
+        for (_, pending) in std::mem::replace(&mut self.proposals, later) {
+            let _ = pending.response.send(Err(JournalRefusal::Unsettled));
         }
         info!(self.log, "journal: Snapshot installed."; "index" => index);
         Ok(())
     }
 
     fn apply_committed(&mut self) -> Result<(), StorageError> {
-        // A snapshot being encoded holds the state as it is.
+        // The state must not change while a snapshot of it is encoded.
         if self.snapshot.is_some() || self.committed.is_empty() {
             return Ok(());
         }
-        // An answer that waits since before the group shrank would be a promise that it does not keep.
-        if !self.keeps_promises() {
+        // A proposal from before the group shrank must not be acknowledged: too few disks hold it now.
+        if !self.is_durable() {
             self.fail_proposals();
         }
         let state = self.state.clone();
@@ -478,16 +476,16 @@
             EntryContent::Blank | EntryContent::Membership(_) => None,
         };
         if let Some(pending) = pending {
-            let answer = match outcome {
+            let response = match outcome {
                 Some(outcome) if pending.term == entry.term => Ok(outcome),
                 _ => Err(JournalRefusal::Unsettled),
             };
-            let _ = pending.answer.send(answer);
+            let _ = pending.response.send(response);
         }
         Ok(())
     }
 
-    fn answer_reads(&mut self) {
+    fn complete_reads(&mut self) {
         let ready: Vec<ReadToken> = self
             .reads
             .iter()
@@ -497,30 +495,29 @@
         if ready.is_empty() {
             return;
         }
-        // A lone voter shows nothing: the next loss may take what only its disk holds, 65 of 1000 played
-        // seeds lost what was read.
-        let shown = match self.may_show() {
+        // A lone voter must not serve reads: the loss of its disk would lose what was read.
+        let result = match self.allows_reads() {
             true => Ok(self.state.clone()),
             false => Err(self.not_leader()),
         };
         for token in ready {
             if let Some(read) = self.reads.remove(&token) {
-                let _ = read.answer.send(shown.clone());
+                let _ = read.response.send(result.clone());
             }
         }
     }
 
     fn fail_proposals(&mut self) {
         for (_, pending) in std::mem::take(&mut self.proposals) {
-            let _ = pending.answer.send(Err(JournalRefusal::Unsettled));
+            let _ = pending.response.send(Err(JournalRefusal::Unsettled));
         }
     }
 
-    fn fail_everything(&mut self) {
+    fn fail_pending(&mut self) {
         self.fail_proposals();
         for (_, read) in std::mem::take(&mut self.reads) {
             let refusal = JournalRefusal::NotLeader { leader: None };
-            let _ = read.answer.send(Err(refusal));
+            let _ = read.response.send(Err(refusal));
         }
     }
 }
--- a/crates/firshore-log/src/driver/referenced.rs
+++ b/crates/firshore-log/src/driver/referenced.rs
@@ -1,11 +1,11 @@
-//! Commands that the state refers to by the index of their entry: read for those who ask, and sent
-//! to a replica before a snapshot that refers to them.
+//! Commands that the state refers to by the index of their entry. They are read on request, and sent to
+//! a replica before a snapshot that refers to them.
 //!
-//! A referenced command is committed and never changes, so it may be sent at any time, by any
-//! leader, and more than once. A replica that has answered holds it durably: what it was sent for
-//! one snapshot is not sent again for the next.
+//! A referenced command is committed and never changes, so any leader may send it at any time, and more
+//! than once. A replica acknowledges commands once they are durable; acknowledged commands are not sent
+//! again for a later snapshot.
 
-use super::{Driver, LoadAnswer};
+use super::{CommandsSender, Driver};
 use crate::machine::StateMachine;
 use crate::reference_transfer::TransferStep;
 use firshore_replication::message::{Envelope, Message};
@@ -14,11 +14,11 @@
 use slog::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of commands in one message, about.
-const MESSAGE_BYTES: usize = 256 * 1024;
+/// Size of the commands in one message, in bytes; the last command may exceed it.
+const TARGET_MESSAGE_BYTES: usize = 256 * 1024;
 
 impl<M: StateMachine> Driver<'_, M> {
-    /// Takes in a message of another replica.
+    /// Handles a message of another replica. Messages for a former disk of this node are dropped.
     pub(super) fn receive(&mut self, envelope: Envelope) {
         if envelope.to != self.storage.disk() {
             return;
@@ -27,41 +27,45 @@
             Message::ReferencedCommands(commands) => {
                 if self.replica.shares_history(envelope.history) {
                     let (from, term, history) = (envelope.from, envelope.term, envelope.history);
-                    let answer = |through| Envelope {
+                    let acknowledgement = |through| Envelope {
                         from: self.storage.disk(),
                         to: from,
                         term,
                         history,
                         message: Message::ReferencedAnswer { through },
                     };
-                    let receipt = commands.last().map(|last| answer(last.index));
-                    self.receipts.extend(receipt);
-                    self.received.extend(commands);
+                    let last = commands.last().map(|last| acknowledgement(last.index));
+                    self.acknowledgements.extend(last);
+                    self.received_commands.extend(commands);
                 }
             }
-            Message::ReferencedAnswer { through } => self.referenced_held(envelope.from, through),
+            Message::ReferencedAnswer { through } => {
+                self.record_acknowledgement(envelope.from, through)
+            }
             _ => self.replica.receive(self.environment.now(), envelope),
         }
     }
 
-    fn referenced_held(&mut self, disk: DiskId, through: LogIndex) {
+    fn record_acknowledgement(&mut self, disk: DiskId, through: LogIndex) {
         let leads = self.replica.leads();
-        let waiting = self.transfers.answered(disk, through);
-        if let Some(first_part) = waiting.filter(|_| leads) {
-            self.send_all(vec![first_part]);
+        let pending_chunk = self.transfers.acknowledge(disk, through);
+        if let Some(first_chunk) = pending_chunk.filter(|_| leads) {
+            self.send_all(vec![first_chunk]);
         }
     }
 
-    /// What is to be sent in place of a message: before the first part of a snapshot go the
-    /// commands that it refers to. The replica sends the part again until it is answered.
-    pub(super) fn referenced_first(&mut self, envelope: Envelope) -> Option<Envelope> {
+    /// Returns what to send in place of a message: the first chunk of a snapshot is preceded by the commands
+    /// that the snapshot refers to. The replica sends the chunk again until it is acknowledged.
+    pub(super) fn prepare_message(&mut self, envelope: Envelope) -> Option<Envelope> {
         let now = self.environment.now();
         let mut transfers = std::mem::take(&mut self.transfers);
-        let step = transfers.before(now, envelope, |held, through| self.lacking(held, through));
+        let step = transfers.next_step(now, envelope, |held, through| {
+            self.missing_commands(held, through)
+        });
         self.transfers = transfers;
         match step {
             TransferStep::Wait => None,
-            TransferStep::Pass(envelope) => Some(envelope),
+            TransferStep::Forward(envelope) => Some(envelope),
             TransferStep::Commands {
                 held,
                 count,
@@ -74,8 +78,13 @@
         }
     }
 
-    /// The next referenced commands after `held`; `None` if one cannot be read.
-    fn lacking(&self, held: LogIndex, through: LogIndex) -> Option<Vec<ReferencedCommand>> {
+    /// Returns the next referenced commands after `held`, up to about [`TARGET_MESSAGE_BYTES`], or `None` if a
+    /// command cannot be read.
+    fn missing_commands(
+        &self,
+        held: LogIndex,
+        through: LogIndex,
+    ) -> Option<Vec<ReferencedCommand>> {
         let referenced = self.state.read().referenced();
         let mut commands = Vec::new();
         let mut bytes = 0;
@@ -86,11 +95,11 @@
             let command = match self.storage.command(*index) {
                 Ok(Some(command)) => command,
                 Ok(None) => {
-                    warn!(self.log, "journal: Referenced command missing."; "index" => index);
+                    warn!(self.log, "journal: Referenced command is missing."; "index" => index);
                     return None;
                 }
                 Err(reason) => {
-                    warn!(self.log, "journal: Referenced command unreadable."; "index" => index,
+                    warn!(self.log, "journal: Reading a referenced command failed."; "index" => index,
                         "reason" => %reason);
                     return None;
                 }
@@ -100,15 +109,15 @@
                 index: *index,
                 command,
             });
-            if bytes >= MESSAGE_BYTES {
+            if bytes >= TARGET_MESSAGE_BYTES {
                 break;
             }
         }
         Some(commands)
     }
 
-    /// Reads commands for those who hold the state.
-    pub(super) fn load(&self, indexes: &BTreeSet<LogIndex>, answer: LoadAnswer<M>) {
+    /// Reads commands from the log storage. Commands that cannot be read are omitted.
+    pub(super) fn load(&self, indexes: &BTreeSet<LogIndex>, response: CommandsSender<M>) {
         let mut commands = BTreeMap::new();
         for index in indexes {
             match self.storage.command(*index) {
@@ -119,11 +128,11 @@
                 }
                 Ok(None) => {}
                 Err(reason) => {
-                    warn!(self.log, "journal: Referenced command unreadable."; "index" => index,
+                    warn!(self.log, "journal: Reading a referenced command failed."; "index" => index,
                         "reason" => %reason);
                 }
             }
         }
-        let _ = answer.send(commands);
+        let _ = response.send(commands);
     }
 }
--- a/crates/firshore-log/src/driver/requests.rs
+++ b/crates/firshore-log/src/driver/requests.rs
@@ -1,10 +1,10 @@
-//! What the node asks of the replica on its disk.
+//! Handles requests of the local node to its replica.
 
 use super::{
-    Driver, PendingProposal, ProposalAnswer, ReadAnswer, WaitingRead, restore, unix_milliseconds,
+    Driver, OutcomeSender, PendingProposal, PendingRead, ReadSender, restore, unix_milliseconds,
 };
 use crate::machine::StateMachine;
-use crate::placement::{keeps_promises, may_show};
+use crate::placement::{allows_reads, is_durable};
 use crate::refusal::JournalRefusal;
 use firshore_replication::error::ReplicaError;
 use firshore_replication::storage::{Storage, StoredState};
@@ -22,35 +22,35 @@
         JournalRefusal::NotLeader { leader }
     }
 
-    /// Whether what is committed lies on as many disks as promises need.
-    pub(super) fn keeps_promises(&self) -> bool {
-        let least = self.environment.settings.least;
-        keeps_promises(&self.replica.status().membership, least)
+    /// Returns whether committed entries are on the required number of disks.
+    pub(super) fn is_durable(&self) -> bool {
+        let min_disks = self.environment.settings.min_disks;
+        is_durable(&self.replica.status().membership, min_disks)
     }
 
-    /// Whether what is committed may be shown to readers.
-    pub(super) fn may_show(&self) -> bool {
+    /// Returns whether readers may see what is committed.
+    pub(super) fn allows_reads(&self) -> bool {
         let status = self.replica.status();
-        let least = self.environment.settings.least;
-        may_show(&status.membership, &status.committed_membership, least)
+        let min_disks = self.environment.settings.min_disks;
+        allows_reads(&status.membership, &status.committed_membership, min_disks)
     }
 
-    pub(super) fn propose(&mut self, mut command: M::Command, answer: ProposalAnswer<M>) {
-        // Asked here, where the group's change would come first: what was looked at before this was queued
-        // may have changed.
-        if !self.replica.leads() || !self.keeps_promises() {
-            let _ = answer.send(Err(self.not_leader()));
+    pub(super) fn propose(&mut self, mut command: M::Command, response: OutcomeSender<M>) {
+        // Checked on the replica's thread, because the membership may have changed while the proposal was
+        // queued.
+        if !self.replica.leads() || !self.is_durable() {
+            let _ = response.send(Err(self.not_leader()));
             return;
         }
         let now = unix_milliseconds();
-        // Looking for work where there is none costs no log entry, and what was taken in before is
-        // acknowledged again also when there is no space for more.
+        // Needs no log entry: a poll that finds no work, or a repeated submission, which is acknowledged even
+        // if the disk is full.
         if let Some(outcome) = self.state.read().without_effect(&command, now) {
-            let _ = answer.send(Ok(outcome));
+            let _ = response.send(Ok(outcome));
             return;
         }
         if self.full && M::needs_space(&command) {
-            let _ = answer.send(Err(JournalRefusal::StorageFull));
+            let _ = response.send(Err(JournalRefusal::StorageFull));
             return;
         }
         M::stamp(&mut command, now);
@@ -59,64 +59,66 @@
         match self.replica.propose(bytes) {
             Ok(position) => {
                 let term = position.term;
-                let pending = PendingProposal { term, answer };
-                // An older proposal at this index was lost: its term is over.
-                if let Some(lost) = self.proposals.insert(position.index, pending) {
-                    let _ = lost.answer.send(Err(JournalRefusal::Unsettled));
+                let pending = PendingProposal { term, response };
+                // An older proposal at this index belongs to an earlier term and was not committed here.
+                if let Some(replaced) = self.proposals.insert(position.index, pending) {
+                    let _ = replaced.response.send(Err(JournalRefusal::Unsettled));
                 }
             }
             Err(_) => {
-                let _ = answer.send(Err(self.not_leader()));
+                let _ = response.send(Err(self.not_leader()));
             }
         }
     }
 
-    pub(super) fn read(&mut self, answer: ReadAnswer<M>) {
-        if !self.may_show() {
-            let _ = answer.send(Err(self.not_leader()));
+    pub(super) fn read(&mut self, response: ReadSender<M>) {
+        if !self.allows_reads() {
+            let _ = response.send(Err(self.not_leader()));
             return;
         }
         self.next_read += 1;
         match self.replica.read(self.next_read) {
             Ok(()) => {
-                let waiting = WaitingRead {
+                let pending = PendingRead {
                     index: None,
-                    answer,
+                    response,
                 };
-                self.reads.insert(self.next_read, waiting);
+                self.reads.insert(self.next_read, pending);
             }
             Err(_) => {
-                let _ = answer.send(Err(self.not_leader()));
+                let _ = response.send(Err(self.not_leader()));
             }
         }
     }
 
-    pub(super) fn found(&mut self, membership: Membership) {
+    pub(super) fn found_group(&mut self, membership: Membership) {
         let empty = self.storage.load().is_ok_and(|stored| stored.is_empty());
         if !(empty && self.replica.is_empty()) {
             return;
         }
-        let founded = self
+        let restored = self
             .storage
             .write(&StoredState::founding(membership))
             .and_then(|()| restore::<M>(self.environment, &self.storage));
-        match founded {
+        match restored {
             Ok((replica, _)) => {
                 self.replica = replica;
                 info!(self.log, "journal: Group founded.");
             }
-            Err(reason) => warn!(self.log, "journal: Group not founded."; "reason" => %reason),
+            Err(reason) => {
+                warn!(self.log, "journal: Founding the group failed."; "reason" => %reason)
+            }
         }
     }
 
     pub(super) fn change(&mut self, change: &MembershipChange) {
         match self.replica.change_membership(change) {
             Ok(position) => {
-                info!(self.log, "journal: Replicas change."; "change" => ?change, "index" => position.index);
+                info!(self.log, "journal: Membership change proposed."; "change" => ?change, "index" => position.index);
             }
             Err(ReplicaError::ChangePending | ReplicaError::NotLeader) => {}
             Err(reason) => {
-                warn!(self.log, "journal: Replicas not changed."; "change" => ?change, "reason" => %reason);
+                warn!(self.log, "journal: Membership change failed."; "change" => ?change, "reason" => %reason);
             }
         }
     }
--- a/crates/firshore-log/src/driver/snapshot.rs
+++ b/crates/firshore-log/src/driver/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the state, encoded on another thread once the log has grown.
+//! Snapshots of the state, encoded on a separate thread.
 
 use super::{Driver, FinishedSnapshot};
 use crate::machine::StateMachine;
@@ -6,7 +6,7 @@
 use std::sync::mpsc::TryRecvError;
 
 impl<M: StateMachine> Driver<'_, M> {
-    /// Encodes the state on another thread once the log has grown.
+    /// Starts to encode the state on a separate thread if the log in memory exceeds the limit.
     pub(super) fn start_snapshot(&mut self) {
         let limit = self
             .environment
@@ -14,9 +14,9 @@
             .snapshot_after_bytes
             .max(self.replica.snapshot_bytes());
         let due = self.replica.log_bytes() > limit && self.replica.covers(self.applied);
-        // What a lone voter commits by itself, a disk that it left behind may go on without: covered by a
-        // snapshot, it could not be taken back.
-        if self.snapshot.is_some() || !due || !self.keeps_promises() {
+        // Entries committed by too few disks are not covered by a snapshot: another disk may continue without
+        // them, and entries in a snapshot cannot be undone.
+        if self.snapshot.is_some() || !due || !self.is_durable() {
             return;
         }
         let (sender, receiver) = std::sync::mpsc::channel();
@@ -24,7 +24,7 @@
         let encode = move || {
             let state = state.read();
             let mut data = Vec::new();
-            ciborium::into_writer(&*state, &mut data).expect("the state serialises");
+            ciborium::into_writer(&*state, &mut data).expect("the state serialises to memory");
             let _ = sender.send(FinishedSnapshot {
                 index,
                 data,
--- a/crates/firshore-log/src/driver/survey.rs
+++ b/crates/firshore-log/src/driver/status.rs
@@ -1,4 +1,4 @@
-//! What the replica tells about itself a few times a second.
+//! Periodic tasks: publishes the replica's status, refreshes peer addresses, checks free disk space.
 
 use super::Driver;
 use crate::disk_space;
@@ -7,31 +7,32 @@
 use slog::{info, warn};
 use std::sync::Arc;
 
-/// How often the status, the addresses of peers and the free space are looked at, in milliseconds.
-const SURVEY_INTERVAL: u64 = 200;
+/// Interval of the periodic tasks, in milliseconds.
+const STATUS_INTERVAL_MS: u64 = 200;
 
 impl<M: StateMachine> Driver<'_, M> {
-    pub(super) fn survey(&mut self) {
+    /// Runs the periodic tasks if they are due or leadership has changed.
+    pub(super) fn update_status(&mut self) {
         let now = self.environment.now();
         let leads = self.replica.leads();
-        if leads != self.led {
-            self.led = leads;
+        if leads != self.was_leader {
+            self.was_leader = leads;
             let term = self.replica.status().term;
             if leads {
-                info!(self.log, "journal: Leads."; "term" => term);
+                info!(self.log, "journal: Became leader."; "term" => term);
             } else {
-                info!(self.log, "journal: Follows."; "term" => term);
+                info!(self.log, "journal: No longer leader."; "term" => term);
             }
-        } else if now < self.survey_due {
+        } else if now < self.next_status_at {
             return;
         }
-        self.survey_due = now + SURVEY_INTERVAL;
+        self.next_status_at = now + STATUS_INTERVAL_MS;
         self.environment.transport.refresh();
-        self.look_at_space();
+        self.check_free_space();
         self.publish();
     }
 
-    pub(super) fn look_at_space(&mut self) {
+    pub(super) fn check_free_space(&mut self) {
         let free = self
             .environment
             .path
@@ -42,9 +43,9 @@
         if full != self.full {
             self.full = full;
             if full {
-                warn!(self.log, "journal: Space is short."; "free" => free, "reserve" => reserve);
+                warn!(self.log, "journal: Disk space is low."; "free" => free, "reserve" => reserve);
             } else {
-                info!(self.log, "journal: Space is enough again."; "free" => free);
+                info!(self.log, "journal: Disk space recovered."; "free" => free);
             }
         }
     }
--- a/crates/firshore-log/src/group.rs
+++ b/crates/firshore-log/src/group.rs
@@ -1,6 +1,6 @@
-//! The handle of one replica; the replica itself lives on a thread of its own.
+//! Handle of one replica, which runs on its own thread.
 
-use crate::driver::{self, Environment, Input, ReadAnswer};
+use crate::driver::{self, Environment, Input, ReadSender};
 use crate::machine::{ReplicaSettings, SharedState, StateMachine, Transport};
 use crate::refusal::JournalRefusal;
 use firshore_replication::error::StorageError;
@@ -23,80 +23,80 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Longest wait for another replica to take over when the node leaves.
-const STEP_ASIDE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum wait until another replica takes over leadership.
+const STEP_DOWN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often the status is looked at meanwhile.
-const STEP_ASIDE_POLL: Duration = Duration::from_millis(20);
+/// Interval at which the status is polled during that wait.
+const STEP_DOWN_POLL: Duration = Duration::from_millis(20);
 
-/// What the replica's thread last told about itself.
+/// Status of a replica as last published by its thread.
 #[derive(Clone, Debug)]
 pub struct GroupStatus {
     /// Identity of the disk.
     pub disk: DiskId,
-    /// Whether anything of the group's log is held.
+    /// Whether the disk holds any part of the group's log.
     pub holds_log: bool,
     /// Whether this replica leads.
     pub leads: bool,
-    /// Node that leads, as far as known.
+    /// Leading node, if the replica has one on record.
     pub leader: Option<NodeName>,
-    /// Term.
+    /// Current term.
     pub term: Term,
-    /// History that the log is part of.
+    /// History that the log belongs to.
     pub history: u64,
-    /// Committed index.
+    /// Index of the last committed entry.
     pub commit: LogIndex,
-    /// Last entry.
+    /// Position of the last entry.
     pub last: Position,
-    /// Replicas in force.
+    /// Latest membership, committed or not.
     pub membership: Membership,
-    /// Whether the change that gave these replicas is committed.
+    /// Whether the change to the latest membership is committed.
     pub membership_committed: bool,
-    /// The latest replicas of which that is known.
+    /// Latest membership that is known to be committed.
     pub committed_membership: Membership,
-    /// On the leader: replicas silent for longer than the limit.
-    pub silent: BTreeSet<DiskId>,
-    /// Replicas that were heard within that limit.
-    pub heard: BTreeSet<DiskId>,
-    /// On the leader: replicas that hold everything committed.
+    /// On the leader: replicas without a response for longer than [`ReplicaSettings::replace_after`].
+    pub unresponsive: BTreeSet<DiskId>,
+    /// Replicas from which a message was received within that time.
+    pub responsive: BTreeSet<DiskId>,
+    /// On the leader: replicas that hold all committed entries.
     pub caught_up: BTreeSet<DiskId>,
     /// Size of the database file in bytes.
     pub file_bytes: u64,
-    /// Entries of the log that are held in memory, in bytes.
+    /// Size of the log entries in memory, in bytes.
     pub log_bytes: usize,
-    /// The latest snapshot, which is held in memory, in bytes.
+    /// Size of the latest snapshot, which is in memory, in bytes.
     pub snapshot_bytes: usize,
-    /// Whether new work is refused for lack of space.
+    /// Whether new work is refused because free disk space is below the reserve.
     pub full: bool,
-    /// Why the replica does not run, if it does not.
+    /// Error that stopped the replica, if any.
     pub stopped: Option<String>,
 }
 
 impl GroupStatus {
-    /// Returns what a replica tells about itself. Others that were silent for `replace_after`
-    /// milliseconds count as silent. What its storage and node know of is to be added.
+    /// Returns the status of a replica. Replicas without a response for `replace_after` milliseconds count as
+    /// unresponsive. The caller sets the fields about file size, free disk space and errors.
     pub fn of(replica: &Replica, replace_after: u64) -> Self {
-        let told = replica.status();
-        let replicas = &told.membership.replicas;
-        let leader = told.leader.and_then(|disk| replicas.get(&disk));
+        let status = replica.status();
+        let replicas = &status.membership.replicas;
+        let leader = status.leader.and_then(|disk| replicas.get(&disk));
         let caught_up = replicas.keys().copied();
         Self {
-            leads: told.leads,
+            leads: status.leads,
             leader: leader.map(|leader| leader.node.clone()),
-            term: told.term,
-            history: told.history,
-            commit: told.commit,
-            last: told.last,
-            membership_committed: told.membership_committed,
-            committed_membership: told.committed_membership,
-            silent: replica.silent(replace_after).into_iter().collect(),
-            heard: replica.heard_within(replace_after),
+            term: status.term,
+            history: status.history,
+            commit: status.commit,
+            last: status.last,
+            membership_committed: status.membership_committed,
+            committed_membership: status.committed_membership,
+            unresponsive: replica.silent(replace_after).into_iter().collect(),
+            responsive: replica.heard_within(replace_after),
             caught_up: caught_up
                 .filter(|disk| replica.has_caught_up(*disk))
                 .collect(),
             log_bytes: replica.log_bytes(),
             snapshot_bytes: replica.snapshot_bytes(),
-            membership: told.membership,
+            membership: status.membership,
             ..Self::new(replica.disk(), !replica.is_empty())
         }
     }
@@ -114,8 +114,8 @@
             membership: Membership::default(),
             membership_committed: false,
             committed_membership: Membership::default(),
-            silent: BTreeSet::new(),
-            heard: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
+            responsive: BTreeSet::new(),
             caught_up: BTreeSet::new(),
             file_bytes: 0,
             log_bytes: 0,
@@ -126,12 +126,13 @@
     }
 }
 
-struct Parked<M: StateMachine> {
+/// Storage and inputs of a replica until its thread is started.
+struct UnstartedReplica<M: StateMachine> {
     storage: RedbStorage,
     inputs: Receiver<Input<M>>,
 }
 
-/// One replica of a group on this node's disk.
+/// Handle of one replica of a group on this node's disk.
 pub struct Group<M: StateMachine> {
     id: GroupId,
     path: PathBuf,
@@ -140,12 +141,16 @@
     state: Arc<RwLock<SharedState<M>>>,
     applied: watch::Sender<LogIndex>,
     founding: Mutex<Option<Membership>>,
-    parked: Mutex<Option<Parked<M>>>,
+    unstarted: Mutex<Option<UnstartedReplica<M>>>,
     thread: Mutex<Option<JoinHandle<()>>>,
 }
 
 impl<M: StateMachine> Group<M> {
-    /// Opens the storage of a group below `folder` and checks it.
+    /// Opens the storage of a group in `folder`, without starting the replica.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the storage cannot be opened or read.
     pub fn open(folder: &Path, id: GroupId, cache_bytes: usize) -> Result<Self, StorageError> {
         let path = folder.join(format!("journal-{id}.redb"));
         let storage = RedbStorage::open(&path, DiskId(rand::rng().random()), cache_bytes)?;
@@ -160,14 +165,14 @@
             state: Arc::default(),
             applied: watch::Sender::new(0),
             founding: Mutex::new(None),
-            parked: Mutex::new(Some(Parked { storage, inputs })),
+            unstarted: Mutex::new(Some(UnstartedReplica { storage, inputs })),
             thread: Mutex::new(None),
         })
     }
 
-    /// Starts the replica's thread.
+    /// Starts the replica's thread. Later calls have no effect.
     pub fn start(&self, log: &Logger, settings: ReplicaSettings, transport: Box<dyn Transport>) {
-        let Some(parked) = self.parked.lock().take() else {
+        let Some(unstarted) = self.unstarted.lock().take() else {
             return;
         };
         let environment = Environment {
@@ -183,118 +188,127 @@
         let state = self.state.clone();
         let thread = std::thread::Builder::new()
             .name(format!("journal-{}", self.id))
-            .spawn(move || driver::run(environment, parked.storage, parked.inputs, state));
+            .spawn(move || driver::run(environment, unstarted.storage, unstarted.inputs, state));
         *self.thread.lock() = thread.ok();
     }
 
-    /// The state as this replica has applied it, which may lag behind what is committed. What it
-    /// holds is committed and stays.
+    /// Returns the state as applied by this replica. It contains only committed entries, but may lag behind
+    /// the leader.
     pub fn applied_state(&self) -> SharedState<M> {
         self.state.read().clone()
     }
 
-    /// Wakes with every entry applied and every change of leadership.
+    /// Returns a receiver that is notified of applied entries and changes of leadership.
     pub fn changes(&self) -> watch::Receiver<LogIndex> {
         self.applied.subscribe()
     }
 
-    /// The group's number.
+    /// Returns the number of the group.
     pub fn id(&self) -> GroupId {
         self.id
     }
 
-    /// What the replica last told about itself.
+    /// Returns the last published status of the replica.
     pub fn status(&self) -> Arc<GroupStatus> {
         self.status.read().clone()
     }
 
-    /// Takes in a message from another replica.
+    /// Passes a message from another replica to this one.
     pub fn received(&self, node: NodeName, envelope: Envelope) {
         let _ = self.inputs.send(Input::Received { node, envelope });
     }
 
-    /// The founding membership, if it was read since the node's start.
+    /// Returns the founding membership, if it was set since the node's start.
     pub fn founding(&self) -> Option<Membership> {
         self.founding.lock().clone()
     }
 
-    /// Takes in the founding membership. An empty replica that it names becomes a founding one; a
-    /// disk replaced since has another identity.
-    pub fn found(&self, membership: Membership) {
+    /// Sets the founding membership. If it contains this disk as a voter and the replica is empty, the replica
+    /// starts with it. A replaced disk has another identity, so it does not.
+    pub fn set_founding(&self, membership: Membership) {
         *self.founding.lock() = Some(membership.clone());
         if membership.is_voter(self.status().disk) {
             let _ = self.inputs.send(Input::Found(membership));
         }
     }
 
-    /// Appends a membership change if this replica leads.
+    /// Proposes a membership change if this replica leads.
     pub fn change(&self, change: MembershipChange) {
         let _ = self.inputs.send(Input::Change(change));
     }
 
-    /// Goes on with these disks as the only voters; see
-    /// [`firshore_replication::replica::Replica::continue_with`] for what must be certain.
+    /// Continues with these disks as the only voters; see
+    /// [`firshore_replication::replica::Replica::continue_with`] for the preconditions.
     pub fn continue_with(&self, survivors: Survivors) {
         let _ = self.inputs.send(Input::ContinueWith(survivors));
     }
 
-    /// Leaves the history of the log for a later one.
+    /// Switches to a later history of the log.
     pub fn join_history(&self, history: u64) {
         let _ = self.inputs.send(Input::JoinHistory(history));
     }
 
     /// Commits a command and returns its outcome.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal; after [`JournalRefusal::Unsettled`] the command may still take effect.
     pub async fn propose(&self, command: M::Command) -> Result<M::Outcome, JournalRefusal> {
-        let (answer, received) = oneshot::channel();
-        let _ = self.inputs.send(Input::Propose { command, answer });
+        let (response, received) = oneshot::channel();
+        let _ = self.inputs.send(Input::Propose { command, response });
         received.await.unwrap_or(Err(JournalRefusal::Unsettled))
     }
 
-    /// The state with everything committed before now.
+    /// Returns the state with all entries that were committed before the call.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`JournalRefusal::NotLeader`] if this replica does not lead, or if too few disks hold what is
+    /// committed.
     pub async fn read(&self) -> Result<SharedState<M>, JournalRefusal> {
-        let (answer, received): (ReadAnswer<M>, _) = oneshot::channel();
-        let _ = self.inputs.send(Input::Read(answer));
-        let lost = JournalRefusal::NotLeader { leader: None };
-        received.await.unwrap_or(Err(lost))
+        let (response, received): (ReadSender<M>, _) = oneshot::channel();
+        let _ = self.inputs.send(Input::Read(response));
+        let stopped = JournalRefusal::NotLeader { leader: None };
+        received.await.unwrap_or(Err(stopped))
     }
 
-    /// The commands of entries that the state refers to. Those that are not there, or not any more,
-    /// are left out.
+    /// Returns the commands of entries that the state refers to. Commands that the storage does not hold, or
+    /// no longer holds, are omitted.
     pub async fn load(&self, indexes: BTreeSet<LogIndex>) -> BTreeMap<LogIndex, M::Command> {
         if indexes.is_empty() {
             return BTreeMap::new();
         }
-        let (answer, received) = oneshot::channel();
-        let _ = self.inputs.send(Input::Load { indexes, answer });
+        let (response, received) = oneshot::channel();
+        let _ = self.inputs.send(Input::Load { indexes, response });
         received.await.unwrap_or_default()
     }
 
-    /// Hands leadership to another replica, if this one leads and another is there.
-    pub async fn step_aside(&self) {
+    /// Transfers leadership to another voter, if this replica leads and there is one. Waits up to 3 seconds.
+    pub async fn step_down(&self) {
         if self.status().membership.voters().count() >= 2 {
-            self.step_aside_for(None).await;
+            self.request_step_down(None).await;
         }
     }
 
-    /// Hands leadership to the voter on this disk, if this replica leads.
-    pub async fn hand_over(&self, heir: DiskId) {
-        self.step_aside_for(Some(heir)).await;
+    /// Transfers leadership to the voter on this disk, if this replica leads. Waits up to 3 seconds.
+    pub async fn transfer_leadership(&self, target: DiskId) {
+        self.request_step_down(Some(target)).await;
     }
 
-    async fn step_aside_for(&self, heir: Option<DiskId>) {
+    async fn request_step_down(&self, target: Option<DiskId>) {
         if !self.status().leads {
             return;
         }
-        let _ = self.inputs.send(Input::StepAside(heir));
-        let waited = async {
+        let _ = self.inputs.send(Input::StepDown(target));
+        let stepped_down = async {
             while self.status().leads {
-                actix_rt::time::sleep(STEP_ASIDE_POLL).await;
+                actix_rt::time::sleep(STEP_DOWN_POLL).await;
             }
         };
-        let _ = tokio::time::timeout(STEP_ASIDE_TIMEOUT, waited).await;
+        let _ = tokio::time::timeout(STEP_DOWN_TIMEOUT, stepped_down).await;
     }
 
-    /// Ends the replica's thread; its file can be opened again afterwards.
+    /// Stops the replica's thread and waits for its end. Its file can then be opened again.
     pub fn stop(&self) {
         let _ = self.inputs.send(Input::Stop);
         if let Some(thread) = self.thread.lock().take() {
--- a/crates/firshore-log/src/lib.rs
+++ b/crates/firshore-log/src/lib.rs
@@ -1,9 +1,8 @@
-//! Runs replicas of a replicated log on a disk, each on a thread of its own, and applies what is
-//! committed to a state machine.
+//! Runs replicas of a replicated log on a disk, each on its own thread, and applies committed entries
+//! to a state machine.
 //!
-//! The machine above ([`machine::StateMachine`]) and the way messages travel
-//! ([`machine::Transport`]) are given from outside; which replicas a group has is decided in
-//! [`placement`].
+//! The caller provides the state machine ([`machine::StateMachine`]) and the transport for messages
+//! ([`machine::Transport`]). [`placement`] decides which replicas a group has.
 #![deny(missing_docs, unsafe_code)]
 
 mod disk_space;
--- a/crates/firshore-log/src/machine.rs
+++ b/crates/firshore-log/src/machine.rs
@@ -1,4 +1,4 @@
-//! What a group's log is applied to, and how its replicas reach each other.
+//! Interfaces that the user of a group provides: state machine, transport and settings.
 
 use firshore_replication::message::Envelope;
 use firshore_replication::replica::Timing;
@@ -11,62 +11,63 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A deterministic machine: the same commands in the same order give the same state everywhere.
+/// Deterministic state machine: the same commands in the same order give the same state on every replica.
 pub trait StateMachine: Default + Serialize + DeserializeOwned + Send + Sync + 'static {
-    /// What is committed.
+    /// Command that the log commits.
     type Command: Serialize + DeserializeOwned + Send + 'static;
 
-    /// What applying a command gives.
+    /// Result of applying a command.
     type Outcome: Send + 'static;
 
-    /// The outcome of a command that would change nothing, so that it need not enter the log.
+    /// Returns the outcome of a command that would change nothing, which then does not enter the log.
     /// `now` is the leader's clock in Unix milliseconds.
     fn without_effect(&self, command: &Self::Command, now: u64) -> Option<Self::Outcome>;
 
-    /// Stamps the leader's clock on a command that is about to enter the log, so that every
-    /// replica applies the same time.
+    /// Sets the time of a command before it enters the log, so that every replica applies the same time.
+    /// `now` is the leader's clock in Unix milliseconds.
     fn stamp(command: &mut Self::Command, now: u64);
 
-    /// Whether a command takes new work in; results and ends of accepted work may use the reserve
-    /// of the disk.
+    /// Returns whether a command accepts new work. Such commands are refused when free disk space is below
+    /// the reserve; commands that finish accepted work may use the reserve.
     fn needs_space(command: &Self::Command) -> bool;
 
-    /// Applies the committed command of the entry at `at`.
+    /// Applies the committed command of the entry with index `at`.
     fn apply(&mut self, at: LogIndex, command: Self::Command) -> Self::Outcome;
 
-    /// Entries whose commands hold what the state only refers to by their index, so that it need
-    /// not stay in memory or travel in snapshots. They can be read until a command is applied after
-    /// which they are not named any more; an entry that was not named at once never is.
+    /// Returns the indexes of entries whose commands the state refers to, so that their content need not
+    /// be kept in memory or in snapshots. A command stays readable as long as its index is returned. An
+    /// index must be returned as soon as its entry is applied; it cannot be added later.
     fn referenced(&self) -> BTreeSet<LogIndex> {
         BTreeSet::new()
     }
 }
 
-/// State of a machine, as readers share it.
+/// State of a machine, shared with readers.
 pub type SharedState<M> = Arc<RwLock<M>>;
 
-/// Carries messages between replicas. Messages may be lost; nothing here waits.
+/// Sends messages between replicas without blocking. Messages may be lost.
 pub trait Transport: Send + 'static {
-    /// Looks up again where nodes are; called a few times a second.
+    /// Updates the addresses of nodes. Called about every 200 milliseconds.
     fn refresh(&mut self);
 
-    /// Sends a message to the replica on a node.
+    /// Sends a message to a group's replica on a node.
     fn send(&self, group: GroupId, node: &NodeName, envelope: Envelope);
 }
 
-/// What a replica is told at its start.
+/// Settings of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaSettings {
-    /// Elections, heartbeats, sizes of messages.
+    /// Timing of elections and heartbeats, and sizes of messages.
     pub timing: Timing,
-    /// Silence of a replica after which another disk takes its place.
+    /// Time without a response after which a replica counts as unresponsive.
     pub replace_after: Duration,
-    /// Disks that have to hold what is proposed; a group of fewer refuses it.
-    pub least: usize,
-    /// Free space of the data folder below which new work is refused, in bytes.
+    /// Number of disks that must hold a committed command; a group with a smaller quorum refuses proposals.
+    pub min_disks: usize,
+    /// Free disk space of the data folder below which new work is refused, in bytes.
     pub reserve_bytes: u64,
-    /// Log in memory at which a snapshot is taken, in bytes, unless the last one was larger.
+    /// Size of the log in memory above which a snapshot is taken, in bytes. The size of the last snapshot
+    /// applies instead if it is larger.
     pub snapshot_after_bytes: usize,
-    /// Memory for pages of the database, in bytes.
+    /// Size of the page cache of the database, in bytes.
     pub cache_bytes: usize,
 }
--- a/crates/firshore-log/src/placement.rs
+++ b/crates/firshore-log/src/placement.rs
@@ -1,69 +1,69 @@
-//! Which replica of a group to add, promote or remove next: as many voters as the losses that are to
-//! be borne ask for, in different zones, failed ones replaced. A pure decision, taken again and again by
-//! the group's leader.
+//! Placement of a group's replicas: decides which replica to add, promote or remove next. The group gets
+//! as many voters as the tolerated number of lost disks requires, in different zones; failed voters are
+//! replaced. The decision is a pure function that the group's leader evaluates repeatedly.
 
 use firshore_replication::types::{DiskId, Membership, MembershipChange, ReplicaInfo, ReplicaRole};
 use firshore_types::ids::{NodeName, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Replicas that a group is to have unless told otherwise.
+/// Default number of voters of a group.
 pub const TARGET_VOTERS: usize = 3;
 
-/// Replicas that a group needs so that losing `disks` of them at once loses nothing.
+/// Returns the number of voters with which losing `disks` of them at once loses no committed entry.
 pub fn voters_for(disks: u32) -> usize {
     2 * disks as usize + 1
 }
 
-/// Returns whether everything that these replicas commit lies on at least `least` disks.
+/// Returns whether every entry that these replicas commit is on at least `min_disks` disks.
 ///
-/// A quorum holds what is committed, so a quorum has to be as many: counting voters let three of them
-/// accept what two had committed, where three disks were needed.
-pub fn keeps_promises(membership: &Membership, least: usize) -> bool {
-    membership.quorum() >= least
+/// The size of the quorum counts, not the number of voters: three voters commit with two disks.
+pub fn is_durable(membership: &Membership, min_disks: usize) -> bool {
+    membership.quorum() >= min_disks
 }
 
-/// Returns whether what a leader reads may be shown: it is a promise that it stays, like an acceptance.
+/// Returns whether a leader may serve reads. What a reader sees has the same durability guarantee as an
+/// accepted command.
 ///
-/// Both the latest voters and those of the latest committed change have to keep it: a lone voter that takes
-/// a second one in has committed by itself until that change is committed.
-pub fn may_show(latest: &Membership, committed: &Membership, least: usize) -> bool {
-    keeps_promises(latest, least) && keeps_promises(committed, least)
+/// The guarantee must hold for both the latest and the latest committed membership: a lone voter that adds
+/// a second one has committed entries alone until the addition is committed.
+pub fn allows_reads(latest: &Membership, committed: &Membership, min_disks: usize) -> bool {
+    is_durable(latest, min_disks) && is_durable(committed, min_disks)
 }
 
-/// What the leader of a group knows of it.
+/// The leader's view of its group.
 #[derive(Clone, Debug)]
 pub struct GroupView {
-    /// Replicas that the group is to have.
+    /// Desired number of voters.
     pub target: usize,
-    /// Disks that have to hold what is promised.
-    pub least: usize,
+    /// Number of disks that must hold a committed entry.
+    pub min_disks: usize,
     /// Disk of the leader.
-    pub own: DiskId,
-    /// Replicas in force.
+    pub leader: DiskId,
+    /// Latest membership.
     pub membership: Membership,
-    /// Replicas silent for longer than the limit.
-    pub silent: BTreeSet<DiskId>,
-    /// Replicas whose disks are known never to come back, or that are given up.
-    pub gone: BTreeSet<DiskId>,
-    /// Replicas on nodes that are to be emptied: disks like others until that is reported as done.
+    /// Replicas without a response for longer than the limit.
+    pub unresponsive: BTreeSet<DiskId>,
+    /// Replicas whose disks are lost for good or abandoned.
+    pub lost: BTreeSet<DiskId>,
+    /// Replicas on nodes that are being drained. They count like other replicas until the drain is reported as complete.
     pub leaving: BTreeSet<DiskId>,
-    /// Replicas that hold everything committed but for what is on its way to them.
+    /// Replicas that hold all committed entries except those in flight to them.
     pub caught_up: BTreeSet<DiskId>,
 }
 
-/// A disk that could hold a replica.
+/// Disk that could hold a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// Identity of the disk.
     pub disk: DiskId,
-    /// Node.
+    /// Node that has the disk.
     pub node: NodeName,
     /// Zone of the node.
     pub zone: ZoneName,
 }
 
 impl Candidate {
-    /// Returns what the group keeps of a replica there.
+    /// Returns the membership entry of a replica on this disk.
     pub fn info(&self, role: ReplicaRole) -> ReplicaInfo {
         ReplicaInfo {
             node: self.node.clone(),
@@ -82,55 +82,63 @@
             .map(|(disk, replica)| (*disk, replica))
     }
 
-    fn answers(&self, disk: DiskId) -> bool {
-        !self.silent.contains(&disk) && !self.gone.contains(&disk)
+    fn is_responsive(&self, disk: DiskId) -> bool {
+        !self.unresponsive.contains(&disk) && !self.lost.contains(&disk)
     }
 
-    /// Voters that answer and are to stay.
-    fn live_voters(&self) -> impl Iterator<Item = (DiskId, &ReplicaInfo)> {
+    /// Responsive voters that are not on a node being drained.
+    fn staying_voters(&self) -> impl Iterator<Item = (DiskId, &ReplicaInfo)> {
         self.voters()
-            .filter(|(disk, _)| self.answers(*disk) && !self.leaving.contains(disk))
+            .filter(|(disk, _)| self.is_responsive(*disk) && !self.leaving.contains(disk))
     }
 
-    /// Voters that answer and hold everything committed, wherever they are.
-    fn holders(&self) -> impl Iterator<Item = DiskId> {
+    /// Responsive voters that hold all committed entries, including those on nodes being drained.
+    fn up_to_date_voters(&self) -> impl Iterator<Item = DiskId> {
         let voters = self.voters().map(|(disk, _)| disk);
         voters.filter(|disk| {
-            *disk == self.own || (self.answers(*disk) && self.caught_up.contains(disk))
+            *disk == self.leader || (self.is_responsive(*disk) && self.caught_up.contains(disk))
         })
     }
 
-    /// Whether the group can do without a voter. What is committed afterwards has to lie on as many disks
-    /// as promises need, and so many have to hold everything now; one that answers is never given away
-    /// below that, one that does not is no copy to count on. Each step that takes a copy away asks this.
-    /// What is still on its way to a holder is settled by the log: the removal has to be committed by a
-    /// quorum of those that are left, and all before it with it.
-    fn can_spare(&self, disk: DiskId) -> bool {
-        let mut after = self.membership.clone();
-        after.replicas.remove(&disk);
-        let holders = self.holders().filter(|holder| *holder != disk).count();
-        let enough = match self.answers(disk) {
-            true => after.quorum() >= self.least && self.bears_losses(&after, holders),
-            false => after.quorum() >= self.least.min(self.membership.quorum()),
+    /// Returns whether a voter can be removed; checked before every step that removes a copy. A responsive
+    /// voter is removed only if the remaining quorum meets the durability guarantee and enough of the remaining
+    /// voters hold all committed entries. An unresponsive voter does not count as a copy. Entries in flight to
+    /// the remaining voters need no check: the removal itself, and every entry before it, must be committed by
+    /// a quorum of them.
+    fn can_remove(&self, disk: DiskId) -> bool {
+        let mut remaining = self.membership.clone();
+        remaining.replicas.remove(&disk);
+        let up_to_date_voters = self
+            .up_to_date_voters()
+            .filter(|other| *other != disk)
+            .count();
+        let enough = match self.is_responsive(disk) {
+            true => {
+                remaining.quorum() >= self.min_disks
+                    && self.tolerates_losses(&remaining, up_to_date_voters)
+            }
+            false => remaining.quorum() >= self.min_disks.min(self.membership.quorum()),
         };
-        disk != self.own && enough && holders >= after.quorum()
+        disk != self.leader && enough && up_to_date_voters >= remaining.quorum()
     }
 
-    /// Whether those that hold everything go on after as many losses as are to be borne, be the others gone
-    /// by now: no quorum is lost then that does not contain one of them.
-    fn bears_losses(&self, group: &Membership, holders: usize) -> bool {
-        let missing = group.voters().count().saturating_sub(holders);
-        missing + self.least <= group.quorum()
+    /// Returns whether every quorum of `group` still contains an up-to-date voter after the tolerated number of
+    /// lost disks, even if the voters that are not up to date are lost already.
+    fn tolerates_losses(&self, group: &Membership, up_to_date_voters: usize) -> bool {
+        let missing = group.voters().count().saturating_sub(up_to_date_voters);
+        missing + self.min_disks <= group.quorum()
     }
 
-    /// Whether the voters that answer are too few to promise anything by themselves.
-    pub fn is_short(&self) -> bool {
-        let mut answering = self.membership.clone();
-        answering.replicas.retain(|disk, _| self.answers(*disk));
-        !keeps_promises(&answering, self.least)
+    /// Returns whether the responsive replicas alone cannot meet the durability guarantee.
+    pub fn is_underreplicated(&self) -> bool {
+        let mut responsive = self.membership.clone();
+        responsive
+            .replicas
+            .retain(|disk, _| self.is_responsive(*disk));
+        !is_durable(&responsive, self.min_disks)
     }
 
-    /// The replica that is to catch up before it votes, if there is one.
+    /// Returns the learner, a replica that must catch up before it votes, if there is one.
     pub fn learner(&self) -> Option<DiskId> {
         let mut replicas = self.membership.replicas.iter();
         replicas
@@ -138,147 +146,156 @@
             .map(|(disk, _)| *disk)
     }
 
-    /// A voter that shares its zone with another one that goes on; never the leader.
-    fn redundant(&self) -> Option<DiskId> {
+    /// Returns a voter, other than the leader, that shares its zone with another staying voter.
+    fn same_zone_voter(&self) -> Option<DiskId> {
         let mut in_zone: BTreeMap<&ZoneName, Vec<DiskId>> = BTreeMap::new();
-        for (disk, replica) in self.live_voters() {
+        for (disk, replica) in self.staying_voters() {
             in_zone.entry(&replica.zone).or_default().push(disk);
         }
-        let shared = in_zone.into_values().find(|disks| disks.len() > 1);
-        shared?.into_iter().find(|disk| *disk != self.own)
+        let shared_zone = in_zone.into_values().find(|disks| disks.len() > 1);
+        shared_zone?.into_iter().find(|disk| *disk != self.leader)
     }
 
-    /// The voter to hand leadership to from a node that is to be emptied: it answers, holds everything
-    /// and stays. Without one the leader goes on, as nobody else could.
-    pub fn heir(&self) -> Option<DiskId> {
-        let mut heirs = self.holders().filter(|disk| *disk != self.own);
-        heirs.find(|disk| !self.leaving.contains(disk))
+    /// Returns the voter to which a leader on a node being drained transfers leadership: it is responsive, up to
+    /// date and not on such a node. Without one, the leader keeps leadership.
+    pub fn transfer_target(&self) -> Option<DiskId> {
+        let mut targets = self.up_to_date_voters().filter(|disk| *disk != self.leader);
+        targets.find(|disk| !self.leaving.contains(disk))
     }
 
-    /// Whether a disk is wanted: too few voters, a silent one, or two in one zone.
-    pub fn wants_candidate(&self) -> bool {
+    /// Returns whether another disk is needed: too few staying voters, or two of them in one zone.
+    pub fn needs_candidate(&self) -> bool {
         self.learner().is_none()
             && self.voters().count() <= self.target
-            && (self.live_voters().count() < self.target || self.redundant().is_some())
+            && (self.staying_voters().count() < self.target || self.same_zone_voter().is_some())
     }
 
-    /// The next change, if one is due.
+    /// Returns the next membership change, if one is due.
     pub fn next_change(&self, candidates: &[Candidate]) -> Option<MembershipChange> {
         if let Some(learner) = self.learner() {
-            return self.settle_learner(learner);
+            return self.learner_change(learner);
         }
         self.removal()
             .or_else(|| self.addition(candidates))
-            .or_else(|| self.without_replacement())
+            .or_else(|| self.removal_without_replacement())
     }
 
-    fn settle_learner(&self, learner: DiskId) -> Option<MembershipChange> {
-        if !self.answers(learner) {
+    fn learner_change(&self, learner: DiskId) -> Option<MembershipChange> {
+        if !self.is_responsive(learner) {
             return Some(MembershipChange::Remove(learner));
         }
-        // Before the learner votes: an even number of voters of which one never answers is left without
-        // a quorum by a loss that three of four would bear.
+        // Failed voters are removed before the learner is promoted: an even number of voters, one of them
+        // failed, loses its quorum with one failure fewer than the same number of working voters.
         let ready = self.caught_up.contains(&learner);
-        let dead = match ready {
-            true => self.dead().or_else(|| self.mute()),
-            false => self.dead(),
+        let failed_voter = match ready {
+            true => self.lost_voter().or_else(|| self.unresponsive_voter()),
+            false => self.lost_voter(),
         };
-        dead.map(MembershipChange::Remove)
+        failed_voter
+            .map(MembershipChange::Remove)
             .or(ready.then_some(MembershipChange::Promote(learner)))
     }
 
-    /// A voter whose disk is gone, if the group can do without it: it only raises the quorum.
-    fn dead(&self) -> Option<DiskId> {
-        let mut gone = self.gone.iter().copied();
-        gone.find(|disk| self.membership.is_voter(*disk) && self.can_spare(*disk))
+    /// Returns a voter whose disk is lost and that can be removed; it only raises the quorum.
+    fn lost_voter(&self) -> Option<DiskId> {
+        let mut lost = self.lost.iter().copied();
+        lost.find(|disk| self.membership.is_voter(*disk) && self.can_remove(*disk))
     }
 
-    /// A voter that does not answer, if the group can do without it.
-    fn mute(&self) -> Option<DiskId> {
-        let mut silent = self.silent.iter().copied();
-        silent.find(|disk| self.membership.is_voter(*disk) && self.can_spare(*disk))
+    /// Returns an unresponsive voter that can be removed.
+    fn unresponsive_voter(&self) -> Option<DiskId> {
+        let mut unresponsive = self.unresponsive.iter().copied();
+        unresponsive.find(|disk| self.membership.is_voter(*disk) && self.can_remove(*disk))
     }
 
-    /// A voter that is in the way.
+    /// Returns the removal of a lost voter, or of one above the desired number.
     fn removal(&self) -> Option<MembershipChange> {
-        let superfluous = || match self.voters().count() > self.target {
-            true => self.superfluous(),
+        let excess_voter = || match self.voters().count() > self.target {
+            true => self.excess_voter(),
             false => None,
         };
-        let removed = self.dead().or_else(superfluous)?;
+        let removed = self.lost_voter().or_else(excess_voter)?;
         Some(MembershipChange::Remove(removed))
     }
 
     fn addition(&self, candidates: &[Candidate]) -> Option<MembershipChange> {
-        if !self.wants_candidate() {
+        if !self.needs_candidate() {
             return None;
         }
-        let chosen = self.choose(candidates)?;
+        let chosen = self.choose_candidate(candidates)?;
         let info = chosen.info(ReplicaRole::Learner);
         Some(MembershipChange::AddLearner(chosen.disk, info))
     }
 
-    fn superfluous(&self) -> Option<DiskId> {
+    fn excess_voter(&self) -> Option<DiskId> {
         let voters = || self.voters().map(|(disk, _)| disk);
-        let leaving = || voters().find(|disk| self.leaving.contains(disk) && self.can_spare(*disk));
-        let any = || voters().find(|disk| self.can_spare(*disk));
-        self.mute()
+        let leaving =
+            || voters().find(|disk| self.leaving.contains(disk) && self.can_remove(*disk));
+        let any = || voters().find(|disk| self.can_remove(*disk));
+        self.unresponsive_voter()
             .or_else(leaving)
-            .or_else(|| self.redundant().filter(|disk| self.can_spare(*disk)))
+            .or_else(|| self.same_zone_voter().filter(|disk| self.can_remove(*disk)))
             .or_else(any)
     }
 
-    /// A replica on a node that is to be emptied goes even if no disk can take its place, as long as all
-    /// others hold everything and are enough.
-    fn without_replacement(&self) -> Option<MembershipChange> {
+    /// Returns the removal of a voter on a node being drained without a disk that replaces it, if all other
+    /// voters are up to date and are enough.
+    fn removal_without_replacement(&self) -> Option<MembershipChange> {
         let mut leaving = self.leaving.iter().copied();
-        let goes = |disk: &DiskId| {
+        let is_removable = |disk: &DiskId| {
             let others = self.voters().count() - 1;
-            let holders = self.holders().filter(|holder| holder != disk).count();
-            self.membership.is_voter(*disk) && holders >= others && self.can_spare(*disk)
+            let up_to_date_voters = self
+                .up_to_date_voters()
+                .filter(|other| other != disk)
+                .count();
+            self.membership.is_voter(*disk) && up_to_date_voters >= others && self.can_remove(*disk)
         };
-        leaving.find(goes).map(MembershipChange::Remove)
+        leaving.find(is_removable).map(MembershipChange::Remove)
     }
 
-    fn choose<'a>(&self, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
-        let nodes: BTreeSet<&NodeName> = self.live_voters().map(|(_, one)| &one.node).collect();
-        let zones: BTreeSet<&ZoneName> = self.live_voters().map(|(_, one)| &one.zone).collect();
-        let mut open: Vec<&Candidate> = candidates
+    fn choose_candidate<'a>(&self, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
+        let nodes: BTreeSet<&NodeName> = self.staying_voters().map(|(_, one)| &one.node).collect();
+        let zones: BTreeSet<&ZoneName> = self.staying_voters().map(|(_, one)| &one.zone).collect();
+        let mut eligible: Vec<&Candidate> = candidates
             .iter()
             .filter(|one| !self.membership.replicas.contains_key(&one.disk))
             .filter(|one| !nodes.contains(&one.node))
             .collect();
-        open.sort_by_key(|one| (zones.contains(&one.zone), one.node.clone()));
-        // Two voters need both: a lone voter waits until it can become three, unless promises
-        // need two.
+        eligible.sort_by_key(|one| (zones.contains(&one.zone), one.node.clone()));
+        // A quorum of two voters needs both, so a lone voter waits for enough candidates to reach the desired
+        // number, unless the durability guarantee requires two disks.
         let voters = self.voters().count();
-        if voters == 1 && self.least < 2 && open.len() + 1 < self.target {
+        if voters == 1 && self.min_disks < 2 && eligible.len() + 1 < self.target {
             return None;
         }
-        let best = open.first()?;
-        let spreads = !zones.contains(&best.zone);
-        (spreads || self.live_voters().count() < self.target).then_some(best)
+        let best = eligible.first()?;
+        let is_new_zone = !zones.contains(&best.zone);
+        (is_new_zone || self.staying_voters().count() < self.target).then_some(best)
     }
 }
 
-/// The founding replicas: up to `target`, in different zones where there are as many, in order of
-/// node. Fewer disks found a group of one.
-pub fn founders(candidates: &[Candidate], own: &Candidate, target: usize) -> Membership {
+/// Returns the founding membership: `target` voters on different nodes, in different zones where possible,
+/// in order of node name. With fewer nodes, the group starts with the local voter alone.
+pub fn founding_membership(
+    candidates: &[Candidate],
+    local: &Candidate,
+    target: usize,
+) -> Membership {
     let mut sorted: Vec<&Candidate> = candidates.iter().collect();
     sorted.sort_by(|one, other| one.node.cmp(&other.node));
     let mut chosen: Vec<&Candidate> = Vec::new();
     for spread in [true, false] {
         for candidate in &sorted {
             let same_zone = chosen.iter().any(|one| one.zone == candidate.zone);
-            let taken = chosen.iter().any(|one| one.node == candidate.node);
-            let unfit = taken || (spread && same_zone);
-            if !unfit && chosen.len() < target {
+            let same_node = chosen.iter().any(|one| one.node == candidate.node);
+            let excluded = same_node || (spread && same_zone);
+            if !excluded && chosen.len() < target {
                 chosen.push(candidate);
             }
         }
     }
     if chosen.len() < target {
-        chosen = vec![own];
+        chosen = vec![local];
     }
     let replicas = chosen
         .into_iter()
@@ -288,7 +305,7 @@
     }
 }
 
-/// Zones in which candidates stand.
+/// Returns the number of zones that have candidates.
 pub fn zone_count(candidates: &[Candidate]) -> usize {
     let zones: BTreeSet<&ZoneName> = candidates.iter().map(|one| &one.zone).collect();
     zones.len()
--- a/crates/firshore-log/src/reference_transfer.rs
+++ b/crates/firshore-log/src/reference_transfer.rs
@@ -1,95 +1,98 @@
-//! Which commands that a snapshot refers to a replica still lacks, and when they are sent. No I/O; the
-//! time is passed in.
+//! Schedules the transfer of commands that a snapshot refers to, for each receiving replica. Performs no
+//! I/O; the caller passes in the time.
 
 use firshore_replication::message::{Envelope, Message};
 use firshore_replication::types::{DiskId, LogIndex, ReferencedCommand};
 use std::collections::BTreeMap;
 
-/// Time in milliseconds after which commands without an answer are sent again.
-const RESEND_AFTER: u64 = 500;
+/// Time after which unacknowledged commands are sent again, in milliseconds.
+const RESEND_INTERVAL_MS: u64 = 500;
 
-/// What a replica has been sent of the commands that a snapshot refers to.
+/// State of the transfer to one replica.
 #[derive(Debug, Default)]
 struct Transfer {
-    /// It holds all up to here.
+    /// Last index up to which the replica holds all referenced commands.
     held: LogIndex,
-    /// When the last message was sent that it has not answered, in milliseconds.
+    /// When the message in flight was sent, in milliseconds; `None` once it is acknowledged.
     sent_at: Option<u64>,
-    /// The first part of the snapshot, to be sent once all is held.
-    waiting: Option<Envelope>,
+    /// First chunk of the snapshot, held until the commands in flight are acknowledged.
+    pending_chunk: Option<Envelope>,
 }
 
-/// What is to be sent in place of a message.
+/// What to send in place of a message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum TransferStep {
-    /// Nothing now.
+    /// Send nothing.
     Wait,
-    /// The message itself.
-    Pass(Envelope),
-    /// Commands, after those up to `held`; the message waits for their answer.
+    /// Send the message itself.
+    Forward(Envelope),
+    /// Send commands with indexes above `held`; the message is held until they are acknowledged.
     Commands {
-        /// Last index that the receiver is known to hold.
+        /// Last index that the receiver has acknowledged.
         held: LogIndex,
         /// Number of commands.
         count: usize,
-        /// Message with the commands.
+        /// Message that carries the commands.
         envelope: Envelope,
     },
 }
 
-/// Replicas that get a snapshot, and the commands that it refers to before.
+/// Transfers of referenced commands to all replicas that receive a snapshot.
 #[derive(Debug, Default)]
 pub struct ReferenceTransfers {
     transfers: BTreeMap<DiskId, Transfer>,
 }
 
 impl ReferenceTransfers {
-    /// Takes in a message that is to be sent: before the first part of a snapshot go the commands that it
-    /// refers to. `lacking` gives the next ones after an index and up to another, or `None` if one
-    /// cannot be read.
-    pub fn before(
+    /// Returns what to send in place of `envelope`: the first chunk of a snapshot is preceded by the commands
+    /// that the snapshot refers to. `now` is in milliseconds. `missing` returns the next commands after one
+    /// index and up to another, or `None` if a command cannot be read.
+    pub fn next_step(
         &mut self,
         now: u64,
         envelope: Envelope,
-        lacking: impl FnOnce(LogIndex, LogIndex) -> Option<Vec<ReferencedCommand>>,
+        missing: impl FnOnce(LogIndex, LogIndex) -> Option<Vec<ReferencedCommand>>,
     ) -> TransferStep {
         let Message::SnapshotChunk {
             header, offset: 0, ..
         } = &envelope.message
         else {
-            return TransferStep::Pass(envelope);
+            return TransferStep::Forward(envelope);
         };
         let transfer = self.transfers.entry(envelope.to).or_default();
-        if transfer.sent_at.is_some_and(|at| now < at + RESEND_AFTER) {
+        if transfer
+            .sent_at
+            .is_some_and(|at| now < at + RESEND_INTERVAL_MS)
+        {
             return TransferStep::Wait;
         }
         let held = transfer.held;
-        let Some(commands) = lacking(held, header.position.index) else {
+        let Some(commands) = missing(held, header.position.index) else {
             return TransferStep::Wait;
         };
         if commands.is_empty() {
-            return TransferStep::Pass(envelope);
+            return TransferStep::Forward(envelope);
         }
         let count = commands.len();
-        let in_place = Envelope {
+        let commands_message = Envelope {
             message: Message::ReferencedCommands(commands),
             ..envelope
         };
         transfer.sent_at = Some(now);
-        transfer.waiting = Some(envelope);
+        transfer.pending_chunk = Some(envelope);
         TransferStep::Commands {
             held,
             count,
-            envelope: in_place,
+            envelope: commands_message,
         }
     }
 
-    /// Takes in that a replica holds the commands sent, up to `through`. Returns the message that waited
-    /// for it.
-    pub fn answered(&mut self, disk: DiskId, through: LogIndex) -> Option<Envelope> {
+    /// Records that a replica holds the referenced commands up to `through`. Returns the snapshot chunk that
+    /// was held until then.
+    pub fn acknowledge(&mut self, disk: DiskId, through: LogIndex) -> Option<Envelope> {
         let transfer = self.transfers.get_mut(&disk)?;
         transfer.held = transfer.held.max(through);
         transfer.sent_at = None;
-        transfer.waiting.take()
+        transfer.pending_chunk.take()
     }
 }
--- a/crates/firshore-log/src/refusal.rs
+++ b/crates/firshore-log/src/refusal.rs
@@ -1,22 +1,22 @@
-//! Why a leader did not do as asked.
+//! Reasons for which a journal group refuses a request.
 
 use firshore_types::ids::NodeName;
 use serde::{Deserialize, Serialize};
 
-/// Why a journal group's leader did not do as asked.
+/// Reason for which a journal group did not carry out a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JournalRefusal {
-    /// The peer does not lead the group; nothing was done.
+    /// The peer does not lead the group. The request had no effect.
     NotLeader {
-        /// Node that leads, as far as the peer knows.
+        /// Leading node, if the peer has one on record.
         leader: Option<NodeName>,
     },
-    /// A disk is full; nothing was done.
+    /// Free disk space is below the reserve. The request had no effect.
     StorageFull,
-    /// The memory for new work is used up; nothing was done.
+    /// The memory limit for new work is reached. The request had no effect.
     MemoryFull,
-    /// The tenant's items that wait are as many as it may have; nothing was done.
+    /// The tenant has reached its limit of queued items. The request had no effect.
     TooMuchWaiting,
-    /// The peer lost its leadership meanwhile: the command may or may not take effect.
+    /// The peer lost leadership while the command was pending. The command may or may not take effect.
     Unsettled,
 }
--- a/crates/firshore-log/tests/later_history.rs
+++ b/crates/firshore-log/tests/later_history.rs
@@ -1,5 +1,5 @@
-//! The thread of a replica that joins a later history, over its real file: it starts again from what is on its
-//! disk, and follows whoever shut it out.
+//! A replica that joins a later history of its group restarts from its file and follows the leader that
+//! excluded it.
 
 use firshore_log::group::{Group, GroupStatus};
 use firshore_log::machine::{ReplicaSettings, StateMachine, Transport};
@@ -20,11 +20,11 @@
 const GROUP: GroupId = GroupId(0);
 const CACHE_BYTES: usize = 128 * 1024;
 
-/// Most looks for something that is to come, and the pause between them.
-const LOOKS: usize = 1_000;
-const PAUSE: Duration = Duration::from_millis(20);
+/// Number of status polls until a wait fails, and the interval between them.
+const MAX_POLLS: usize = 1_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Keeps the commands applied.
+/// State machine that stores the applied commands.
 #[derive(Default, Serialize, Deserialize)]
 struct WordList(Vec<String>);
 
@@ -48,25 +48,25 @@
     }
 }
 
-type Words = Group<WordList>;
-type Peers = Arc<RwLock<BTreeMap<NodeName, Arc<Words>>>>;
+type WordGroup = Group<WordList>;
+type Peers = Arc<RwLock<BTreeMap<NodeName, Arc<WordGroup>>>>;
 
-/// Carries messages between the groups of one process, unless they are cut.
-struct Wire {
-    own: NodeName,
+/// Sends messages between the groups of one process, or drops them while the link is down.
+struct LocalTransport {
+    local: NodeName,
     peers: Peers,
-    cut: Arc<AtomicBool>,
+    link_down: Arc<AtomicBool>,
 }
 
-impl Transport for Wire {
+impl Transport for LocalTransport {
     fn refresh(&mut self) {}
 
     fn send(&self, _: GroupId, node: &NodeName, envelope: Envelope) {
-        if self.cut.load(Ordering::Relaxed) {
+        if self.link_down.load(Ordering::Relaxed) {
             return;
         }
         if let Some(peer) = self.peers.read().get(node) {
-            peer.received(self.own.clone(), envelope);
+            peer.received(self.local.clone(), envelope);
         }
     }
 }
@@ -79,7 +79,7 @@
     }
 }
 
-fn survivor(group: &Words, node: &NodeName, history: u64) -> Survivors {
+fn survivor(group: &WordGroup, node: &NodeName, history: u64) -> Survivors {
     Survivors {
         replicas: BTreeMap::from([(group.status().disk, info(node))]),
         never_held: BTreeSet::new(),
@@ -96,103 +96,109 @@
             ..Timing::default()
         },
         replace_after: Duration::from_secs(5),
-        least: 2,
+        min_disks: 2,
         reserve_bytes: 0,
         snapshot_after_bytes: 1 << 20,
         cache_bytes: CACHE_BYTES,
     }
 }
 
-async fn until(group: &Words, what: &str, fits: impl Fn(&GroupStatus) -> bool) {
-    for _ in 0..LOOKS {
-        if fits(&group.status()) {
+async fn wait_until(group: &WordGroup, what: &str, is_met: impl Fn(&GroupStatus) -> bool) {
+    for _ in 0..MAX_POLLS {
+        if is_met(&group.status()) {
             return;
         }
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("{what} did not come: {:?}", group.status());
+    panic!("timed out waiting for {what}: {:?}", group.status());
 }
 
-fn words(group: &Words) -> Vec<String> {
+fn words(group: &WordGroup) -> Vec<String> {
     group.applied_state().read().0.clone()
 }
 
 #[actix_rt::test]
-async fn a_lone_voter_that_was_shut_out_starts_again_and_follows() {
+async fn excluded_lone_voter_restarts_and_follows() {
     let folder = tempfile::tempdir().unwrap();
     let names: [NodeName; 2] = ["node-1".into(), "node-2".into()];
     let peers = Peers::default();
-    let cut = Arc::new(AtomicBool::new(false));
+    let link_down = Arc::new(AtomicBool::new(false));
     let groups = names.clone().map(|name| {
-        let place = folder.path().join(name.to_string());
-        std::fs::create_dir(&place).unwrap();
-        let group = Arc::new(Words::open(&place, GROUP, CACHE_BYTES).unwrap());
+        let path = folder.path().join(name.to_string());
+        std::fs::create_dir(&path).unwrap();
+        let group = Arc::new(WordGroup::open(&path, GROUP, CACHE_BYTES).unwrap());
         peers.write().insert(name, group.clone());
         group
     });
     let replicas = groups.iter().zip(&names);
     let replicas = replicas.map(|(group, name)| (group.status().disk, info(name)));
-    let pair = Membership {
+    let membership = Membership {
         replicas: replicas.collect(),
     };
     let log = slog::Logger::root(slog::Discard, slog::o!());
     for (group, name) in groups.iter().zip(&names) {
-        let wire = Wire {
-            own: name.clone(),
+        let transport = LocalTransport {
+            local: name.clone(),
             peers: peers.clone(),
-            cut: cut.clone(),
+            link_down: link_down.clone(),
         };
-        group.start(&log, settings(), Box::new(wire));
-        group.found(pair.clone());
+        group.start(&log, settings(), Box::new(transport));
+        group.set_founding(membership.clone());
     }
     let mut leader = None;
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         leader = groups.iter().position(|group| group.status().leads);
         if leader.is_some() {
             break;
         }
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    let leader = leader.expect("one of the pair leads");
-    let (lone, left) = (&groups[leader], &groups[1 - leader]);
-    let (lone_name, left_name) = (&names[leader], &names[1 - leader]);
-    assert_eq!(lone.propose("promised".to_owned()).await, Ok(1));
+    let leader = leader.expect("one of the two leads");
+    let (lone, other) = (&groups[leader], &groups[1 - leader]);
+    let (lone_name, other_name) = (&names[leader], &names[1 - leader]);
+    assert_eq!(lone.propose("replicated".to_owned()).await, Ok(1));
 
-    cut.store(true, Ordering::Relaxed);
-    until(lone, "the loss of the quorum", |status| !status.leads).await;
+    link_down.store(true, Ordering::Relaxed);
+    wait_until(lone, "the loss of the quorum", |status| !status.leads).await;
     lone.continue_with(survivor(lone, lone_name, 0));
-    until(lone, "the lone leader", |status| status.leads).await;
+    wait_until(lone, "the lone leader", |status| status.leads).await;
     let refused = Err(JournalRefusal::NotLeader { leader: None });
     assert_eq!(lone.propose("alone".to_owned()).await, refused);
-    assert!(lone.read().await.is_err(), "nothing is shown by one disk");
-
-    left.continue_with(survivor(left, left_name, 1));
-    until(left, "the later history", |status| status.leads).await;
+    assert!(
+        lone.read().await.is_err(),
+        "a lone voter must not serve reads"
+    );
+
+    other.continue_with(survivor(other, other_name, 1));
+    wait_until(other, "a leader of the later history", |status| {
+        status.leads
+    })
+    .await;
     lone.join_history(1);
-    until(lone, "the join", |status| {
+    wait_until(lone, "the switch to the later history", |status| {
         status.history == 1 && !status.leads
     })
     .await;
 
-    cut.store(false, Ordering::Relaxed);
+    link_down.store(false, Ordering::Relaxed);
     let disk: DiskId = lone.status().disk;
-    left.change(MembershipChange::AddLearner(disk, info(lone_name)));
-    until(left, "a learner that has caught up", |status| {
+    other.change(MembershipChange::AddLearner(disk, info(lone_name)));
+    wait_until(other, "a learner that has caught up", |status| {
         status.membership_committed && status.caught_up.contains(&disk)
     })
     .await;
-    left.change(MembershipChange::Promote(disk));
-    until(left, "the pair", |status| {
+    other.change(MembershipChange::Promote(disk));
+    wait_until(other, "two voters", |status| {
         status.membership_committed && status.membership.is_voter(disk)
     })
     .await;
-    assert_eq!(left.propose("after".to_owned()).await, Ok(2));
-    let commit = left.status().commit;
-    until(lone, "the same log", |status| status.commit >= commit).await;
-    assert!(left.read().await.is_ok());
+    assert_eq!(other.propose("after".to_owned()).await, Ok(2));
+    let commit = other.status().commit;
+    wait_until(lone, "the same log", |status| status.commit >= commit).await;
+    assert!(other.read().await.is_ok());
     for group in &groups {
         group.stop();
     }
-    assert_eq!(words(left), ["promised", "after"]);
-    assert_eq!(words(lone), ["promised", "after"]);
+    assert_eq!(words(other), ["replicated", "after"]);
+    assert_eq!(words(lone), ["replicated", "after"]);
 }
--- a/crates/firshore-log/tests/referenced.rs
+++ b/crates/firshore-log/tests/referenced.rs
@@ -1,7 +1,6 @@
-//! The state of a group refers to commands by the index of their entry. A replica that lacks one answers
-//! "ask again" for good to whoever reads it: a single job could not be read while others could. Here
-//! three nodes with real replicas and storages lose power between writes, lose whole disks, lead in
-//! turn and get snapshots; whatever the state refers to must be readable on each that has applied it.
+//! Every command that a group's state refers to must be readable on each replica that has applied it; a
+//! replica without one would refuse reads of that job forever. Three nodes with real replicas and storages
+//! lose power between writes, lose disks, change leaders and receive snapshots.
 
 #[path = "../../firshore-replication/tests/disk_model/mod.rs"]
 mod disk_model;
@@ -24,12 +23,12 @@
 const NODES: usize = 3;
 const SEEDS: u64 = 3;
 const CACHE_BYTES: usize = 128 * 1024;
-/// Simulated time of a play, in milliseconds.
-const LENGTH: u64 = 8_000;
-/// Entries after which a state is taken down.
-const SNAPSHOT_AFTER: u64 = 12;
-/// Commands in one message.
-const COMMANDS_IN_MESSAGE: usize = 3;
+/// Simulated time of a run, in milliseconds.
+const RUN_MS: u64 = 8_000;
+/// Number of entries between snapshots.
+const SNAPSHOT_INTERVAL: u64 = 12;
+/// Maximum number of commands in one message.
+const MAX_MESSAGE_COMMANDS: usize = 3;
 
 const TIMING: Timing = Timing {
     election_timeout: 300,
@@ -39,7 +38,7 @@
     trailing_bytes: 600,
 };
 
-/// What commands say: one adds a reference to its own entry, another ends the oldest.
+/// Contents of commands: add a reference to the entry of the command, or drop the oldest reference.
 const ADD: u8 = 1;
 const DROP_OLDEST: u8 = 2;
 
@@ -71,15 +70,15 @@
     state: BTreeSet<LogIndex>,
     applied: LogIndex,
     received: Vec<ReferencedCommand>,
-    receipts: Vec<Envelope>,
+    acknowledgements: Vec<Envelope>,
 }
 
 impl NodeModel {
     fn open(now: u64, disk: DiskModel, fresh: DiskId) -> Self {
         let path = Path::new("journal");
         let storage = RedbStorage::open_on(disk.clone(), path, fresh, CACHE_BYTES);
-        let storage = storage.expect("it opens");
-        let stored = storage.load().expect("it is whole");
+        let storage = storage.expect("the storage opens");
+        let stored = storage.load().expect("the storage loads");
         let state = stored.snapshot.as_ref().map(|snapshot| {
             ciborium::from_reader(&*snapshot.data.0).expect("the state is readable")
         });
@@ -94,7 +93,7 @@
             transfers: ReferenceTransfers::default(),
             state: state.unwrap_or_default(),
             received: Vec::new(),
-            receipts: Vec::new(),
+            acknowledgements: Vec::new(),
         }
     }
 
@@ -104,8 +103,8 @@
         }
         match envelope.message {
             Message::ReferencedCommands(commands) => {
-                let through = commands.last().expect("some are sent").index;
-                self.receipts.push(Envelope {
+                let through = commands.last().expect("the message has commands").index;
+                self.acknowledgements.push(Envelope {
                     from: self.id,
                     to: envelope.from,
                     term: envelope.term,
@@ -115,9 +114,9 @@
                 self.received.extend(commands);
             }
             Message::ReferencedAnswer { through } => {
-                let waiting = self.transfers.answered(envelope.from, through);
-                if let Some(first) = waiting.filter(|_| self.replica.leads()) {
-                    self.send(now, first, sent);
+                let pending_chunk = self.transfers.acknowledge(envelope.from, through);
+                if let Some(first_chunk) = pending_chunk.filter(|_| self.replica.leads()) {
+                    self.send(now, first_chunk, sent);
                 }
             }
             _ => self.replica.receive(now, envelope),
@@ -126,9 +125,9 @@
 
     fn send(&mut self, now: u64, envelope: Envelope, sent: &mut Vec<Envelope>) {
         let (state, storage) = (&self.state, &self.storage);
-        let lacking = |held, through| {
+        let missing = |held, through| {
             let indexes = state.range(held + 1..).take_while(|one| **one <= through);
-            let commands = indexes.take(COMMANDS_IN_MESSAGE).map(|index| {
+            let commands = indexes.take(MAX_MESSAGE_COMMANDS).map(|index| {
                 let command = storage.command(*index).ok().flatten()?;
                 Some(ReferencedCommand {
                     index: *index,
@@ -137,20 +136,20 @@
             });
             commands.collect()
         };
-        match self.transfers.before(now, envelope, lacking) {
+        match self.transfers.next_step(now, envelope, missing) {
             TransferStep::Wait => {}
-            TransferStep::Pass(envelope) | TransferStep::Commands { envelope, .. } => {
+            TransferStep::Forward(envelope) | TransferStep::Commands { envelope, .. } => {
                 sent.push(envelope);
             }
         }
     }
 
-    /// Carries out what the replica asks for. Returns whether power is still there.
-    fn settle(&mut self, now: u64, sent: &mut Vec<Envelope>) -> bool {
+    /// Processes outputs of the replica. Returns `false` after a power loss.
+    fn process_outputs(&mut self, now: u64, sent: &mut Vec<Envelope>) -> bool {
         loop {
             let mut output = self.replica.take_output();
             output.writes.received = std::mem::take(&mut self.received);
-            output.messages.append(&mut self.receipts);
+            output.messages.append(&mut self.acknowledgements);
             if output.is_empty() {
                 return true;
             }
@@ -158,7 +157,7 @@
                 self.send(now, envelope, sent);
             }
             if !output.writes.is_empty() && self.storage.write(&output.writes).is_err() {
-                assert!(self.disk.is_dark(), "a write fails with the power only");
+                assert!(self.disk.is_dark(), "a write fails only after a power loss");
                 return false;
             }
             self.replica.written();
@@ -166,7 +165,8 @@
                 self.send(now, envelope, sent);
             }
             if let Some(snapshot) = output.install {
-                self.state = ciborium::from_reader(&*snapshot.data.0).expect("it is readable");
+                self.state =
+                    ciborium::from_reader(&*snapshot.data.0).expect("the state is readable");
                 self.applied = snapshot.header.position.index;
             }
             for entry in output.committed {
@@ -178,12 +178,12 @@
     }
 
     fn compact(&mut self) {
-        let due = self.applied.is_multiple_of(SNAPSHOT_AFTER);
+        let due = self.applied.is_multiple_of(SNAPSHOT_INTERVAL);
         if !due || !self.replica.covers(self.applied) {
             return;
         }
         let mut data = Vec::new();
-        ciborium::into_writer(&self.state, &mut data).expect("it serialises");
+        ciborium::into_writer(&self.state, &mut data).expect("the state serialises");
         self.replica.compact(self.applied, data, self.state.clone());
     }
 }
@@ -193,11 +193,11 @@
     random: ChaCha8Rng,
     now: u64,
     nodes: Vec<Option<NodeModel>>,
-    /// Disks of nodes without power, and when they have it again.
-    dark: Vec<Option<(u64, DiskModel, DiskId)>>,
-    under_way: Vec<(u64, Envelope)>,
+    /// Disks of nodes without power, and when the power returns, in milliseconds.
+    without_power: Vec<Option<(u64, DiskModel, DiskId)>>,
+    in_flight: Vec<(u64, Envelope)>,
     next_disk: u64,
-    /// What the state refers to, once all that was ever committed is applied, as far as seen.
+    /// Highest applied index of any node, and the state at that index.
     newest: (LogIndex, BTreeSet<LogIndex>),
     snapshots_received: u64,
 }
@@ -216,7 +216,10 @@
             let id = DiskId(node as u64 + 1);
             let mut founder = NodeModel::open(0, disk.clone(), id);
             let founding = StoredState::founding(membership.clone());
-            founder.storage.write(&founding).expect("it is written");
+            founder
+                .storage
+                .write(&founding)
+                .expect("the founding state is written");
             drop(founder);
             Some(NodeModel::open(0, disk, id))
         });
@@ -225,8 +228,8 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             nodes: nodes.collect(),
-            dark: vec![None, None, None],
-            under_way: Vec::new(),
+            without_power: vec![None, None, None],
+            in_flight: Vec::new(),
             next_disk: 100,
             newest: (0, BTreeSet::new()),
             snapshots_received: 0,
@@ -236,20 +239,20 @@
     fn step(&mut self) {
         self.now += 5;
         self.deliver();
-        self.keep_group();
+        self.maintain_group();
         self.propose();
         for node in 0..NODES {
             self.run(node);
         }
-        self.disturb();
+        self.inject_failure();
         self.check();
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let all = std::mem::take(&mut self.under_way);
+        let all = std::mem::take(&mut self.in_flight);
         let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|(at, _)| *at <= now);
-        self.under_way = later;
+        self.in_flight = later;
         let mut sent = Vec::new();
         for (_, envelope) in due {
             let mut nodes = self.nodes.iter_mut().flatten();
@@ -268,7 +271,7 @@
                 continue;
             }
             let delay = self.random.random_range(1..30);
-            self.under_way.push((self.now + delay, envelope));
+            self.in_flight.push((self.now + delay, envelope));
         }
     }
 
@@ -294,8 +297,8 @@
         }
     }
 
-    /// Puts new disks in the place of those that are gone.
-    fn keep_group(&mut self) {
+    /// Proposes the membership change that replaces a lost disk with a new one.
+    fn maintain_group(&mut self) {
         let present: Vec<(usize, DiskId)> = self
             .nodes
             .iter()
@@ -309,14 +312,14 @@
         let learner = replicas
             .iter()
             .find(|(_, replica)| replica.role == ReplicaRole::Learner);
-        let gone = replicas.iter().find(|(disk, replica)| {
-            let of_node =
+        let lost = replicas.iter().find(|(disk, replica)| {
+            let has_new_disk =
                 |(node, id): &(usize, DiskId)| info(*node).node == replica.node && id != *disk;
-            present.iter().any(of_node)
+            present.iter().any(has_new_disk)
         });
         let new = present.iter().find(|(_, id)| !replicas.contains_key(id));
-        let change = match (learner, gone, new) {
-            (Some((disk, _)), _, _) if gone.is_some_and(|(lost, _)| lost == disk) => {
+        let change = match (learner, lost, new) {
+            (Some((disk, _)), _, _) if lost.is_some_and(|(lost_disk, _)| lost_disk == disk) => {
                 MembershipChange::Remove(*disk)
             }
             (Some((disk, _)), _, _) => MembershipChange::Promote(*disk),
@@ -329,7 +332,8 @@
 
     fn run(&mut self, node: usize) {
         let now = self.now;
-        if let Some((_, disk, id)) = self.dark[node].take_if(|(until, _, _)| *until <= now) {
+        if let Some((_, disk, id)) = self.without_power[node].take_if(|(until, _, _)| *until <= now)
+        {
             self.nodes[node] = Some(NodeModel::open(now, disk, id));
         }
         let Some(model) = &mut self.nodes[node] else {
@@ -337,58 +341,62 @@
         };
         model.replica.tick(now);
         let mut sent = Vec::new();
-        let has_power = model.settle(now, &mut sent);
+        let has_power = model.process_outputs(now, &mut sent);
         self.send(sent);
         if !has_power {
-            self.go_dark(node);
+            self.lose_power(node);
         }
     }
 
-    /// The node comes back later with what power left on its disk.
-    fn go_dark(&mut self, node: usize) {
+    /// Stops a node; it returns later with what its disk holds after the power loss.
+    fn lose_power(&mut self, node: usize) {
         let Some(model) = self.nodes[node].take() else {
             return;
         };
-        let left = model.disk.after_power_loss(&mut self.random);
+        let disk = model.disk.after_power_loss(&mut self.random);
         let until = self.now + self.random.random_range(50..3_000);
-        self.dark[node] = Some((until, left, model.id));
+        self.without_power[node] = Some((until, disk, model.id));
     }
 
-    /// Whether all nodes are voters on the disks that they have: one of them may be lost then.
-    fn is_whole(&mut self) -> bool {
+    /// Returns whether all nodes are caught-up voters on their present disks, so that one may be lost.
+    fn is_complete(&mut self) -> bool {
         let ids: BTreeSet<DiskId> = self.nodes.iter().flatten().map(|node| node.id).collect();
         let Some(leader) = self.leader() else {
             return false;
         };
         let status = leader.replica.status();
         let voters: BTreeSet<DiskId> = status.membership.voters().collect();
-        let follow = |disk: &DiskId| *disk == leader.id || leader.replica.has_caught_up(*disk);
-        status.membership_committed && ids.len() == NODES && voters == ids && ids.iter().all(follow)
+        let has_caught_up =
+            |disk: &DiskId| *disk == leader.id || leader.replica.has_caught_up(*disk);
+        status.membership_committed
+            && ids.len() == NODES
+            && voters == ids
+            && ids.iter().all(has_caught_up)
     }
 
-    fn disturb(&mut self) {
-        if !self.random.random_bool(0.004) || !self.is_whole() {
+    fn inject_failure(&mut self) {
+        if !self.random.random_bool(0.004) || !self.is_complete() {
             return;
         }
         let node = self.random.random_range(0..NODES);
         match self.random.random_range(0..4) {
-            // The disk is lost.
+            // A node loses its disk.
             0 | 1 => {
                 self.nodes[node] = None;
                 self.next_disk += 1;
                 let until = self.now + self.random.random_range(50..3_000);
                 let fresh = DiskId(self.next_disk);
-                self.dark[node] = Some((until, DiskModel::default(), fresh));
+                self.without_power[node] = Some((until, DiskModel::default(), fresh));
             }
-            // Power goes between two writes.
+            // A node loses power between two writes.
             2 => {
                 let steps = self.random.random_range(0..12);
                 if let Some(model) = &self.nodes[node] {
                     model.disk.lose_power_after(steps);
                 }
             }
-            // Power goes everywhere.
-            _ => (0..NODES).for_each(|node| self.go_dark(node)),
+            // All nodes lose power.
+            _ => (0..NODES).for_each(|node| self.lose_power(node)),
         }
     }
 
@@ -398,14 +406,17 @@
                 self.newest = (node.applied, node.state.clone());
             }
         }
-        // What a later command ended is not shown by a leader, which has applied that command before.
+        // References that a later command dropped are not checked: a leader has applied that command.
         for node in self.nodes.iter().flatten() {
             for index in node.state.intersection(&self.newest.1) {
-                let read = node.storage.command(*index).expect("it is readable");
-                let is_there = read.is_some_and(|command| command.0[0] == ADD);
+                let read = node
+                    .storage
+                    .command(*index)
+                    .expect("the command is readable");
+                let is_present = read.is_some_and(|command| command.0[0] == ADD);
                 assert!(
-                    is_there,
-                    "seed {}, {} ms: disk {} lacks {index}",
+                    is_present,
+                    "seed {}, {} ms: disk {} is missing command {index}",
                     self.seed, self.now, node.id
                 );
             }
@@ -414,10 +425,10 @@
 }
 
 #[test]
-fn whatever_the_state_refers_to_is_readable_on_each_replica() {
+fn referenced_commands_are_readable_on_each_replica() {
     for seed in 0..SEEDS {
         let mut group = GroupModel::new(seed);
-        while group.now < LENGTH {
+        while group.now < RUN_MS {
             group.step();
         }
         assert!(group.newest.0 > 100, "seed {seed}: {}", group.newest.0);
--- a/crates/firshore-node/src/journal/group_manager.rs
+++ b/crates/firshore-node/src/journal/group_manager.rs
@@ -7,7 +7,7 @@
 use super::lost_quorum::{self, LeaderlessTime};
 use super::registry::VoterRecord;
 use firshore_log::GroupStatus;
-use firshore_log::placement::{Candidate, GroupView, keeps_promises};
+use firshore_log::placement::{Candidate, GroupView, is_durable};
 use firshore_replication::replica::Survivors;
 use firshore_replication::types::{DiskId, Membership, MembershipChange};
 use firshore_types::ids::NodeName;
@@ -193,7 +193,7 @@
         let membership = &input.status.membership;
         let mut replicas = membership.replicas.values();
         let holds = replicas.any(|replica| replica.node == *node);
-        let whole = keeps_promises(membership, self.policy.min_disks);
+        let whole = is_durable(membership, self.policy.min_disks);
         !holds && input.status.membership_committed && whole
     }
 
@@ -217,8 +217,8 @@
 
     fn update_unresponsive(&mut self, now: Instant, status: &GroupStatus) {
         self.unresponsive_since
-            .retain(|disk, _| status.silent.contains(disk));
-        for disk in &status.silent {
+            .retain(|disk, _| status.unresponsive.contains(disk));
+        for disk in &status.unresponsive {
             self.unresponsive_since.entry(*disk).or_insert(now);
         }
     }
@@ -244,12 +244,12 @@
         let status = input.status;
         let group = self.group(now, input, leaving);
         if leaving.contains(input.node)
-            && let Some(heir) = group.heir()
+            && let Some(heir) = group.transfer_target()
         {
             // The next leader removes this replica.
             return GroupAction::StepAside(heir);
         }
-        let usable = self.usable(now, input, leaving, group.is_short());
+        let usable = self.usable(now, input, leaving, group.is_underreplicated());
         if !status.membership_committed {
             // Nothing may be recorded that might never enter the log.
             return GroupAction::Idle;
@@ -295,11 +295,11 @@
         let on_leaving = replicas().filter(|(_, one)| leaving.contains(&one.node));
         GroupView {
             target: self.policy.target_voters,
-            least: self.policy.min_disks,
-            own: status.disk,
+            min_disks: self.policy.min_disks,
+            leader: status.disk,
             membership: status.membership.clone(),
-            silent: status.silent.clone(),
-            gone: superseded
+            unresponsive: status.unresponsive.clone(),
+            lost: superseded
                 .map(|(disk, _)| *disk)
                 .chain(self.unresponsive_voters(now))
                 .collect(),
--- a/crates/firshore-node/src/journal/lost_quorum.rs
+++ b/crates/firshore-node/src/journal/lost_quorum.rs
@@ -135,7 +135,8 @@
             unresponsive: BTreeSet::new(),
         };
     }
-    let answers = |disk: &DiskId| *disk == input.status.disk || input.status.heard.contains(disk);
+    let answers =
+        |disk: &DiskId| *disk == input.status.disk || input.status.responsive.contains(disk);
     let (remaining, unresponsive) = alive.iter().copied().partition(answers);
     DiskSets {
         remaining,
--- a/crates/firshore-node/src/journal/maintenance.rs
+++ b/crates/firshore-node/src/journal/maintenance.rs
@@ -109,7 +109,7 @@
         let replica = &self.journal.replica;
         match step {
             GroupAction::Idle | GroupAction::ListLeaving => {}
-            GroupAction::StepAside(heir) => replica.hand_over(heir).await,
+            GroupAction::StepAside(heir) => replica.transfer_leadership(heir).await,
             GroupAction::Record(record) => self.journal.registry.record_voters(&record).await,
             GroupAction::Change(change) => replica.change(change),
             GroupAction::PassOver(disk, backoff) => {
@@ -192,7 +192,7 @@
     async fn found_group(&self) {
         let registry = &self.journal.registry;
         if let Some(founders) = registry.founding() {
-            return self.journal.replica.found(founders);
+            return self.journal.replica.set_founding(founders);
         }
         let candidates = registry.candidates();
         let enough = candidates.len() >= self.journal.policy.target_voters;
@@ -202,7 +202,8 @@
         let Some(local) = first.filter(|one| enough && one.node == self.node) else {
             return;
         };
-        let founders = placement::founders(&candidates, local, self.journal.policy.target_voters);
+        let founders =
+            placement::founding_membership(&candidates, local, self.journal.policy.target_voters);
         info!(self.journal.log, "journal: Naming founders."; "count" => founders.replicas.len());
         registry.name_founders(&founders).await;
     }
--- a/crates/firshore-node/src/journal/mod.rs
+++ b/crates/firshore-node/src/journal/mod.rs
@@ -84,7 +84,7 @@
 }
 
 fn is_durable(replica: &Replica, min_disks: usize) -> bool {
-    placement::keeps_promises(&replica.status().membership, min_disks)
+    placement::is_durable(&replica.status().membership, min_disks)
 }
 
 /// Services of a node with a disk that respond on behalf of other nodes.
@@ -161,7 +161,7 @@
                 trailing_bytes: log_bytes,
                 ..Timing::default()
             },
-            least: policy.min_disks,
+            min_disks: policy.min_disks,
             replace_after: settings.cluster.catch_up().mul_f64(SILENCE_FRACTION),
             reserve_bytes: RESERVE_BYTES,
             snapshot_after_bytes: 2 * log_bytes,
@@ -260,7 +260,7 @@
 
     /// Transfers leadership and stops the replica.
     pub async fn stop(&self) {
-        self.replica.step_aside().await;
+        self.replica.step_down().await;
         self.replica.stop();
     }
 }
--- a/crates/firshore-node/src/journal/service.rs
+++ b/crates/firshore-node/src/journal/service.rs
@@ -24,7 +24,7 @@
 use firshore_limits::report::{UsageReport, UsageResponse};
 use firshore_link::listener::Handler;
 use firshore_log::machine::SharedState;
-use firshore_log::placement::may_show;
+use firshore_log::placement::allows_reads;
 use firshore_log::refusal::JournalRefusal;
 use firshore_types::ids::NodeName;
 use futures_util::FutureExt;
@@ -413,7 +413,9 @@
             break;
         }
         let status = replica.status();
-        if !status.leads || !may_show(&status.membership, &status.committed_membership, min_disks) {
+        if !status.leads
+            || !allows_reads(&status.membership, &status.committed_membership, min_disks)
+        {
             return Err(JournalRefusal::NotLeader { leader: None });
         }
         state = replica.applied_state();
--- a/crates/firshore-node/src/metrics.rs
+++ b/crates/firshore-node/src/metrics.rs
@@ -126,7 +126,7 @@
         self.term.set(status.term as i64);
         self.commit.set(status.commit as i64);
         self.voters.set(status.membership.voters().count() as i64);
-        self.silent.set(status.silent.len() as i64);
+        self.silent.set(status.unresponsive.len() as i64);
         self.file_bytes.set(status.file_bytes as i64);
         let state = node.journal.replica.applied_state();
         self.jobs.set(state.read().len() as i64);
--- a/crates/firshore-node/tests/copies_world/machine.rs
+++ b/crates/firshore-node/tests/copies_world/machine.rs
@@ -1,7 +1,7 @@
 //! A simulated machine with a disk. Its replica and group manager are the production code.
 
 use firshore_log::GroupStatus;
-use firshore_log::placement::{Candidate, keeps_promises};
+use firshore_log::placement::{Candidate, is_durable};
 use firshore_node::journal::SILENCE_FRACTION;
 use firshore_node::journal::group_manager::{GroupInput, GroupManager, GroupPolicy, LeavingNodes};
 use firshore_node::journal::registry::VoterRecord;
@@ -232,7 +232,7 @@
         let applied = self.applied;
         if let Some(replica) = &mut self.replica
             && replica.log_bytes() > SNAPSHOT_AFTER_BYTES
-            && keeps_promises(&replica.status().membership, self.policy.min_disks)
+            && is_durable(&replica.status().membership, self.policy.min_disks)
         {
             // The applied index, padded so that the snapshot is sent in several chunks.
             let mut data = applied.to_be_bytes().to_vec();
--- a/crates/firshore-node/tests/copies_world/mod.rs
+++ b/crates/firshore-node/tests/copies_world/mod.rs
@@ -6,7 +6,7 @@
 pub mod scene;
 mod store;
 
-use firshore_log::placement::{self, Candidate, keeps_promises};
+use firshore_log::placement::{self, Candidate, is_durable};
 use firshore_node::journal::group_manager::{GroupAction, GroupPolicy};
 use firshore_replication::message::Envelope;
 use firshore_replication::replica::{Output, ReadToken};
@@ -151,7 +151,7 @@
 
     fn found_group(&mut self) {
         let all: Vec<Candidate> = self.machines.iter().map(candidate).collect();
-        let membership = placement::founders(&all, &all[0], self.policy.target_voters);
+        let membership = placement::founding_membership(&all, &all[0], self.policy.target_voters);
         for machine in &mut self.machines {
             self.store
                 .nodes
@@ -633,7 +633,7 @@
         for index in 0..self.machines.len() {
             let command = self.random.next_u64().to_be_bytes().to_vec();
             let machine = &mut self.machines[index];
-            let is_durable = keeps_promises(&machine.status.membership, self.policy.min_disks);
+            let is_durable = is_durable(&machine.status.membership, self.policy.min_disks);
             if !machine.is_running() || !machine.status.leads || !is_durable {
                 continue;
             }
@@ -857,7 +857,7 @@
             present.partition(|machine| retirements.contains_key(&machine.name));
         let voters = leader.status.membership.voters().count();
         let enough = leaving.len() + remaining.len() >= self.policy.min_disks;
-        if enough && !keeps_promises(&leader.status.membership, self.policy.min_disks) {
+        if enough && !is_durable(&leader.status.membership, self.policy.min_disks) {
             return Err(self.violation(format!(
                 "{voters} voters after recovery, durability is not guaranteed"
             )));
--- a/crates/firshore-node/tests/copies_world/readers.rs
+++ b/crates/firshore-node/tests/copies_world/readers.rs
@@ -77,7 +77,7 @@
         };
         let status = replica.status();
         let min_disks = self.policy.min_disks;
-        placement::may_show(&status.membership, &status.committed_membership, min_disks)
+        placement::allows_reads(&status.membership, &status.committed_membership, min_disks)
     }
 
     pub(super) fn record_reads(&mut self, index: usize, reads: &[(ReadToken, LogIndex)]) {
--- a/crates/firshore-node/tests/group_manager.rs
+++ b/crates/firshore-node/tests/group_manager.rs
@@ -206,7 +206,7 @@
     let mut three = Scene::leaderless(&[1, 2, 3], 1);
     assert_eq!(three.step(2.0), GroupAction::Idle, "two might have more");
     let mut five = Scene::leaderless(&[1, 2, 3, 4, 5, 6], 2);
-    five.status.heard = disks(&[2, 3]);
+    five.status.responsive = disks(&[2, 3]);
     assert_eq!(
         five.step(2.0),
         GroupAction::Idle,
@@ -247,16 +247,16 @@
         .wiped(3)
         .recorded(record);
     scene.candidates.push(candidate(5, 5));
-    scene.status.heard = disks(&[2, 5]);
+    scene.status.responsive = disks(&[2, 5]);
     assert_eq!(recorded(scene.step(1.0)), Some(disks(&[1, 2, 5])));
-    scene.status.heard = disks(&[2]);
+    scene.status.responsive = disks(&[2]);
     assert_eq!(scene.step(1.0), GroupAction::Idle, "three of five are out");
 }
 
 #[test]
 fn the_short_wait_is_for_any_group_whose_place_another_disk_could_take() {
     let mut scene = Scene::leaderless(&[1, 2, 3, 4], 2).wiped(3);
-    scene.status.heard = disks(&[2]);
+    scene.status.responsive = disks(&[2]);
     assert_eq!(scene.step(0.2), GroupAction::Idle);
     assert_eq!(recorded(scene.step(0.4)), Some(disks(&[1, 2])));
     scene.candidates.retain(|one| one.disk != DiskId(103));
@@ -520,10 +520,10 @@
             },
         );
         scene.status.membership = group;
-        scene.status.silent = BTreeSet::from([disk]);
+        scene.status.unresponsive = BTreeSet::from([disk]);
         assert!(matches!(scene.step(at + 0.1), GroupAction::PassOver(..)));
         scene.status.membership = membership(&[1]);
-        scene.status.silent = BTreeSet::new();
+        scene.status.unresponsive = BTreeSet::new();
     }
     let turns = |disk: u64| tried.iter().filter(|one| **one == DiskId(disk)).count();
     assert_eq!([turns(2), turns(3)], [4, 4]);
--- a/crates/firshore-server/src/journal/founding.rs
+++ b/crates/firshore-server/src/journal/founding.rs
@@ -30,7 +30,7 @@
     }
     let survey = survey(shared, group.id()).await;
     if let Some(membership) = survey.founding {
-        return group.found(membership);
+        return group.set_founding(membership);
     }
     let Some(own) = own_candidate(shared, group) else {
         return;
@@ -43,7 +43,7 @@
     let objects = ObjectApi::new(&shared.settings.platform.object_api);
     match objects.get(&key(group)).await {
         Ok(Some(object)) => match serde_json::from_str::<Membership>(&object.value) {
-            Ok(membership) => group.found(membership),
+            Ok(membership) => group.set_founding(membership),
             Err(error) => {
                 warn!(shared.log, "journal: Founding object unreadable."; "key" => object.key, "reason" => %error);
             }
@@ -71,7 +71,7 @@
     if !(enough || patient) {
         return;
     }
-    let membership = placement::founders(found, own, TARGET_VOTERS);
+    let membership = placement::founding_membership(found, own, TARGET_VOTERS);
     if membership.replicas.len() < TARGET_VOTERS {
         warn!(shared.log, "journal: Fewer than three disks; a lost one loses jobs."; "group" => group.id().0);
     }
@@ -93,5 +93,5 @@
         warn!(shared.log, "journal: Not alone; remove journal.standalone."; "disks" => disks);
         return;
     }
-    group.found(placement::founders(&[], &own, TARGET_VOTERS));
+    group.set_founding(placement::founding_membership(&[], &own, TARGET_VOTERS));
 }
--- a/crates/firshore-server/src/journal/maintenance.rs
+++ b/crates/firshore-server/src/journal/maintenance.rs
@@ -50,15 +50,15 @@
     let status = group.status();
     let view = GroupView {
         target: TARGET_VOTERS,
-        least: 1,
-        own: status.disk,
+        min_disks: 1,
+        leader: status.disk,
         membership: status.membership.clone(),
-        silent: status.silent.clone(),
-        gone: BTreeSet::new(),
+        unresponsive: status.unresponsive.clone(),
+        lost: BTreeSet::new(),
         leaving: BTreeSet::new(),
         caught_up: status.caught_up.clone(),
     };
-    let found = if view.wants_candidate() {
+    let found = if view.needs_candidate() {
         survey(shared, group.id()).await.candidates
     } else {
         Vec::new()
--- a/crates/firshore-server/src/journal/mod.rs
+++ b/crates/firshore-server/src/journal/mod.rs
@@ -64,7 +64,7 @@
     /// Hands leadership over, then ends the replicas.
     pub async fn stop(&self) {
         for group in &self.groups {
-            group.step_aside().await;
+            group.step_down().await;
         }
         for group in &self.groups {
             group.stop();
--- a/crates/firshore-server/src/journal/report.rs
+++ b/crates/firshore-server/src/journal/report.rs
@@ -64,7 +64,7 @@
         node: replica.node.clone(),
         zone: replica.zone.clone(),
         role: replica.role,
-        silent: status.silent.contains(disk),
+        silent: status.unresponsive.contains(disk),
     });
     GroupReport {
         group: group.id().0,
--- a/crates/firshore-server/src/journal/transport.rs
+++ b/crates/firshore-server/src/journal/transport.rs
@@ -35,7 +35,7 @@
 pub fn settings(shared: &Shared) -> ReplicaSettings {
     let journal = &shared.settings.journal;
     ReplicaSettings {
-        least: 1,
+        min_disks: 1,
         timing: Timing::default(),
         replace_after: Duration::from_secs(journal.replace_after_seconds),
         reserve_bytes: journal.reserve_bytes,
--- a/crates/firshore-server/tests/peers.rs
+++ b/crates/firshore-server/tests/peers.rs
@@ -2,7 +2,7 @@
 //! good peer connected all the while notices nothing.
 
 use firshore_protocol::error::ProtocolError;
-use firshore_protocol::frame::{self, MAXIMUM_FRAME_BYTES};
+use firshore_protocol::frame::{self, MAX_FRAME_BYTES};
 use firshore_protocol::handshake::{self, ClusterSecret, PROTOCOL_VERSION};
 use firshore_protocol::message::{Request, RequestFrame, Response, ResponseFrame};
 use firshore_replication::types::GroupId;
@@ -151,7 +151,7 @@
         case("silence", Stranger::Raw(Vec::new()), "timed out"),
         case(
             "oversized frame",
-            Stranger::Authenticated(with_length(MAXIMUM_FRAME_BYTES + 1, b"x")),
+            Stranger::Authenticated(with_length(MAX_FRAME_BYTES + 1, b"x")),
             "exceeds the limit",
         ),
         case(
@@ -212,7 +212,7 @@
         request,
     };
     frame::write(stream, &question).await.expect("it is open");
-    let answer: ResponseFrame = timeout(PATIENCE, frame::read(stream, MAXIMUM_FRAME_BYTES))
+    let answer: ResponseFrame = timeout(PATIENCE, frame::read(stream, MAX_FRAME_BYTES))
         .await
         .expect("it answers")
         .expect("it is open");
