--- a/crates/firshore-log/src/driver/requests.rs
+++ b/crates/firshore-log/src/driver/requests.rs
@@ -114,7 +114,8 @@
     pub(super) fn change(&mut self, change: &MembershipChange) {
         match self.replica.change_membership(change) {
             Ok(position) => {
-                info!(self.log, "journal: Membership change proposed."; "change" => ?change, "index" => position.index);
+                info!(self.log, "journal: Membership change proposed."; "change" => ?change,
+                    "index" => position.index);
             }
             Err(ReplicaError::ChangePending | ReplicaError::NotLeader) => {}
             Err(reason) => {
--- a/crates/firshore-log/src/placement.rs
+++ b/crates/firshore-log/src/placement.rs
@@ -45,7 +45,8 @@
     pub unresponsive: BTreeSet<DiskId>,
     /// Replicas whose disks are lost for good or abandoned.
     pub lost: BTreeSet<DiskId>,
-    /// Replicas on nodes that are being drained. They count like other replicas until the drain is reported as complete.
+    /// Replicas on nodes that are being drained. They count like other replicas until the drain is reported as
+    /// complete.
     pub leaving: BTreeSet<DiskId>,
     /// Replicas that hold all committed entries except those in flight to them.
     pub caught_up: BTreeSet<DiskId>,
