--- a/crates/firshore-node/tests/group_manager.rs
+++ b/crates/firshore-node/tests/group_manager.rs
@@ -216,7 +216,7 @@
         "the other two may hold more"
     );
     let mut five = GroupFixture::leaderless(&[1, 2, 3, 4, 5, 6], 2);
-    five.status.heard = disks(&[2, 3]);
+    five.status.responsive = disks(&[2, 3]);
     assert_eq!(five.step(2.0), GroupAction::Idle, "three cannot commit");
 }
 
@@ -257,9 +257,9 @@
         .with_new_disk(3)
         .with_record(record);
     fixture.candidates.push(candidate(5, 5));
-    fixture.status.heard = disks(&[2, 5]);
+    fixture.status.responsive = disks(&[2, 5]);
     assert_eq!(recorded_voters(fixture.step(1.0)), Some(disks(&[1, 2, 5])));
-    fixture.status.heard = disks(&[2]);
+    fixture.status.responsive = disks(&[2]);
     assert_eq!(
         fixture.step(1.0),
         GroupAction::Idle,
@@ -270,7 +270,7 @@
 #[test]
 fn wait_is_short_if_another_disk_could_replace_the_voter() {
     let mut fixture = GroupFixture::leaderless(&[1, 2, 3, 4], 2).with_new_disk(3);
-    fixture.status.heard = disks(&[2]);
+    fixture.status.responsive = disks(&[2]);
     assert_eq!(fixture.step(0.2), GroupAction::Idle);
     assert_eq!(recorded_voters(fixture.step(0.4)), Some(disks(&[1, 2])));
     fixture.candidates.retain(|one| one.disk != DiskId(103));
@@ -557,10 +557,10 @@
             },
         );
         fixture.status.membership = group;
-        fixture.status.silent = BTreeSet::from([disk]);
+        fixture.status.unresponsive = BTreeSet::from([disk]);
         assert!(matches!(fixture.step(at + 0.1), GroupAction::PassOver(..)));
         fixture.status.membership = membership(&[1]);
-        fixture.status.silent = BTreeSet::new();
+        fixture.status.unresponsive = BTreeSet::new();
     }
     let attempts = |disk: u64| attempted.iter().filter(|one| **one == DiskId(disk)).count();
     assert_eq!([attempts(2), attempts(3)], [4, 4]);
