--- a/crates/firshore-log/src/driver/snapshot.rs
+++ b/crates/firshore-log/src/driver/snapshot.rs
@@ -13,7 +13,7 @@
             .settings
             .snapshot_after_bytes
             .max(self.replica.snapshot_bytes());
-        let due = self.replica.log_bytes() > limit && self.replica.covers(self.applied);
+        let due = self.replica.log_bytes() > limit && self.replica.is_after_snapshot(self.applied);
         // Entries committed by too few disks are not covered by a snapshot: another disk may continue without
         // them, and entries in a snapshot cannot be undone.
         if self.snapshot.is_some() || !due || !self.is_durable() {
--- a/crates/firshore-log/src/group.rs
+++ b/crates/firshore-log/src/group.rs
@@ -89,8 +89,8 @@
             last: status.last,
             membership_committed: status.membership_committed,
             committed_membership: status.committed_membership,
-            unresponsive: replica.silent(replace_after).into_iter().collect(),
-            responsive: replica.heard_within(replace_after),
+            unresponsive: replica.unresponsive(replace_after).into_iter().collect(),
+            responsive: replica.recently_active(replace_after),
             caught_up: caught_up
                 .filter(|disk| replica.has_caught_up(*disk))
                 .collect(),
--- a/crates/firshore-node/tests/group_manager.rs
+++ b/crates/firshore-node/tests/group_manager.rs
@@ -53,7 +53,7 @@
     /// Returns a group of these voters without a leader; the record agrees with it.
     fn leaderless(voters: &[u64], losses: usize) -> Self {
         let mut stored = StoredState::default();
-        stored.take(&StoredState::founding(membership(voters)));
+        stored.apply(&StoredState::founding(membership(voters)));
         let replica = Replica::restore(0, DiskId(1), Timing::default(), stored, 1);
         Self {
             start: Instant::now(),
