--- a/crates/firshore-membership/src/budget.rs
+++ b/crates/firshore-membership/src/budget.rs
@@ -1,6 +1,6 @@
-//! A token bucket in bytes.
+//! Token bucket that limits the bytes sent per second.
 
-/// Bytes that may be spent, refilled at a constant rate.
+/// Token bucket in bytes, refilled at a constant rate up to `burst`.
 #[derive(Clone, Copy, Debug)]
 pub struct ByteBudget {
     bytes_per_second: u64,
@@ -10,7 +10,7 @@
 }
 
 impl ByteBudget {
-    /// A full bucket at `now` (milliseconds).
+    /// Returns a full bucket at `now` (milliseconds).
     pub fn new(now: u64, bytes_per_second: u64, burst: u64) -> Self {
         Self {
             bytes_per_second,
@@ -20,20 +20,20 @@
         }
     }
 
-    /// Adds what the time since the last refill is worth.
+    /// Adds the bytes for the time since the last refill; `now` is in milliseconds.
     pub fn refill(&mut self, now: u64) {
         let elapsed = now.saturating_sub(self.refilled_at);
         self.refilled_at = now;
-        let gained = elapsed * self.bytes_per_second;
-        self.available_millibytes = (self.available_millibytes + gained).min(self.burst * 1_000);
+        let refilled = elapsed * self.bytes_per_second;
+        self.available_millibytes = (self.available_millibytes + refilled).min(self.burst * 1_000);
     }
 
-    /// Bytes that may be spent now.
+    /// Returns the bytes that may be spent now.
     pub fn available(&self) -> usize {
         (self.available_millibytes / 1_000) as usize
     }
 
-    /// Takes `bytes`; what is not there is not owed.
+    /// Removes `bytes`. The balance stops at zero: an overdraft is not carried over.
     pub fn spend(&mut self, bytes: usize) {
         self.available_millibytes = self
             .available_millibytes
--- a/crates/firshore-membership/src/member.rs
+++ b/crates/firshore-membership/src/member.rs
@@ -1,45 +1,45 @@
-//! What nodes tell one another about themselves.
+//! Members and their states.
 
 use firshore_types::ids::{InstanceId, NodeName, RegionName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Condition of a member as its observers see it.
+/// State of a member as its peers observe it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// Answers probes.
     Alive,
-    /// Missed probes; not yet given up.
+    /// Missed probes; fails unless it refutes the suspicion in time.
     Suspect,
-    /// Announced that it stops; gets no new work.
+    /// Announced its shutdown; gets no new work.
     Leaving,
-    /// Given up.
+    /// Declared failed; kept as a tombstone until it expires.
     Failed,
 }
 
-/// One node as known to its peers.
+/// One node as its peers see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Random identity of this run of the process.
     pub instance: InstanceId,
     /// Name from the settings.
     pub name: NodeName,
-    /// Region.
+    /// Region from the settings.
     pub region: RegionName,
-    /// Zone.
+    /// Zone from the settings.
     pub zone: ZoneName,
-    /// Where it takes peers' connections.
+    /// Address on which it accepts connections from peers.
     pub peer_address: SocketAddr,
-    /// Whether it has a data folder and so can hold journal replicas.
+    /// Whether it has a data folder and can therefore hold journal replicas.
     pub has_disk: bool,
-    /// Condition.
+    /// State as last received or observed.
     pub state: MemberState,
-    /// Raised by the member itself to overrule older claims about it.
+    /// Incremented by the member itself to override older claims about it.
     pub incarnation: u64,
 }
 
 impl Member {
-    /// Whether a claim of this incarnation and state is newer than what is held.
+    /// Returns whether a claim with this incarnation and state is newer than this entry.
     pub fn is_older_than(&self, incarnation: u64, state: MemberState) -> bool {
         (self.incarnation, self.state) < (incarnation, state)
     }
--- a/crates/firshore-membership/src/membership.rs
+++ b/crates/firshore-membership/src/membership.rs
@@ -1,4 +1,5 @@
-//! The state machine: clock, messages and randomness come in, messages and changes go out.
+//! The state machine: takes the time, messages and a random generator; returns messages to send and
+//! changes of members.
 
 use crate::budget::ByteBudget;
 use crate::member::{Member, MemberState};
@@ -9,9 +10,9 @@
 use crate::table::MemberTable;
 use crate::timing::{
     BUDGET_BURST_BYTES, BUDGET_BYTES_PER_SECOND, COMPARE_INTERVAL_MILLISECONDS,
-    JOIN_INTERVAL_MILLISECONDS, MAXIMUM_LOCAL_HEALTH, PAUSE_MILLISECONDS,
-    PROBE_INTERVAL_MILLISECONDS, RECONNECT_INTERVAL_MILLISECONDS, REGION_SILENCE_MILLISECONDS,
-    REGION_UNANSWERED_PROBES, STALE_MILLISECONDS, TOMBSTONE_MILLISECONDS,
+    JOIN_INTERVAL_MILLISECONDS, MAX_LOCAL_HEALTH, MIN_PAUSE_MILLISECONDS,
+    PROBE_INTERVAL_MILLISECONDS, RECONNECT_INTERVAL_MILLISECONDS, REGION_TIMEOUT_MILLISECONDS,
+    REGION_UNANSWERED_PROBES, STALE_PAUSE_MILLISECONDS, TOMBSTONE_MILLISECONDS,
 };
 use firshore_types::ids::{InstanceId, RegionName};
 use rand::RngExt;
@@ -19,33 +20,33 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// What happens to a node.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time passed; due every [`crate::timing::TICK_MILLISECONDS`].
     Tick,
     /// A message arrived from an authenticated peer.
     Received(Envelope),
-    /// The node stops soon.
+    /// The node will shut down soon.
     Leave,
-    /// Addresses at which peers may be found, such as those of a machine list. They are only
-    /// tried; an address that is missing proves nothing.
+    /// Addresses where peers may be found, such as those of a machine list. They are only used for
+    /// joining; an address missing from the list has no effect on a member's state.
     Hints(Vec<SocketAddr>),
 }
 
-/// What the node does about it.
+/// Action or event that a step returns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send this message; it may be lost.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// Message.
+        /// Message with its rumours.
         envelope: Envelope,
     },
-    /// The node's opinion of a member changed.
+    /// This node's view of a member changed.
     Changed(MemberChange),
-    /// The own process was paused and its view is being pulled anew.
+    /// The local process was paused; its view is stale and is pulled again.
     Stale {
         /// Length of the pause in milliseconds.
         paused_milliseconds: u64,
@@ -55,41 +56,41 @@
 /// A change of a member's state as this node sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberChange {
-    /// The member, changed.
+    /// The member after the change.
     pub member: Member,
-    /// State before; `None` for a member heard of for the first time.
+    /// Previous state; `None` for a new member.
     pub before: Option<MemberState>,
 }
 
-/// How far the own view can be relied on.
+/// Freshness and completeness of the local view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Just started: what it knows is fresh but not whole.
+    /// Just started: the view is fresh but incomplete.
     Joining,
-    /// Woken from a pause: what it knows is old.
+    /// Resumed after a pause: the view is old.
     Stale { since: u64 },
-    /// Keeps up.
+    /// The view is fresh and complete.
     Current,
 }
 
-/// Members that are not given up, the own node not counted.
+/// Number of members that are not failed, without the local node.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Size {
-    pub(crate) everywhere: usize,
+pub(crate) struct MemberCounts {
+    pub(crate) total: usize,
     pub(crate) in_region: usize,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RegionContact {
-    heard_at: u64,
+    last_received_at: u64,
     pub(crate) unanswered: u32,
 }
 
-/// Time after which a woken node goes on with its old view if nobody gives it a newer one, in
-/// milliseconds: everyone may have been paused together.
-const STALE_GIVE_UP_MILLISECONDS: u64 = 5_000;
+/// Time after which a resumed node uses its old view if no peer sent a newer one, in milliseconds.
+/// Prevents a deadlock when all nodes were paused together.
+const STALE_TIMEOUT_MILLISECONDS: u64 = 5_000;
 
-/// The membership of one node.
+/// Membership state machine of one node.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) table: MemberTable,
@@ -107,12 +108,12 @@
     pub(crate) regions: BTreeMap<RegionName, RegionContact>,
     pub(crate) sequence: Sequence,
     pub(crate) local_health: u64,
-    /// Members, counted once a probe.
-    pub(crate) size: Size,
+    /// Updated at the start of each probe.
+    pub(crate) member_counts: MemberCounts,
     pub(crate) phase: Phase,
-    /// Answers to pulls since the view became incomplete or stale.
-    pub(crate) views_taken: u32,
-    /// When the latest message came in.
+    /// Views received since the local view became incomplete or stale.
+    pub(crate) views_received: u32,
+    /// When the latest message from any peer arrived, in milliseconds.
     pub(crate) received_at: u64,
     pub(crate) next_probe_at: u64,
     last_step_at: u64,
@@ -123,11 +124,11 @@
 }
 
 impl Membership {
-    /// A node that starts at `now` (milliseconds on a clock that keeps counting while the process
-    /// is paused) and joins through `seeds`.
-    pub fn new(now: u64, own: Member, seeds: Vec<SocketAddr>, mut rng: StdRng) -> Self {
+    /// Creates a node that starts at `now` and joins through `seeds`. `now` is in milliseconds, on a
+    /// clock that advances while the process is paused.
+    pub fn new(now: u64, local: Member, seeds: Vec<SocketAddr>, mut rng: StdRng) -> Self {
         let mut rumours = RumourQueue::default();
-        rumours.add(own.instance, true);
+        rumours.add(local.instance, true);
         Self {
             budget: ByteBudget::new(now, BUDGET_BYTES_PER_SECOND, BUDGET_BURST_BYTES),
             next_probe_at: now + rng.random_range(0..PROBE_INTERVAL_MILLISECONDS),
@@ -135,7 +136,7 @@
             next_reconnect_at: now + rng.random_range(0..RECONNECT_INTERVAL_MILLISECONDS),
             next_join_at: now,
             last_step_at: now,
-            table: MemberTable::new(own),
+            table: MemberTable::new(local),
             seeds,
             hints: Vec::new(),
             rng,
@@ -149,34 +150,34 @@
             regions: BTreeMap::new(),
             sequence: 0,
             local_health: 0,
-            size: Size::default(),
+            member_counts: MemberCounts::default(),
             phase: Phase::Joining,
-            views_taken: 0,
+            views_received: 0,
             received_at: now,
             outputs: Vec::new(),
         }
     }
 
-    /// Takes in one input at `now` (milliseconds) and returns what to do, in order.
+    /// Processes one input at `now` (milliseconds) and returns the resulting outputs in order.
     pub fn step(&mut self, now: u64, input: Input) -> Vec<Output> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.budget.refill(now);
         match input {
             Input::Tick => self.tick(now),
-            Input::Received(envelope) => self.received(now, envelope),
+            Input::Received(envelope) => self.handle_envelope(now, envelope),
             Input::Leave => self.leave(),
             Input::Hints(hints) => self.hints = hints,
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// The node itself.
+    /// Returns the local node.
     pub fn own(&self) -> &Member {
-        self.table.own()
+        self.table.local()
     }
 
-    /// Every member that is remembered, the own node and failed ones included, in order of
-    /// instance.
+    /// Returns all members in order of instance, including the local node and failed members whose
+    /// tombstone has not expired.
     pub fn members(&self, now: u64) -> Vec<Member> {
         let mut all = self.table.members();
         all.retain(|member| {
@@ -186,77 +187,79 @@
         all
     }
 
-    /// Where a member takes peers' connections.
+    /// Returns the address on which a member accepts connections from peers.
     pub fn address_of(&self, instance: InstanceId) -> Option<SocketAddr> {
         let member = self.table.member(instance)?;
         Some(member.peer_address)
     }
 
-    /// Members that may be given work at `now`, the own node included: alive, or suspect and not
-    /// yet given up, in a region that can be reached.
+    /// Returns the members that may be given work at `now`, including the local node: those alive or
+    /// suspect, in a reachable region. In order of instance.
     pub fn alive(&self, now: u64) -> Vec<Member> {
         let mut all: Vec<Member> = self.others_alive(now).cloned().collect();
-        if is_given_work(self.table.own()) {
-            let own = self.table.own();
-            let position = all.partition_point(|member| member.instance < own.instance);
-            all.insert(position, own.clone());
+        if accepts_work(self.table.local()) {
+            let local = self.table.local();
+            let position = all.partition_point(|member| member.instance < local.instance);
+            all.insert(position, local.clone());
         }
         all
     }
 
-    /// The same without the own node, in order of instance.
+    /// Returns the members that may be given work at `now`, without the local node, in order of
+    /// instance.
     pub fn others_alive(&self, now: u64) -> impl Iterator<Item = &Member> {
         let unreachable = self.unreachable_regions(now);
         self.table
             .present()
-            .filter(|member| is_given_work(member))
+            .filter(|member| accepts_work(member))
             .filter(move |member| !unreachable.contains(&&member.region))
     }
 
-    /// Whether the view is neither incomplete after a start nor old after a pause.
+    /// Returns whether the view is neither incomplete after a start nor stale after a pause.
     pub fn is_current(&self, now: u64) -> bool {
         let gap = now.saturating_sub(self.last_step_at);
-        self.phase == Phase::Current && gap < STALE_MILLISECONDS
+        self.phase == Phase::Current && gap < STALE_PAUSE_MILLISECONDS
     }
 
-    /// Checksum of the view; equal on two nodes that hold the same.
+    /// Returns the checksum of the view; equal on two nodes with the same view.
     pub fn summary(&self) -> u64 {
         self.table.summary()
     }
 
-    /// Regions of which no member answered lately, though several were asked.
+    /// Returns the regions from which no member has responded recently although several probes were
+    /// sent.
     pub fn unreachable_regions(&self, now: u64) -> Vec<&RegionName> {
         self.regions
             .iter()
             .filter(|(_, contact)| {
                 contact.unanswered >= REGION_UNANSWERED_PROBES
-                    && now.saturating_sub(contact.heard_at) >= REGION_SILENCE_MILLISECONDS
+                    && now.saturating_sub(contact.last_received_at) >= REGION_TIMEOUT_MILLISECONDS
             })
             .map(|(region, _)| region)
             .collect()
     }
 
-    fn notice_pause(&mut self, now: u64) {
+    fn detect_pause(&mut self, now: u64) {
         let gap = now.saturating_sub(self.last_step_at);
         self.last_step_at = now;
-        if gap < PAUSE_MILLISECONDS {
+        if gap < MIN_PAUSE_MILLISECONDS {
             return;
         }
         self.probe = None;
         self.relays.clear();
         self.table.shift(gap);
-        self.worsen_local_health();
-        if gap < STALE_MILLISECONDS {
+        self.increment_local_health();
+        if gap < STALE_PAUSE_MILLISECONDS {
             return;
         }
         self.rumours.clear();
-        let own = self.table.own();
-        let (incarnation, state) = (own.incarnation + 1, own.state);
-        self.table.set_own(incarnation, state);
-        self.spread_own(true);
+        let local = self.table.local();
+        let (incarnation, state) = (local.incarnation + 1, local.state);
+        self.table.set_local(incarnation, state);
+        self.spread_local(true);
         self.announce();
         self.phase = Phase::Stale { since: now };
-        self.views_taken = 0;
+        self.views_received = 0;
         self.next_join_at = now;
         self.outputs.push(Output::Stale {
             paused_milliseconds: gap,
@@ -269,7 +272,7 @@
             return;
         }
         self.expire_suspicions(now);
-        self.drive_probe(now);
+        self.advance_probe(now);
         if now >= self.next_compare_at {
             self.next_compare_at = now + self.jittered(COMPARE_INTERVAL_MILLISECONDS);
             self.start_comparison();
@@ -287,7 +290,7 @@
 
     fn catch_up(&mut self, now: u64) {
         if let Phase::Stale { since } = self.phase
-            && now >= since + STALE_GIVE_UP_MILLISECONDS
+            && now >= since + STALE_TIMEOUT_MILLISECONDS
         {
             self.phase = Phase::Current;
         }
@@ -303,43 +306,43 @@
         }
     }
 
-    fn received(&mut self, now: u64, envelope: Envelope) {
-        let own = self.table.own().instance;
-        if envelope.from == own {
+    fn handle_envelope(&mut self, now: u64, envelope: Envelope) {
+        let local = self.table.local().instance;
+        if envelope.from == local {
             return;
         }
-        let sender = Sender {
+        let sender = Peer {
             instance: envelope.from,
             address: envelope.from_address,
         };
-        if let Some(wrong) = envelope.to.filter(|to| *to != own) {
-            self.answer(sender, Message::WrongInstance(wrong));
+        if let Some(wrong) = envelope.to.filter(|to| *to != local) {
+            self.send_to(sender, Message::WrongInstance(wrong));
             return;
         }
-        self.note_contact(now, sender);
+        self.record_contact(now, sender);
         for rumour in envelope.rumours {
             match rumour {
-                Rumour::Claim(claim) => self.consider_claim(now, claim),
+                Rumour::Claim(claim) => self.apply_claim(now, claim),
                 Rumour::Record(record) => {
-                    let first_hand = record.claim.instance == sender.instance;
-                    self.consider_record(now, record, first_hand, true);
+                    let from_member = record.claim.instance == sender.instance;
+                    self.apply_record(now, record, from_member, true);
                 }
             }
         }
         self.handle(now, sender, envelope.message);
-        self.ask_for_wanted(sender);
+        self.request_wanted(sender);
     }
 
-    fn note_contact(&mut self, now: u64, sender: Sender) {
+    fn record_contact(&mut self, now: u64, sender: Peer) {
         self.received_at = now;
-        self.table.heard(now, sender.instance);
+        self.table.record_message(now, sender.instance);
         let Some(entry) = self.table.get(sender.instance) else {
             self.wanted.push(sender.instance);
             return;
         };
-        if Distance::between(self.table.own(), &entry.member) == Distance::Remote {
+        if Distance::between(self.table.local(), &entry.member) == Distance::Remote {
             let contact = RegionContact {
-                heard_at: now,
+                last_received_at: now,
                 unanswered: 0,
             };
             let region = entry.member.region.clone();
@@ -360,23 +363,23 @@
     }
 
     fn leave(&mut self) {
-        let own = self.table.own();
-        if own.state == MemberState::Leaving {
+        let local = self.table.local();
+        if local.state == MemberState::Leaving {
             return;
         }
-        let incarnation = own.incarnation + 1;
-        self.table.set_own(incarnation, MemberState::Leaving);
-        self.spread_own(false);
+        let incarnation = local.incarnation + 1;
+        self.table.set_local(incarnation, MemberState::Leaving);
+        self.spread_local(false);
         self.announce();
     }
 
-    pub(crate) fn worsen_local_health(&mut self) {
-        self.local_health = (self.local_health + 1).min(MAXIMUM_LOCAL_HEALTH);
+    pub(crate) fn increment_local_health(&mut self) {
+        self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
     }
 }
 
-/// Whether a member's state lets it be given work.
-fn is_given_work(member: &Member) -> bool {
+/// Returns whether a member in this state may be given work.
+fn accepts_work(member: &Member) -> bool {
     matches!(member.state, MemberState::Alive | MemberState::Suspect)
 }
 
@@ -384,14 +387,14 @@
     member.state == MemberState::Failed && now >= changed_at + TOMBSTONE_MILLISECONDS
 }
 
-/// Who sent a message, and where it takes answers.
+/// Instance and address of a peer.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sender {
+pub(crate) struct Peer {
     pub(crate) instance: InstanceId,
     pub(crate) address: SocketAddr,
 }
 
-impl Sender {
+impl Peer {
     pub(crate) fn of(member: &Member) -> Self {
         Self {
             instance: member.instance,
--- a/crates/firshore-membership/src/message.rs
+++ b/crates/firshore-membership/src/message.rs
@@ -1,35 +1,36 @@
-//! Messages between members. Field names are short on the wire; a message is sent every second.
+//! Messages between members. Field names are short on the wire to save bandwidth, because a node
+//! sends a probe every second.
 
 use crate::member::{Member, MemberState};
 use firshore_types::ids::{InstanceId, NodeName, RegionName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Upper estimate of an envelope without rumours, in bytes.
+/// Upper bound of the encoded size of an envelope without rumours, in bytes.
 pub const ENVELOPE_BYTES: usize = 72;
 
-/// Upper estimate of a claim, in bytes.
+/// Upper bound of the encoded size of a claim, in bytes.
 pub const CLAIM_BYTES: usize = 24;
 
-/// Upper estimate of a record without its names, in bytes.
+/// Upper bound of the encoded size of a record without its names, in bytes.
 pub const RECORD_BYTES: usize = 64;
 
-/// A message with its sender and what the sender passes on.
+/// A message with its sender, receiver and piggybacked rumours.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Sender.
+    /// Instance of the sender.
     #[serde(rename = "f")]
     pub from: InstanceId,
-    /// Where the sender takes answers.
+    /// Address to which responses are sent.
     #[serde(rename = "a")]
     pub from_address: SocketAddr,
-    /// Whom the sender means; `None` when it knows only an address.
+    /// Intended receiver; `None` if the sender has only its address.
     #[serde(rename = "t")]
     pub to: Option<InstanceId>,
-    /// Rumours passed on.
+    /// Piggybacked rumours.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub rumours: Vec<Rumour>,
-    /// Content.
+    /// The message itself.
     #[serde(rename = "m")]
     pub message: Message,
 }
@@ -37,16 +38,16 @@
 /// Content of an envelope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for an [`Message::Ack`].
+    /// Requests a [`Message::Ack`].
     #[serde(rename = "p")]
     Ping(Sequence),
-    /// Answers a ping, directly or through a relay.
+    /// Response to a ping, direct or through a relay.
     #[serde(rename = "k")]
     Ack(Sequence),
-    /// Asks the receiver to ping `target` and to pass its answer back.
+    /// Requests that the receiver ping `target` and forward its response.
     #[serde(rename = "q")]
     PingRequest {
-        /// Number that the passed answer repeats.
+        /// Number that the forwarded response repeats.
         #[serde(rename = "s")]
         sequence: Sequence,
         /// Member to ping.
@@ -56,62 +57,64 @@
     /// The receiver's address now belongs to the sender, not to this instance.
     #[serde(rename = "x")]
     WrongInstance(InstanceId),
-    /// A new member introduces itself; answered with records of contacts.
+    /// Introduces a new member; the response is a [`Message::Records`] with contacts.
     #[serde(rename = "j")]
     Join(MemberRecord),
-    /// Checksum of the sender's view; answered with a [`Message::Compare`] if it differs.
+    /// Checksum of the sender's view; the response is a [`Message::Compare`] if it differs.
     #[serde(rename = "s")]
     Summary(u64),
-    /// Checksums of the sender's view by bucket; answered with claims where they differ.
+    /// Checksums of the sender's view by bucket; the response is a [`Message::Claims`] with the
+    /// buckets that differ.
     #[serde(rename = "c")]
     Compare(Vec<u32>),
-    /// Checksums by bucket of a sender that takes over the receiver's view where they differ.
+    /// Checksums of the sender's view by bucket; the response is a [`Message::View`] with the
+    /// buckets that differ, which the sender applies to its own view.
     #[serde(rename = "u")]
     Pull(Vec<u32>),
-    /// What the sender holds in some buckets.
+    /// Claims about all members in some buckets of the sender's view.
     #[serde(rename = "b")]
     Claims {
-        /// Buckets that the claims fill.
+        /// Buckets that the claims cover completely.
         #[serde(rename = "b")]
         buckets: Vec<u8>,
-        /// Claims.
+        /// Claims about the members of these buckets.
         #[serde(rename = "c")]
         claims: Vec<Claim>,
     },
-    /// Asks for records of these members.
+    /// Requests the records of these members.
     #[serde(rename = "w")]
     Want(Vec<InstanceId>),
     /// Records of some members.
     #[serde(rename = "o")]
     Records(Vec<MemberRecord>),
-    /// The answer to a pull: the whole content of these buckets.
+    /// Response to a pull: the complete contents of these buckets.
     #[serde(rename = "v")]
     View {
-        /// Buckets that the records fill.
+        /// Buckets that the records cover completely.
         #[serde(rename = "b")]
         buckets: Vec<u8>,
-        /// Records.
+        /// Records of the members of these buckets.
         #[serde(rename = "o")]
         records: Vec<MemberRecord>,
-        /// Whether other buckets differ still.
+        /// Whether other buckets still differ.
         #[serde(rename = "m")]
         more: bool,
     },
-    /// Nothing but rumours.
+    /// Carries only rumours.
     #[serde(rename = "n")]
     Notice,
 }
 
-/// Number of a probe, unique at its sender for as long as it waits.
+/// Number of a probe, unique at its sender while the probe is in flight.
 pub type Sequence = u32;
 
-/// What a node passes on about a member.
+/// Gossip about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rumour {
-    /// The state of a member that the receiver should know.
+    /// State of a member whose record the receiver should have.
     #[serde(rename = "c")]
     Claim(Claim),
-    /// A whole record.
+    /// Complete record of a member.
     #[serde(rename = "o")]
     Record(MemberRecord),
 }
@@ -119,13 +122,13 @@
 /// A member's state at an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Member.
+    /// Instance of the member.
     #[serde(rename = "i")]
     pub instance: InstanceId,
-    /// The member's own count of its refutations.
+    /// Incarnation of the member that the state refers to.
     #[serde(rename = "n")]
     pub incarnation: u64,
-    /// State.
+    /// State of the member at this incarnation.
     #[serde(rename = "s", with = "state_number")]
     pub state: MemberState,
 }
@@ -150,27 +153,27 @@
             1 => Ok(MemberState::Suspect),
             2 => Ok(MemberState::Leaving),
             3 => Ok(MemberState::Failed),
-            other => Err(D::Error::custom(format!("no member state {other}"))),
+            other => Err(D::Error::custom(format!("invalid member state {other}"))),
         }
     }
 }
 
-/// A [`Member`] on the wire.
+/// Wire format of a [`Member`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// State and incarnation.
     #[serde(rename = "c")]
     pub claim: Claim,
-    /// Name.
+    /// Name from the settings.
     #[serde(rename = "n")]
     pub name: NodeName,
-    /// Region.
+    /// Region from the settings.
     #[serde(rename = "r")]
     pub region: RegionName,
-    /// Zone.
+    /// Zone from the settings.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// Where it takes peers' connections.
+    /// Address on which it accepts connections from peers.
     #[serde(rename = "a")]
     pub peer_address: SocketAddr,
     /// Whether it has a data folder.
@@ -179,7 +182,7 @@
 }
 
 impl Claim {
-    /// What `member` is held to be.
+    /// Returns the claim with the state and incarnation of `member`.
     pub fn of(member: &Member) -> Self {
         Self {
             instance: member.instance,
@@ -218,7 +221,7 @@
 }
 
 impl MemberRecord {
-    /// Upper estimate of the encoded size in bytes.
+    /// Returns an upper bound of the encoded size in bytes.
     pub fn estimated_bytes(&self) -> usize {
         let names = self.name.0.len() + self.region.0.len() + self.zone.0.len();
         RECORD_BYTES + names
@@ -226,7 +229,7 @@
 }
 
 impl Rumour {
-    /// Upper estimate of the encoded size in bytes.
+    /// Returns an upper bound of the encoded size in bytes.
     pub fn estimated_bytes(&self) -> usize {
         match self {
             Self::Claim(_) => CLAIM_BYTES,
@@ -236,7 +239,7 @@
 }
 
 impl Message {
-    /// Upper estimate of the encoded size in bytes, beyond that of the envelope.
+    /// Returns an upper bound of the encoded size in bytes that the message adds to the envelope.
     pub fn estimated_bytes(&self) -> usize {
         match self {
             Self::Join(record) => record.estimated_bytes(),
@@ -251,7 +254,7 @@
 }
 
 impl Envelope {
-    /// Upper estimate of the encoded size in bytes.
+    /// Returns an upper bound of the encoded size in bytes.
     pub fn estimated_bytes(&self) -> usize {
         let rumours: usize = self.rumours.iter().map(Rumour::estimated_bytes).sum();
         ENVELOPE_BYTES + rumours + self.message.estimated_bytes()
--- a/crates/firshore-membership/src/outbox.rs
+++ b/crates/firshore-membership/src/outbox.rs
@@ -1,26 +1,27 @@
-//! Messages on their way out, with the rumours that the budget allows.
+//! Outgoing messages, with as many rumours as the byte budget allows.
 
 use crate::member::MemberState;
-use crate::membership::{Membership, Output, Sender};
+use crate::membership::{Membership, Output, Peer};
 use crate::message::{Claim, Envelope, Message, Rumour};
 use crate::schedule::Distance;
-use crate::timing::{ANNOUNCE_FANOUT, MAXIMUM_RUMOUR_BYTES, TRANSMISSIONS_PER_DECADE};
+use crate::timing::{ANNOUNCE_FANOUT, MAX_RUMOUR_BYTES, TRANSMISSIONS_PER_DECADE};
 use firshore_types::ids::InstanceId;
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Tells the own zone directly what this node is, without waiting for rumours.
+    /// Sends the local node's state directly to up to [`ANNOUNCE_FANOUT`] members of the local
+    /// zone, so that they don't have to wait for the rumour.
     pub(crate) fn announce(&mut self) {
-        let own = self.table.own();
-        let claim = Claim::of(own);
-        let told: Vec<Sender> = self
+        let local = self.table.local();
+        let claim = Claim::of(local);
+        let receivers: Vec<Peer> = self
             .table
             .present()
-            .filter(|member| Distance::between(own, member) == Distance::Zone)
+            .filter(|member| Distance::between(local, member) == Distance::Zone)
             .take(ANNOUNCE_FANOUT)
-            .map(Sender::of)
+            .map(Peer::of)
             .collect();
-        for receiver in told {
+        for receiver in receivers {
             let rumours = vec![Rumour::Claim(claim)];
             self.send(
                 receiver.address,
@@ -31,18 +32,18 @@
         }
     }
 
-    pub(crate) fn spread_own(&mut self, whole_record: bool) {
-        let own = self.table.own().instance;
-        self.rumours.add(own, whole_record);
+    pub(crate) fn spread_local(&mut self, whole_record: bool) {
+        let local = self.table.local().instance;
+        self.rumours.add(local, whole_record);
     }
 
-    /// Answers the sender of a message.
-    pub(crate) fn answer(&mut self, sender: Sender, message: Message) {
+    /// Sends a message without extra rumours to a peer.
+    pub(crate) fn send_to(&mut self, sender: Peer, message: Message) {
         self.send(sender.address, Some(sender.instance), message, Vec::new());
     }
 
-    /// Sends a message with as many rumours as the budget allows, and with what this node holds
-    /// against the receiver, so that it can refute at once.
+    /// Sends a message with as many rumours as the budget allows. If this node has the receiver as
+    /// suspect or failed, includes that claim, so that the receiver can refute it at once.
     pub(crate) fn send(
         &mut self,
         to: SocketAddr,
@@ -58,26 +59,26 @@
             })
             .map(|entry| Rumour::Claim(Claim::of(&entry.member)));
         rumours.extend(accusation);
-        let own = self.table.own();
+        let local = self.table.local();
         let mut envelope = Envelope {
-            from: own.instance,
-            from_address: own.peer_address,
+            from: local.instance,
+            from_address: local.peer_address,
             to: receiver,
             rumours,
             message,
         };
         self.budget.spend(envelope.estimated_bytes());
-        let room = self.budget.available().min(MAXIMUM_RUMOUR_BYTES);
+        let rumour_bytes = self.budget.available().min(MAX_RUMOUR_BYTES);
         let limit = self.transmission_limit();
-        let passed_on = self.rumours.take(&self.table, room, limit);
-        let bytes = passed_on.iter().map(Rumour::estimated_bytes).sum();
+        let selected = self.rumours.take(&self.table, rumour_bytes, limit);
+        let bytes = selected.iter().map(Rumour::estimated_bytes).sum();
         self.budget.spend(bytes);
-        envelope.rumours.extend(passed_on);
+        envelope.rumours.extend(selected);
         self.outputs.push(Output::Send { to, envelope });
     }
 
     fn transmission_limit(&self) -> u32 {
-        let size = 2 + self.size.everywhere;
+        let size = 2 + self.member_counts.total;
         TRANSMISSIONS_PER_DECADE * (size as f64).log10().ceil() as u32
     }
 }
--- a/crates/firshore-membership/src/rumours.rs
+++ b/crates/firshore-membership/src/rumours.rs
@@ -1,56 +1,56 @@
-//! Changes that a node still passes on. Only the member's name is kept; what is sent is what the
-//! table holds at that time, so a newer change replaces an older one by itself.
+//! Queue of changes to gossip. It keeps only the member's instance; the state is read from the table
+//! when a rumour is sent, so a newer change replaces an older one.
 
 use crate::message::{Claim, MemberRecord, Rumour};
 use crate::table::MemberTable;
-use crate::timing::MAXIMUM_RUMOURS;
+use crate::timing::MAX_RUMOURS;
 use firshore_types::ids::InstanceId;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingRumour {
     transmissions: u32,
     whole_record: bool,
 }
 
-/// Rumours waiting, by member.
+/// Queued rumours by member.
 #[derive(Debug, Default)]
 pub(crate) struct RumourQueue {
-    pending: BTreeMap<InstanceId, Pending>,
+    pending: BTreeMap<InstanceId, PendingRumour>,
 }
 
 impl RumourQueue {
-    /// Adds a change, or starts it afresh.
+    /// Adds a change, or resets the transmissions of one already queued.
     pub(crate) fn add(&mut self, instance: InstanceId, whole_record: bool) {
-        let known = self.pending.get(&instance);
-        let whole_record = whole_record || known.is_some_and(|known| known.whole_record);
-        let pending = Pending {
+        let previous = self.pending.get(&instance);
+        let whole_record = whole_record || previous.is_some_and(|previous| previous.whole_record);
+        let pending = PendingRumour {
             transmissions: 0,
             whole_record,
         };
         self.pending.insert(instance, pending);
-        if self.pending.len() > MAXIMUM_RUMOURS {
-            self.drop_least_useful();
+        if self.pending.len() > MAX_RUMOURS {
+            self.drop_most_transmitted();
         }
     }
 
-    fn drop_least_useful(&mut self) {
-        let least = self
+    fn drop_most_transmitted(&mut self) {
+        let most_transmitted = self
             .pending
             .iter()
             .max_by_key(|(_, pending)| pending.transmissions)
             .map(|(instance, _)| *instance);
-        if let Some(instance) = least {
+        if let Some(instance) = most_transmitted {
             self.pending.remove(&instance);
         }
     }
 
-    /// Forgets everything.
     pub(crate) fn clear(&mut self) {
         self.pending.clear();
     }
 
-    /// The least transmitted rumours that fit into `bytes`; one sent `limit` times is done.
+    /// Returns the least transmitted rumours that fit into `bytes`, and removes those that have now
+    /// been transmitted `limit` times.
     pub(crate) fn take(&mut self, table: &MemberTable, bytes: usize, limit: u32) -> Vec<Rumour> {
         let mut order: Vec<(u32, InstanceId)> = self
             .pending
--- a/crates/firshore-membership/src/schedule.rs
+++ b/crates/firshore-membership/src/schedule.rs
@@ -1,14 +1,15 @@
-//! Whom to talk to next: mostly the own zone, sometimes the region, rarely another region. Within
-//! each group the order is a shuffled round, so that no member waits long (SWIM, section 4.3).
+//! Selects the next member to contact: mostly in the local zone, sometimes in the local region,
+//! rarely in another region. Each group is visited in a shuffled round-robin order, which bounds the
+//! time until a member is probed (SWIM, section 4.3).
 
 use crate::member::{Member, MemberState};
 use crate::table::MemberTable;
-use crate::timing::{OWN_REGION_PERCENT, OWN_ZONE_PERCENT};
+use crate::timing::{LOCAL_REGION_PERCENT, LOCAL_ZONE_PERCENT};
 use firshore_types::ids::InstanceId;
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-/// How far a member is from the own node.
+/// Network distance between two members: same zone, same region, or different regions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Distance {
     Zone,
@@ -17,7 +18,6 @@
 }
 
 impl Distance {
-    /// Distance between two members.
     pub(crate) fn between(one: &Member, other: &Member) -> Self {
         if one.region != other.region {
             Self::Remote
@@ -35,7 +35,7 @@
     next: usize,
 }
 
-/// One round for each distance.
+/// Round-robin orders, one for each distance.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
     zone: Round,
@@ -52,23 +52,23 @@
         }
     }
 
-    /// Puts a new member at a random place of the running round.
+    /// Inserts a new member at a random position in the rest of the current round.
     pub(crate) fn add(&mut self, distance: Distance, instance: InstanceId, rng: &mut impl RngExt) {
         let round = self.round(distance);
-        let place = rng.random_range(round.next..=round.order.len());
-        round.order.insert(place, instance);
+        let position = rng.random_range(round.next..=round.order.len());
+        round.order.insert(position, instance);
     }
 
-    /// The next member to talk to.
+    /// Returns the next member to contact; prefers a distance drawn at random.
     pub(crate) fn next(
         &mut self,
         table: &MemberTable,
         rng: &mut impl RngExt,
     ) -> Option<InstanceId> {
         let draw = rng.random_range(0..100);
-        let order = if draw < OWN_ZONE_PERCENT {
+        let order = if draw < LOCAL_ZONE_PERCENT {
             [Distance::Zone, Distance::Region, Distance::Remote]
-        } else if draw < OWN_ZONE_PERCENT + OWN_REGION_PERCENT {
+        } else if draw < LOCAL_ZONE_PERCENT + LOCAL_REGION_PERCENT {
             [Distance::Region, Distance::Zone, Distance::Remote]
         } else {
             [Distance::Remote, Distance::Region, Distance::Zone]
@@ -78,7 +78,7 @@
             .find_map(|distance| self.next_at(distance, table, rng))
     }
 
-    /// The next member of another region.
+    /// Returns the next member to contact in another region.
     pub(crate) fn next_remote(
         &mut self,
         table: &MemberTable,
@@ -99,7 +99,7 @@
         }
         round.order = table
             .present()
-            .filter(|member| Distance::between(table.own(), member) == distance)
+            .filter(|member| Distance::between(table.local(), member) == distance)
             .map(|member| member.instance)
             .collect();
         round.order.shuffle(rng);
--- a/crates/firshore-membership/src/suspicion.rs
+++ b/crates/firshore-membership/src/suspicion.rs
@@ -1,50 +1,50 @@
-//! What a node makes of claims about members: newer ones replace older ones, accusations start a
-//! suspicion, a suspicion that is not refuted ends in a verdict (SWIM, section 4.2).
+//! Applies claims about members: newer ones replace older ones, a claim of failure starts a
+//! suspicion, and a suspect that doesn't refute in time is declared failed (SWIM, section 4.2).
 
 use crate::member::{Member, MemberState};
-use crate::membership::{MemberChange, Membership, Output, Size};
+use crate::membership::{MemberChange, MemberCounts, Membership, Output};
 use crate::message::{Claim, MemberRecord};
 use crate::schedule::Distance;
 use crate::timing::SUSPICION_MILLISECONDS;
 use firshore_types::ids::InstanceId;
 
 impl Membership {
-    /// Whether this node may declare `member` failed by its own observation. Members of another
-    /// region are judged by their own region, so that a cut between regions fails nobody; only
-    /// where that region has no other member does everyone judge.
-    pub(crate) fn judges(&self, member: &Member) -> bool {
-        if member.region == self.table.own().region {
+    /// Returns whether this node may declare `member` failed by its own observation. Members of
+    /// another region are declared failed only by members of that region, so that a partition
+    /// between regions causes no failures. If that region has no other member, any node may.
+    pub(crate) fn may_declare_failed(&self, member: &Member) -> bool {
+        if member.region == self.table.local().region {
             return true;
         }
         let peers = self.table.present();
-        let companions =
+        let region_peers =
             peers.filter(|peer| peer.region == member.region && peer.instance != member.instance);
-        companions.take(1).count() == 0
+        region_peers.take(1).count() == 0
     }
 
-    pub(crate) fn consider_record(
+    pub(crate) fn apply_record(
         &mut self,
         now: u64,
         record: MemberRecord,
-        first_hand: bool,
+        from_member: bool,
         spread: bool,
     ) {
         let claim = record.claim;
         if self.table.member(claim.instance).is_some() {
-            self.consider_claim(now, claim);
+            self.apply_claim(now, claim);
             return;
         }
         if claim.state == MemberState::Failed {
             return;
         }
         let member = Member::from(record);
-        if first_hand {
-            self.supersede(now, &member);
+        if from_member {
+            self.fail_previous_owner(now, &member);
         }
-        let distance = Distance::between(self.table.own(), &member);
+        let distance = Distance::between(self.table.local(), &member);
         self.schedule.add(distance, member.instance, &mut self.rng);
         self.table.insert(now, member.clone());
-        if member.state == MemberState::Suspect && self.judges(&member) {
+        if member.state == MemberState::Suspect && self.may_declare_failed(&member) {
             self.suspects.insert(member.instance);
         }
         if spread {
@@ -56,9 +56,10 @@
         }));
     }
 
-    /// Gives up whoever had the address of a member that introduced itself. From hearsay one
-    /// cannot tell which of two came first; a probe of the earlier one will be refused.
-    fn supersede(&mut self, now: u64, member: &Member) {
+    /// Declares earlier members at the address of `member` failed. Only for a record that came from
+    /// the member itself: relayed records don't show which of two instances is newer. There, a probe
+    /// of the earlier one is refused with [`crate::message::Message::WrongInstance`].
+    fn fail_previous_owner(&mut self, now: u64, member: &Member) {
         let earlier: Vec<Claim> = self
             .table
             .present()
@@ -71,8 +72,8 @@
         }
     }
 
-    pub(crate) fn consider_claim(&mut self, now: u64, claim: Claim) {
-        if claim.instance == self.table.own().instance {
+    pub(crate) fn apply_claim(&mut self, now: u64, claim: Claim) {
+        if claim.instance == self.table.local().instance {
             self.refute(claim);
             return;
         }
@@ -87,12 +88,12 @@
             return;
         }
         let accused = claim.state == MemberState::Failed && member.state != MemberState::Leaving;
-        if !accused || !self.judges(member) {
+        if !accused || !self.may_declare_failed(member) {
             self.change(now, claim);
             return;
         }
-        // Another's verdict only starts this node's own suspicion: the accused gets its time to
-        // refute everywhere, which lets two halves of a healed partition merge.
+        // A received claim of failure only starts a local suspicion: the member gets time to refute
+        // at every node, which lets the two sides of a healed partition merge.
         let suspected = Claim {
             state: MemberState::Suspect,
             ..claim
@@ -103,33 +104,36 @@
     }
 
     fn refute(&mut self, claim: Claim) {
-        let own = self.table.own();
+        let local = self.table.local();
         let accused = matches!(claim.state, MemberState::Suspect | MemberState::Failed);
-        let newer = claim.incarnation > own.incarnation;
-        if newer || (accused && claim.incarnation == own.incarnation) {
-            let state = own.state;
-            self.table.set_own(claim.incarnation + 1, state);
-            self.spread_own(false);
-            self.worsen_local_health();
+        let newer = claim.incarnation > local.incarnation;
+        if newer || (accused && claim.incarnation == local.incarnation) {
+            let state = local.state;
+            self.table.set_local(claim.incarnation + 1, state);
+            self.spread_local(false);
+            self.increment_local_health();
         }
     }
 
-    /// Changes a known member's state and passes it on.
+    /// Changes the state of a member in the table and queues the change as a rumour.
     pub(crate) fn change(&mut self, now: u64, claim: Claim) {
         let Some(entry) = self.table.get(claim.instance) else {
             return;
         };
         let before = entry.member.state;
-        let judged = self.judges(&entry.member);
+        let may_declare = self.may_declare_failed(&entry.member);
         self.table.set(now, claim);
         self.rumours.add(claim.instance, false);
-        if claim.state == MemberState::Suspect && judged {
+        if claim.state == MemberState::Suspect && may_declare {
             self.suspects.insert(claim.instance);
         } else {
             self.suspects.remove(&claim.instance);
         }
         if claim.state != before {
-            let member = self.table.member(claim.instance).expect("it is known");
+            let member = self
+                .table
+                .member(claim.instance)
+                .expect("the member is in the table");
             self.outputs.push(Output::Changed(MemberChange {
                 member: member.clone(),
                 before: Some(before),
@@ -160,8 +164,8 @@
             if claim.state != MemberState::Suspect {
                 continue;
             }
-            if entry.heard_at > entry.changed_at {
-                // It lives, though its refutation has not arrived: wait for that once more.
+            if entry.last_received_at > entry.changed_at {
+                // It sent a message since, but its refutation has not arrived: restart the timeout.
                 self.table.set(now, claim);
                 self.suspects.insert(instance);
                 self.urgent.push_back(instance);
@@ -173,17 +177,17 @@
     }
 
     pub(crate) fn count_members(&mut self) {
-        let own = self.table.own();
-        let mut size = Size::default();
+        let local = self.table.local();
+        let mut counts = MemberCounts::default();
         for member in self.table.present() {
-            size.everywhere += 1;
-            size.in_region += usize::from(member.region == own.region);
+            counts.total += 1;
+            counts.in_region += usize::from(member.region == local.region);
         }
-        self.size = size;
+        self.member_counts = counts;
     }
 
     fn suspicion_timeout(&self) -> u64 {
-        let decades = ((1 + self.size.in_region) as f64).log10().max(1.0);
+        let decades = ((1 + self.member_counts.in_region) as f64).log10().max(1.0);
         let base = (SUSPICION_MILLISECONDS as f64 * decades) as u64;
         base * (1 + self.local_health)
     }
--- a/crates/firshore-membership/src/table.rs
+++ b/crates/firshore-membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The members that a node has heard of, with checksums of the view.
+//! Table of members, with checksums of the view.
 
 use crate::member::{Member, MemberState};
 use crate::message::Claim;
@@ -6,21 +6,21 @@
 use firshore_types::ids::InstanceId;
 use std::collections::BTreeMap;
 
-/// What a node holds about another.
+/// Table entry for another node.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The member as last heard.
+    /// The member with its latest state.
     pub member: Member,
-    /// When its state last changed here, in milliseconds.
+    /// When its state last changed at this node, in milliseconds.
     pub changed_at: u64,
-    /// When a message last came from the member itself, in milliseconds; 0 for never.
-    pub heard_at: u64,
+    /// When the latest message from the member itself arrived, in milliseconds; 0 for never.
+    pub last_received_at: u64,
 }
 
-/// Members by instance, the own node among them.
+/// Members by instance, including the local node.
 #[derive(Debug)]
 pub struct MemberTable {
-    own: Member,
+    local: Member,
     others: BTreeMap<InstanceId, Entry>,
     buckets: [u32; BUCKETS],
 }
@@ -32,13 +32,13 @@
     value ^ (value >> 31)
 }
 
-/// Bucket of a member.
+/// Returns the index of a member's bucket.
 pub fn bucket_of(instance: InstanceId) -> usize {
     (instance.0 % BUCKETS as u64) as usize
 }
 
-/// Checksum of a member. Suspicion is an opinion that passes, so a suspect counts as alive;
-/// failed members count for nothing, because each node forgets them at its own time.
+/// Returns the checksum of a member. A suspect counts as alive, because suspicion is temporary and
+/// local. A failed member counts as absent, because nodes remove it at different times.
 fn checksum(member: &Member) -> u32 {
     let leaving = match member.state {
         MemberState::Failed => return 0,
@@ -50,14 +50,14 @@
 }
 
 impl MemberTable {
-    /// A table that knows only its own node.
-    pub fn new(own: Member) -> Self {
+    /// Creates a table with only the local node.
+    pub fn new(local: Member) -> Self {
         let mut table = Self {
-            own,
+            local,
             others: BTreeMap::new(),
             buckets: [0; BUCKETS],
         };
-        table.toggle_checksum(&table.own.clone());
+        table.toggle_checksum(&table.local.clone());
         table
     }
 
@@ -65,72 +65,72 @@
         self.buckets[bucket_of(member.instance)] ^= checksum(member);
     }
 
-    /// The node itself.
-    pub fn own(&self) -> &Member {
-        &self.own
+    /// Returns the local node.
+    pub fn local(&self) -> &Member {
+        &self.local
     }
 
-    /// Changes the own state and incarnation.
-    pub fn set_own(&mut self, incarnation: u64, state: MemberState) {
-        self.toggle_checksum(&self.own.clone());
-        self.own.incarnation = incarnation;
-        self.own.state = state;
-        self.toggle_checksum(&self.own.clone());
+    /// Sets the local node's state and incarnation.
+    pub fn set_local(&mut self, incarnation: u64, state: MemberState) {
+        self.toggle_checksum(&self.local.clone());
+        self.local.incarnation = incarnation;
+        self.local.state = state;
+        self.toggle_checksum(&self.local.clone());
     }
 
-    /// What is held about another node.
+    /// Returns the entry of another node.
     pub fn get(&self, instance: InstanceId) -> Option<&Entry> {
         self.others.get(&instance)
     }
 
-    /// The member of this instance, the own node included.
+    /// Returns the member with this instance, which may be the local node.
     pub fn member(&self, instance: InstanceId) -> Option<&Member> {
-        if instance == self.own.instance {
-            return Some(&self.own);
+        if instance == self.local.instance {
+            return Some(&self.local);
         }
         self.others.get(&instance).map(|entry| &entry.member)
     }
 
-    /// Everything held about other nodes, in order of instance.
+    /// Returns the entries of the other nodes in order of instance.
     pub fn others(&self) -> impl Iterator<Item = &Entry> {
         self.others.values()
     }
 
-    /// The own node and every other, in order of instance.
+    /// Returns all members, including the local node, in order of instance.
     pub fn members(&self) -> Vec<Member> {
         let mut all: Vec<Member> = self.others().map(|entry| entry.member.clone()).collect();
-        let position = all.partition_point(|member| member.instance < self.own.instance);
-        all.insert(position, self.own.clone());
+        let position = all.partition_point(|member| member.instance < self.local.instance);
+        all.insert(position, self.local.clone());
         all
     }
 
-    /// Other nodes that are not given up.
+    /// Returns the other nodes that are not failed.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.others()
             .map(|entry| &entry.member)
             .filter(|member| member.state != MemberState::Failed)
     }
 
-    /// Adds a member heard of for the first time.
+    /// Adds a new member, or replaces its entry.
     pub fn insert(&mut self, now: u64, member: Member) {
         self.remove(member.instance);
         self.toggle_checksum(&member);
         let entry = Entry {
             changed_at: now,
-            heard_at: 0,
+            last_received_at: 0,
             member,
         };
         self.others.insert(entry.member.instance, entry);
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub fn remove(&mut self, instance: InstanceId) {
         if let Some(entry) = self.others.remove(&instance) {
             self.toggle_checksum(&entry.member);
         }
     }
 
-    /// Changes the state of a known member.
+    /// Sets the state of a member; does nothing if it isn't in the table.
     pub fn set(&mut self, now: u64, claim: Claim) {
         let Some(entry) = self.others.get_mut(&claim.instance) else {
             return;
@@ -143,45 +143,45 @@
         self.buckets[bucket_of(claim.instance)] ^= before ^ after;
     }
 
-    /// Notes that a message came from the member itself.
-    pub fn heard(&mut self, now: u64, instance: InstanceId) {
+    /// Records that a message from the member itself arrived at `now`.
+    pub fn record_message(&mut self, now: u64, instance: InstanceId) {
         if let Some(entry) = self.others.get_mut(&instance) {
-            entry.heard_at = now;
+            entry.last_received_at = now;
         }
     }
 
-    /// Moves every change of state forward in time by a pause of the own process.
+    /// Moves the time of every state change forward by the length of a pause of the local process.
     pub fn shift(&mut self, milliseconds: u64) {
         for entry in self.others.values_mut() {
             entry.changed_at += milliseconds;
         }
     }
 
-    /// Checksums by bucket.
+    /// Returns the checksums by bucket.
     pub fn buckets(&self) -> &[u32; BUCKETS] {
         &self.buckets
     }
 
-    /// Checksum of the whole view.
+    /// Returns the checksum of the whole view.
     pub fn summary(&self) -> u64 {
         self.buckets
             .iter()
             .fold(1, |sum, bucket| mix(sum ^ u64::from(*bucket)))
     }
 
-    /// Buckets whose checksum is not the one in `theirs`.
-    pub fn differing(&self, theirs: &[u32]) -> Vec<usize> {
+    /// Returns the buckets whose checksum differs from that in `remote_buckets`.
+    pub fn differing_buckets(&self, remote_buckets: &[u32]) -> Vec<usize> {
         (0..BUCKETS)
-            .filter(|index| theirs.get(*index) != Some(&self.buckets[*index]))
+            .filter(|index| remote_buckets.get(*index) != Some(&self.buckets[*index]))
             .collect()
     }
 
-    /// Members that are not given up by bucket, the own node included.
-    pub fn content(&self) -> Vec<Vec<&Member>> {
-        let mut content = vec![Vec::new(); BUCKETS];
-        for member in self.present().chain(std::iter::once(&self.own)) {
-            content[bucket_of(member.instance)].push(member);
+    /// Returns the members that are not failed, by bucket, including the local node.
+    pub fn members_by_bucket(&self) -> Vec<Vec<&Member>> {
+        let mut members_by_bucket = vec![Vec::new(); BUCKETS];
+        for member in self.present().chain(std::iter::once(&self.local)) {
+            members_by_bucket[bucket_of(member.instance)].push(member);
         }
-        content
+        members_by_bucket
     }
 }
--- a/crates/firshore-membership/tests/step.rs
+++ b/crates/firshore-membership/tests/step.rs
@@ -34,32 +34,32 @@
     }
 }
 
-fn introduced() -> Membership {
+fn node_with_peers() -> Membership {
     let mut node = node();
     let record = MemberRecord::from(&member(1, 2, "a/1"));
     let other = MemberRecord::from(&member(2, 3, "a/1"));
     let far = MemberRecord::from(&member(3, 4, "b/2"));
-    let far_companion = MemberRecord::from(&member(4, 5, "b/2"));
-    let rumours = [record, other, far, far_companion].map(Rumour::Record);
+    let far_peer = MemberRecord::from(&member(4, 5, "b/2"));
+    let rumours = [record, other, far, far_peer].map(Rumour::Record);
     let envelope = from_peer(Message::Notice, rumours.to_vec());
     node.step(1_000, Input::Received(envelope));
     node
 }
 
 struct Case {
-    /// 3 is of the own region, 4 of another.
+    /// 3 is in the local region, 4 in another.
     instance: u64,
     claims: &'static [(u64, MemberState)],
-    held: MemberState,
+    expected: MemberState,
 }
 
 #[test]
 fn newer_claims_replace_older_ones() {
     use MemberState::{Alive, Failed, Leaving, Suspect};
-    let case = |instance, claims, held| Case {
+    let case = |instance, claims, expected| Case {
         instance,
         claims,
-        held,
+        expected,
     };
     let cases = [
         case(3, &[(0, Suspect)], Suspect),
@@ -73,18 +73,20 @@
         case(4, &[(0, Failed), (1, Alive)], Alive),
     ];
     for case in cases {
-        let mut node = introduced();
+        let mut node = node_with_peers();
         for (incarnation, state) in case.claims {
             let rumour = Rumour::Claim(claim(case.instance, *incarnation, *state));
             let envelope = from_peer(Message::Notice, vec![rumour]);
             node.step(1_000, Input::Received(envelope));
         }
-        let held = node.members(1_000);
-        let found = held.iter().find(|one| one.instance.0 == case.instance);
+        let members = node.members(1_000);
+        let found = members
+            .iter()
+            .find(|member| member.instance.0 == case.instance);
         let state = found.map(|member| member.state);
         assert_eq!(
             state,
-            Some(case.held),
+            Some(case.expected),
             "{} {:?}",
             case.instance,
             case.claims
@@ -95,26 +97,26 @@
 #[test]
 fn accusations_are_refuted_with_a_higher_incarnation() {
     for state in [MemberState::Suspect, MemberState::Failed] {
-        let mut node = introduced();
+        let mut node = node_with_peers();
         let rumour = Rumour::Claim(claim(1, 4, state));
         let envelope = from_peer(Message::Ping(9), vec![rumour]);
         let outputs = node.step(1_000, Input::Received(envelope));
         assert_eq!(node.own().incarnation, 5);
         assert_eq!(node.own().state, MemberState::Alive);
-        let passed_on = outputs.iter().any(|output| match output {
+        let is_sent = outputs.iter().any(|output| match output {
             Output::Send { envelope, .. } => envelope.rumours.iter().any(|rumour| match rumour {
                 Rumour::Claim(claim) => claim.instance.0 == 1 && claim.incarnation == 5,
                 Rumour::Record(record) => record.claim.incarnation == 5,
             }),
             _ => false,
         });
-        assert!(passed_on, "{outputs:?}");
+        assert!(is_sent, "{outputs:?}");
     }
 }
 
 #[test]
 fn a_leaving_node_stays_leaving_when_accused() {
-    let mut node = introduced();
+    let mut node = node_with_peers();
     node.step(1_000, Input::Leave);
     let rumour = Rumour::Claim(claim(1, 1, MemberState::Failed));
     let envelope = from_peer(Message::Notice, vec![rumour]);
@@ -124,8 +126,8 @@
 }
 
 #[test]
-fn a_message_for_an_earlier_owner_of_the_address_is_refused_and_has_no_effect() {
-    let mut node = introduced();
+fn a_message_for_a_previous_instance_at_the_address_is_refused_without_effect() {
+    let mut node = node_with_peers();
     let rumour = Rumour::Claim(claim(3, 7, MemberState::Leaving));
     let mut envelope = from_peer(Message::Ping(9), vec![rumour]);
     envelope.to = Some(InstanceId(99));
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn size_estimates_are_upper_bounds() {
+fn estimated_sizes_are_upper_bounds() {
     let mut far = member(629, u64::MAX - 1, "region-long-name/zone-long-name");
     far.incarnation = 1_000;
     far.state = MemberState::Suspect;
@@ -177,13 +179,13 @@
         ciborium::into_writer(&envelope, &mut bytes).unwrap();
         let estimate = envelope.estimated_bytes();
         assert!(bytes.len() <= estimate, "{} > {estimate}", bytes.len());
-        let back: Envelope = ciborium::from_reader(bytes.as_slice()).unwrap();
-        assert_eq!(back, envelope);
+        let decoded: Envelope = ciborium::from_reader(bytes.as_slice()).unwrap();
+        assert_eq!(decoded, envelope);
     }
 }
 
 #[test]
-fn the_budget_bounds_what_is_spent() {
+fn the_budget_refills_up_to_its_burst_and_never_goes_negative() {
     let mut budget = ByteBudget::new(0, 100, 1_000);
     budget.spend(900);
     assert_eq!(budget.available(), 100);
@@ -196,18 +198,18 @@
 }
 
 #[test]
-fn hints_are_tried_and_their_absence_changes_nothing() {
+fn hints_are_used_for_joining_and_missing_ones_change_no_state() {
     let mut node = node();
     node.step(1_000, Input::Hints(vec![address(7)]));
     let outputs = node.step(1_000, Input::Tick);
-    let tried = outputs.iter().any(|output| match output {
+    let contacted = outputs.iter().any(|output| match output {
         Output::Send { to, envelope } => {
             *to == address(7) && matches!(envelope.message, Message::Join(_))
         }
         _ => false,
     });
-    assert!(tried, "{outputs:?}");
-    let mut node = introduced();
+    assert!(contacted, "{outputs:?}");
+    let mut node = node_with_peers();
     node.step(1_000, Input::Hints(Vec::new()));
     assert_eq!(node.alive(1_000).len(), 5);
 }
--- a/crates/firshore-membership/tests/support/mod.rs
+++ b/crates/firshore-membership/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! A seeded network of membership state machines in simulated time.
-#![allow(dead_code)] // Each test file uses its own part.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 use firshore_membership::member::{Member, MemberState};
 use firshore_membership::membership::{Input, Membership, Output};
@@ -11,28 +11,28 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One node and what is done to it.
+/// A node with its injected faults.
 pub struct Node {
     pub membership: Membership,
     pub running: bool,
     pub paused: bool,
-    /// Nodes in different partitions do not reach each other.
+    /// Nodes in different partitions can't reach each other.
     pub partition: u32,
 }
 
-/// The network.
+/// Simulated network of nodes.
 pub struct Fleet {
     pub now: u64,
     pub loss_percent: u32,
     pub nodes: Vec<Node>,
-    /// Members that some node declared failed, with the time and the node.
+    /// Members that some node declared failed.
     pub failures: Vec<Failure>,
     in_flight: BTreeMap<(u64, u64), (usize, SocketAddr, Envelope)>,
     sent: u64,
     rng: StdRng,
 }
 
-/// A member declared failed.
+/// A member declared failed by node `observer`.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure {
     pub observer: usize,
@@ -43,14 +43,14 @@
     SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7000))
 }
 
-/// A member; `place` is region and zone, such as `r1/z2`.
-pub fn member(number: usize, instance: u64, place: &str) -> Member {
-    let (region, _) = place.split_once('/').expect("a place is region/zone");
+/// Returns a member; `location` is region and zone, such as `r1/z2`.
+pub fn member(number: usize, instance: u64, location: &str) -> Member {
+    let (region, _) = location.split_once('/').expect("a location is region/zone");
     Member {
         instance: InstanceId(instance),
         name: format!("node-{number}").as_str().into(),
         region: region.into(),
-        zone: place.into(),
+        zone: location.into(),
         peer_address: address(number),
         has_disk: false,
         state: MemberState::Alive,
@@ -71,25 +71,25 @@
         }
     }
 
-    /// Nodes at these places, joined through the first and settled.
-    pub fn settled(seed: u64, places: &[&str]) -> Self {
+    /// Starts nodes at these locations and runs until they have joined.
+    pub fn joined(seed: u64, locations: &[&str]) -> Self {
         let mut fleet = Self::new(seed);
-        for (number, place) in places.iter().enumerate() {
-            fleet.start(number, place);
+        for (number, location) in locations.iter().enumerate() {
+            fleet.start(number, location);
         }
         fleet.run(15_000);
         fleet.failures.clear();
         fleet
     }
 
-    /// Starts a node at the address of `number`.
-    pub fn start(&mut self, number: usize, place: &str) -> usize {
+    /// Starts a node at the address of `number` and returns its index.
+    pub fn start(&mut self, number: usize, location: &str) -> usize {
         let instance = self.rng.random();
-        let own = member(number, instance, place);
+        let local = member(number, instance, location);
         let rng = StdRng::seed_from_u64(self.rng.random());
         let seeds = vec![address(0), address(1)];
         self.nodes.push(Node {
-            membership: Membership::new(self.now, own, seeds, rng),
+            membership: Membership::new(self.now, local, seeds, rng),
             running: true,
             paused: false,
             partition: 0,
@@ -127,7 +127,7 @@
             .insert((arrival, self.sent), (from, to, envelope));
     }
 
-    /// Lets simulated time pass.
+    /// Advances the simulated time.
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         while self.now < end {
@@ -135,14 +135,14 @@
             self.deliver();
             for node in 0..self.nodes.len() {
                 let phase = (node as u64 * 7 % TICK_MILLISECONDS) / 10 * 10;
-                if self.now % TICK_MILLISECONDS == phase && self.acts(node) {
+                if self.now % TICK_MILLISECONDS == phase && self.is_active(node) {
                     self.input(node, Input::Tick);
                 }
             }
         }
     }
 
-    fn acts(&self, node: usize) -> bool {
+    fn is_active(&self, node: usize) -> bool {
         self.nodes[node].running && !self.nodes[node].paused
     }
 
@@ -156,7 +156,7 @@
                 .nodes
                 .iter()
                 .position(|node| node.running && node.membership.own().peer_address == to);
-            let Some(receiver) = receiver.filter(|receiver| self.acts(*receiver)) else {
+            let Some(receiver) = receiver.filter(|receiver| self.is_active(*receiver)) else {
                 continue;
             };
             if self.nodes[from].partition == self.nodes[receiver].partition {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// State of node `subject` in the view of node `observer`.
+    /// Returns the state of node `subject` in the view of node `observer`.
     pub fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         let instance = self.instance(subject);
         let members = self.nodes[observer].membership.members(self.now);
@@ -175,26 +175,26 @@
             .map(|member| member.state)
     }
 
-    /// Asserts that every running node holds every running node for alive, and no other.
-    pub fn assert_agreed(&self) {
-        for observer in (0..self.nodes.len()).filter(|node| self.acts(*node)) {
+    /// Asserts that every running node sees exactly the running nodes as alive.
+    pub fn assert_views_agree(&self) {
+        for observer in (0..self.nodes.len()).filter(|node| self.is_active(*node)) {
             for subject in 0..self.nodes.len() {
                 let state = self.state(observer, subject);
                 let alive = state == Some(MemberState::Alive);
                 assert_eq!(
                     alive, self.nodes[subject].running,
-                    "node {observer} holds node {subject} for {state:?}"
+                    "node {observer} sees node {subject} as {state:?}"
                 );
             }
         }
     }
 
-    /// Asserts that nobody declared a running node failed.
+    /// Asserts that no running node was declared failed.
     pub fn assert_no_false_failure(&self) {
         self.assert_no_false_failure_except(None);
     }
 
-    /// The same, but for a node that was paused and so gave reason.
+    /// Asserts that no running node was declared failed, except a paused one.
     pub fn assert_no_false_failure_except(&self, paused: Option<usize>) {
         let paused = paused.map(|node| self.instance(node));
         for failure in &self.failures {
@@ -203,7 +203,7 @@
             }
             let subject = (0..self.nodes.len())
                 .find(|node| self.instance(*node) == failure.instance)
-                .expect("the instance is known");
+                .expect("the instance belongs to a node");
             assert!(!self.nodes[subject].running, "node {subject}: {failure:?}");
         }
     }
