--- a/crates/firshore-membership/src/exchange.rs
+++ b/crates/firshore-membership/src/exchange.rs
@@ -159,7 +159,7 @@
         self.send_to(sender, Message::Records(records));
     }
 
-    /// Returns whether this node may send its view to others.
+    /// Returns whether this node may send its view to others; false while the view is stale.
     fn is_fresh(&self) -> bool {
         !matches!(self.phase, Phase::Stale { .. })
     }
--- a/crates/firshore-membership/src/membership.rs
+++ b/crates/firshore-membership/src/membership.rs
@@ -102,10 +102,12 @@
     pub(crate) schedule: Schedule,
     pub(crate) probe: Option<Probe>,
     pub(crate) relays: Vec<Relay>,
-    pub(crate) urgent: VecDeque<InstanceId>,
+    /// Suspects that are probed before the scheduled members.
+    pub(crate) urgent_targets: VecDeque<InstanceId>,
     pub(crate) suspects: BTreeSet<InstanceId>,
+    /// Members without a record, to be requested from the next sender.
     pub(crate) wanted: Vec<InstanceId>,
-    pub(crate) regions: BTreeMap<RegionName, RegionContact>,
+    pub(crate) region_contacts: BTreeMap<RegionName, RegionContact>,
     pub(crate) sequence: Sequence,
     pub(crate) local_health: u64,
     /// Updated at the start of each probe.
@@ -144,10 +146,10 @@
             schedule: Schedule::default(),
             probe: None,
             relays: Vec::new(),
-            urgent: VecDeque::new(),
+            urgent_targets: VecDeque::new(),
             suspects: BTreeSet::new(),
             wanted: Vec::new(),
-            regions: BTreeMap::new(),
+            region_contacts: BTreeMap::new(),
             sequence: 0,
             local_health: 0,
             member_counts: MemberCounts::default(),
@@ -229,7 +231,7 @@
     /// Returns the regions from which no member has responded recently although several probes were
     /// sent.
     pub fn unreachable_regions(&self, now: u64) -> Vec<&RegionName> {
-        self.regions
+        self.region_contacts
             .iter()
             .filter(|(_, contact)| {
                 contact.unanswered >= REGION_UNANSWERED_PROBES
@@ -346,7 +348,7 @@
                 unanswered: 0,
             };
             let region = entry.member.region.clone();
-            self.regions.insert(region, contact);
+            self.region_contacts.insert(region, contact);
         }
     }
 
--- a/crates/firshore-membership/src/outbox.rs
+++ b/crates/firshore-membership/src/outbox.rs
@@ -38,8 +38,8 @@
     }
 
     /// Sends a message without extra rumours to a peer.
-    pub(crate) fn send_to(&mut self, sender: Peer, message: Message) {
-        self.send(sender.address, Some(sender.instance), message, Vec::new());
+    pub(crate) fn send_to(&mut self, peer: Peer, message: Message) {
+        self.send(peer.address, Some(peer.instance), message, Vec::new());
     }
 
     /// Sends a message with as many rumours as the budget allows. If this node has the receiver as
@@ -68,9 +68,9 @@
             message,
         };
         self.budget.spend(envelope.estimated_bytes());
-        let rumour_bytes = self.budget.available().min(MAX_RUMOUR_BYTES);
+        let max_rumour_bytes = self.budget.available().min(MAX_RUMOUR_BYTES);
         let limit = self.transmission_limit();
-        let selected = self.rumours.take(&self.table, rumour_bytes, limit);
+        let selected = self.rumours.take(&self.table, max_rumour_bytes, limit);
         let bytes = selected.iter().map(Rumour::estimated_bytes).sum();
         self.budget.spend(bytes);
         envelope.rumours.extend(selected);
--- a/crates/firshore-membership/src/probe.rs
+++ b/crates/firshore-membership/src/probe.rs
@@ -69,7 +69,7 @@
     }
 
     fn next_target(&mut self) -> Option<InstanceId> {
-        while let Some(instance) = self.urgent.pop_front() {
+        while let Some(instance) = self.urgent_targets.pop_front() {
             let suspect = self
                 .table
                 .get(instance)
@@ -118,7 +118,10 @@
         };
         let member = &entry.member;
         if !self.may_declare_failed(member) {
-            let contact = self.regions.entry(member.region.clone()).or_default();
+            let contact = self
+                .region_contacts
+                .entry(member.region.clone())
+                .or_default();
             contact.unanswered += 1;
             return;
         }
@@ -129,7 +132,7 @@
             MemberState::Leaving => MemberState::Failed,
             MemberState::Suspect | MemberState::Failed => return,
         };
-        self.urgent.push_back(target);
+        self.urgent_targets.push_back(target);
         self.change(now, Claim { state, ..claim });
     }
 
--- a/crates/firshore-membership/src/rumours.rs
+++ b/crates/firshore-membership/src/rumours.rs
@@ -58,19 +58,19 @@
             .map(|(instance, pending)| (pending.transmissions, *instance))
             .collect();
         order.sort_unstable();
-        let mut left = bytes;
+        let mut remaining = bytes;
         let mut taken = Vec::new();
         for (_, instance) in order {
             let Some(rumour) = self.rumour(table, instance) else {
                 self.pending.remove(&instance);
                 continue;
             };
-            let Some(rest) = left.checked_sub(rumour.estimated_bytes()) else {
+            let Some(rest) = remaining.checked_sub(rumour.estimated_bytes()) else {
                 break;
             };
-            left = rest;
+            remaining = rest;
             taken.push(rumour);
-            self.count(instance, limit);
+            self.record_transmission(instance, limit);
         }
         taken
     }
@@ -85,7 +85,7 @@
         })
     }
 
-    fn count(&mut self, instance: InstanceId, limit: u32) {
+    fn record_transmission(&mut self, instance: InstanceId, limit: u32) {
         let Some(pending) = self.pending.get_mut(&instance) else {
             return;
         };
--- a/crates/firshore-membership/src/suspicion.rs
+++ b/crates/firshore-membership/src/suspicion.rs
@@ -168,7 +168,7 @@
                 // It sent a message since, but its refutation has not arrived: restart the timeout.
                 self.table.set(now, claim);
                 self.suspects.insert(instance);
-                self.urgent.push_back(instance);
+                self.urgent_targets.push_back(instance);
                 continue;
             }
             let state = MemberState::Failed;
