--- a/crates/firshore-config/src/dissemination/adoption.rs
+++ b/crates/firshore-config/src/dissemination/adoption.rs
@@ -1,7 +1,7 @@
-//! Putting into force what follows the own history, refusing what does not, and passing it on.
+//! Applies and forwards changes that follow the local history, and refuses others.
 
 use super::{
-    Dissemination, Output, REGION_FANOUT, REPORTED_REFUSALS, Refusal, Source, ZONE_FANOUT,
+    Dissemination, MAX_REPORTED_REFUSALS, Output, REGION_FANOUT, Refusal, Source, ZONE_FANOUT,
 };
 use crate::history::{History, Record, RecordError};
 use crate::message::Snapshot;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Dissemination {
-    pub(super) fn offer(
+    pub(super) fn apply_records(
         &mut self,
         now: u64,
         source: Source,
@@ -22,11 +22,11 @@
         let mut configuration = None;
         for record in records {
             if record.revision > self.history.head().next() {
-                self.note_gap(now, source, record.revision, outputs);
+                self.record_gap(now, source, record.revision, outputs);
                 break;
             }
             let configuration = configuration.get_or_insert_with(|| self.configuration.clone());
-            if let Err(error) = self.take(record, configuration) {
+            if let Err(error) = self.apply_record(record, configuration) {
                 self.refuse(record.revision, source.peer(), error, outputs);
                 break;
             }
@@ -37,7 +37,7 @@
         }
     }
 
-    pub(super) fn take(
+    pub(super) fn apply_record(
         &mut self,
         record: &Record,
         configuration: &mut Arc<Configuration>,
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    pub(super) fn note_gap(
+    pub(super) fn record_gap(
         &mut self,
         now: u64,
         source: Source,
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Tells a bounded number of peers what is new after `before`.
+    /// Sends the changes after `before` to a bounded number of peers.
     pub(super) fn spread(&mut self, before: Revision, source: Source, outputs: &mut Vec<Output>) {
         self.reported
             .retain(|revision, _| *revision > self.history.head());
-        let message = self.news_after(before);
+        let message = self.changes_message(before);
         let mut receivers = self.selection.choose(ZONE_FANOUT, Distance::Zone);
-        // A zone with few nodes leaves more for the others.
+        // Fewer receivers in the local zone allow more in other zones.
         let near = ZONE_FANOUT + REGION_FANOUT - receivers.len();
         receivers.extend(self.selection.choose(near, Distance::Region));
         if receivers.is_empty() || source == Source::Objects {
@@ -125,7 +125,7 @@
         if self.reported.get(&revision) == Some(&error) {
             return;
         }
-        if self.reported.len() >= REPORTED_REFUSALS {
+        if self.reported.len() >= MAX_REPORTED_REFUSALS {
             self.reported.pop_first();
         }
         self.reported.insert(revision, error.clone());
--- a/crates/firshore-config/src/dissemination/anti_entropy.rs
+++ b/crates/firshore-config/src/dissemination/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Comparing what two nodes hold, and pulling what one of them lacks.
+//! Comparison of two nodes' histories, and pulls of missing changes.
 
 use super::{
     Dissemination, EAGER_PUSH_BYTES, Output, PULL_TIMEOUT_MILLISECONDS, Pull, RANGE_BYTES,
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Compares what a peer holds with the own history.
+    /// Compares a peer's advertisement with the local history.
     pub(super) fn compare(
         &mut self,
         now: u64,
@@ -42,7 +42,7 @@
             return;
         }
         if theirs.revision < head {
-            let message = self.news_after(theirs.revision);
+            let message = self.changes_message(theirs.revision);
             outputs.push(Output::Send { to: from, message });
         } else if theirs.floor < self.floor {
             let message = Message::Advertisement(self.advertisement());
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The changes after `revision` where they are few, else an advertisement of them.
-    pub(super) fn news_after(&self, revision: Revision) -> Message {
+    /// Returns a message with the changes after `revision` if they are small, else an advertisement.
+    pub(super) fn changes_message(&self, revision: Revision) -> Message {
         let records = self.history.after(revision, EAGER_PUSH_BYTES);
         match records {
             Some(records) if is_small_and_whole(&records, self.history.head()) => {
@@ -72,7 +72,7 @@
         match self.pull {
             Some(pull) if now < pull.until => return,
             Some(pull) if pull.from == from => {
-                // It did not answer; the next advertisement names another.
+                // The peer did not respond; the next advertisement selects another.
                 self.pull = None;
                 self.ahead = None;
                 return;
--- a/crates/firshore-config/src/dissemination/mod.rs
+++ b/crates/firshore-config/src/dissemination/mod.rs
@@ -1,7 +1,7 @@
-//! Brings each accepted change to every node: a few readers watch the object API, new changes are
-//! pushed along a bounded fan-out, and periodic advertisements find and close what was missed.
+//! Disseminates accepted changes to all nodes: a few readers watch the object API, new changes are
+//! pushed with a bounded fan-out, and periodic advertisements repair missed changes.
 //!
-//! After the push and pull of rumours and anti-entropy of Demers et al., "Epidemic algorithms for
+//! Based on rumor mongering and anti-entropy by Demers et al., "Epidemic algorithms for
 //! replicated database maintenance", PODC 1987.
 
 mod adoption;
@@ -20,37 +20,38 @@
 /// Milliseconds between two [`Input::Tick`]s; advertisements are sent on each.
 pub const TICK_MILLISECONDS: u64 = 1_000;
 
-/// Peers in the own zone that a node passes news to.
+/// Peers in the local zone to which a node forwards changes.
 pub const ZONE_FANOUT: usize = 2;
 
-/// Peers in other zones of the own region that a node passes news to.
+/// Peers in other zones of the local region to which a node forwards changes.
 pub const REGION_FANOUT: usize = 1;
 
-/// Most bytes of news pushed unasked; larger news is advertised, and pulled once by each node.
+/// Maximum bytes of changes pushed; larger ones are advertised and pulled once by each node.
 pub const EAGER_PUSH_BYTES: usize = 4 * 1024;
 
-/// Most bytes of records in one answer to a pull; the rest is pulled next.
+/// Maximum bytes of records in one response to a pull; further pulls request the rest.
 pub const RANGE_BYTES: usize = 256 * 1024;
 
 /// Milliseconds after which an unanswered pull is repeated with another peer.
 pub const PULL_TIMEOUT_MILLISECONDS: u64 = 1_500;
 
-/// Least milliseconds between two snapshots sent by one node.
+/// Minimum milliseconds between two snapshots sent by one node.
 pub const SNAPSHOT_INTERVAL_MILLISECONDS: u64 = 250;
 
-/// Failed reads of the object API after which a reader asks the next node to read as well.
+/// Consecutive failed reads of the object API after which a reader requests that the
+/// next node read as well.
 pub const FAILED_READS_BEFORE_HANDOVER: u32 = 3;
 
-/// Milliseconds for which a node reads in place of a reader that asked it to.
+/// Milliseconds for which a node reads in place of a failing reader.
 pub const SUBSTITUTE_MILLISECONDS: u64 = 30_000;
 
 /// Milliseconds between two reads of the object API after a failed one.
 pub const READ_RETRY_MILLISECONDS: u64 = 1_000;
 
-/// One in so many ticks of a node that is no reader, an advertisement goes to another region.
+/// Mean number of ticks between advertisements to another region by a node that is no reader.
 const REMOTE_TICKS: u32 = 16;
 
-/// What happened.
+/// Event that advances the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// [`TICK_MILLISECONDS`] have passed.
@@ -73,14 +74,14 @@
     Written(Vec<Record>),
     /// The journal's floor.
     Floor(Revision),
-    /// A configuration kept on the own disk.
+    /// A configuration restored from the local disk.
     Restored(Box<Snapshot>),
 }
 
-/// What is to be done.
+/// Action that the caller must perform.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message to a peer; losing it does no harm.
+    /// Send a message to a peer; delivery need not be reliable.
     Send {
         /// Receiver.
         to: InstanceId,
@@ -88,14 +89,14 @@
         message: Message,
     },
     /// Wait for change objects after a revision, then report by [`Input::ObjectsRead`] or
-    /// [`Input::ObjectsUnread`]. At most one such wait is asked for at a time.
+    /// [`Input::ObjectsUnread`]. At most one such wait runs at a time.
     WatchObjects {
         /// Revision in force.
         after: Revision,
     },
     /// A new configuration is in force.
     InForce(Arc<Configuration>),
-    /// Something was refused; an operator must hear of it.
+    /// A change or snapshot was refused; to be reported to operators.
     Refused(Refusal),
 }
 
@@ -106,7 +107,7 @@
     pub revision: Revision,
     /// Peer that sent it; `None` for the object API.
     pub from: Option<InstanceId>,
-    /// Why.
+    /// Reason.
     pub error: RecordError,
 }
 
@@ -122,7 +123,7 @@
     Running,
 }
 
-/// How news reached the node, which decides how it is passed on.
+/// Source of a change, which determines to whom it is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     Objects,
@@ -139,7 +140,7 @@
     }
 }
 
-/// The configuration that one node has in force, and how it moves forward.
+/// State machine that keeps one node's configuration up to date.
 #[derive(Debug)]
 pub struct Dissemination {
     selection: Selection,
@@ -152,7 +153,7 @@
     pull: Option<Pull>,
     watch: Watch,
     failed_reads: u32,
-    /// Nodes asked to read in this one's place, so far.
+    /// Number of handovers so far.
     handovers: usize,
     handover_not_before: u64,
     substitute_until: u64,
@@ -162,14 +163,14 @@
     reported: BTreeMap<Revision, RecordError>,
 }
 
-/// Most refusals remembered so as to report each once.
-const REPORTED_REFUSALS: usize = 64;
+/// Maximum number of refusals kept to prevent repeated reports.
+const MAX_REPORTED_REFUSALS: usize = 64;
 
 impl Dissemination {
-    /// A node that has nothing in force yet; `seed` drives its choice of peers.
-    pub fn new(own: Peer, seed: u64) -> Self {
+    /// Creates a node without a configuration; `seed` initializes the random choice of peers.
+    pub fn new(local: Peer, seed: u64) -> Self {
         Self {
-            selection: Selection::new(own, seed),
+            selection: Selection::new(local, seed),
             reader_order: Vec::new(),
             configuration: Arc::default(),
             history: History::default(),
@@ -187,22 +188,22 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// The chain that led to it.
+    /// Returns the history of the configuration in force.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Highest floor that the node knows of.
+    /// Returns the highest floor received.
     pub fn floor(&self) -> Revision {
         self.floor
     }
 
-    /// What the node tells peers that it holds.
+    /// Returns the advertisement sent to peers.
     pub fn advertisement(&self) -> Advertisement {
         Advertisement {
             revision: self.history.head(),
@@ -211,7 +212,7 @@
         }
     }
 
-    /// The configuration in force and its place in the history.
+    /// Returns the configuration in force and its position in the history.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             digest: self.history.head_digest(),
@@ -230,7 +231,7 @@
             Input::ObjectsRead(records) => self.objects_read(now, &records, &mut outputs),
             Input::ObjectsUnread => self.objects_unread(now, &mut outputs),
             Input::Written(records) => {
-                self.offer(now, Source::Objects, &records, &mut outputs);
+                self.apply_records(now, Source::Objects, &records, &mut outputs);
             }
             Input::Floor(floor) => self.floor = self.floor.max(floor),
             Input::Restored(snapshot) => {
@@ -246,8 +247,8 @@
 
     fn set_members(&mut self, peers: Vec<Peer>) {
         self.selection.set_peers(peers);
-        let region = &self.selection.own().region;
-        let alive = self.selection.everyone();
+        let region = &self.selection.local().region;
+        let alive = self.selection.members();
         self.reader_order = reader_order("configuration-readers", region, alive);
     }
 
@@ -276,7 +277,7 @@
             }
             Message::Chain(records) => {
                 self.end_pull(from);
-                self.offer(now, Source::Peer(from), &records, outputs);
+                self.apply_records(now, Source::Peer(from), &records, outputs);
                 self.pull_if_behind(now, outputs);
             }
             Message::Pull { after, digest } => self.serve_pull(now, from, after, digest, outputs),
--- a/crates/firshore-config/src/dissemination/reading.rs
+++ b/crates/firshore-config/src/dissemination/reading.rs
@@ -1,4 +1,4 @@
-//! Watching the object API, on the nodes that are chosen to.
+//! Watches of the object API on the elected reader nodes.
 
 use super::{
     Dissemination, FAILED_READS_BEFORE_HANDOVER, Output, READ_RETRY_MILLISECONDS,
@@ -9,7 +9,7 @@
 use crate::readers::READERS_PER_REGION;
 
 impl Dissemination {
-    /// Whether the node should watch the object API at `now` (milliseconds).
+    /// Returns whether the node should watch the object API at `now` (milliseconds).
     pub fn is_reader(&self, now: u64) -> bool {
         now < self.substitute_until || self.is_elected_reader()
     }
@@ -18,17 +18,17 @@
         self.reader_order
             .iter()
             .take(READERS_PER_REGION)
-            .any(|reader| *reader == self.selection.own().instance)
+            .any(|reader| *reader == self.selection.local().instance)
     }
 
     pub(super) fn objects_read(&mut self, now: u64, records: &[Record], outputs: &mut Vec<Output>) {
         self.failed_reads = 0;
         let before = self.history.head();
-        self.offer(now, Source::Objects, records, outputs);
+        self.apply_records(now, Source::Objects, records, outputs);
         let stuck = !records.is_empty() && self.history.head() == before;
-        let pause = if stuck { READ_RETRY_MILLISECONDS } else { 0 };
+        let backoff = if stuck { READ_RETRY_MILLISECONDS } else { 0 };
         self.watch = Watch::Idle {
-            not_before: now + pause,
+            not_before: now + backoff,
         };
     }
 
@@ -38,12 +38,12 @@
             not_before: now + READ_RETRY_MILLISECONDS,
         };
         if self.is_elected_reader() && self.failed_reads >= FAILED_READS_BEFORE_HANDOVER {
-            self.hand_over(now, outputs);
+            self.delegate_reading(now, outputs);
         }
     }
 
-    /// Asks the next node in order to read as well, one at a time.
-    fn hand_over(&mut self, now: u64, outputs: &mut Vec<Output>) {
+    /// Requests that the next node in order read as well, one node at a time.
+    fn delegate_reading(&mut self, now: u64, outputs: &mut Vec<Output>) {
         let others = self.reader_order.get(READERS_PER_REGION..).unwrap_or(&[]);
         if others.is_empty() || now < self.handover_not_before {
             return;
--- a/crates/firshore-config/src/floor.rs
+++ b/crates/firshore-config/src/floor.rs
@@ -1,21 +1,21 @@
-//! Whether a node may serve: only at or above the floor that the journal holds.
+//! Decides whether a node may serve: only at or above the floor that the journal holds.
 
 use firshore_types::ids::Revision;
 
-/// Milliseconds for which a node that already serves may go on below a floor that it has just
-/// learnt of, while the missing changes are on their way.
+/// Milliseconds for which a serving node may stay below a newly received floor until the missing
+/// changes arrive.
 pub const CATCH_UP_MILLISECONDS: u64 = 5_000;
 
-/// Milliseconds without a sign of life from the node's own driver after which it must have been
-/// paused, and may have slept through changes that are in force everywhere else.
+/// Milliseconds without a call of [`FloorGate::alive`] after which the process counts as paused: it
+/// may have missed changes that are in force on other nodes.
 pub const PAUSE_MILLISECONDS: u64 = 15_000;
 
-/// Why a node does not serve.
+/// Reason why a node does not serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotServing {
-    /// The journal has not told the floor yet.
+    /// The floor has not been read from the journal since the start.
     FloorUnknown,
-    /// The process was paused, and has not learnt the floor since.
+    /// The process was paused and has not read the floor since.
     Paused,
     /// No configuration was ever accepted.
     Empty,
@@ -46,11 +46,10 @@
 
 /// Decides whether a node may serve.
 ///
-/// A starting node must read the floor from a majority of the journal first and reach it. Once it
-/// serves, it needs no further reads: the floor spreads with the changes. If it then stays below a
-/// floor it knows of for longer than [`CATCH_UP_MILLISECONDS`], it stops serving, unless the cause
-/// is a change that its version cannot read; such a change would otherwise stop every node of the
-/// older version at once.
+/// A starting node must read the floor from a majority of the journal and reach it. A serving node
+/// needs no further reads because peers send the floor with the changes. It stops serving when it
+/// stays below a received floor for longer than [`CATCH_UP_MILLISECONDS`], unless its version cannot
+/// read the next change: otherwise such a change would stop all nodes of the older version at once.
 #[derive(Debug, Default)]
 pub struct FloorGate {
     confirmed: bool,
@@ -63,26 +62,26 @@
 }
 
 impl FloorGate {
-    /// The journal answered with its floor at `now` (milliseconds).
+    /// Records the floor read from the journal at `now` (milliseconds).
     pub fn floor_read(&mut self, now: u64, floor: Revision) {
         self.confirmed = true;
         self.floor_heard(now, floor);
     }
 
-    /// A peer told a floor at `now` (milliseconds).
+    /// Records a floor received from a peer at `now` (milliseconds).
     pub fn floor_heard(&mut self, now: u64, floor: Revision) {
         self.floor = self.floor.max(floor);
         self.update(now);
     }
 
-    /// A configuration came into force at `now` (milliseconds).
+    /// Records the revision that came into force at `now` (milliseconds).
     pub fn in_force(&mut self, now: u64, revision: Revision) {
         self.revision = self.revision.max(revision);
         self.update(now);
     }
 
-    /// The node's driver runs at `now` (milliseconds); to be told at least every few seconds. After
-    /// a pause the node starts anew: it must read the floor again.
+    /// Records that the process runs at `now` (milliseconds); to be called at least every few
+    /// seconds. After a pause the node must read the floor again before it serves.
     pub fn alive(&mut self, now: u64) {
         if self.was_paused(now) {
             self.confirmed = false;
@@ -96,17 +95,17 @@
             .is_some_and(|alive_at| now.saturating_sub(alive_at) > PAUSE_MILLISECONDS)
     }
 
-    /// A change was refused because this version cannot read it.
+    /// Records a change that this version cannot read.
     pub fn unreadable(&mut self, revision: Revision) {
         self.unreadable = Some(revision);
     }
 
-    /// Whether the journal has told the floor since the start.
+    /// Returns whether the floor was read from the journal since the start or the last pause.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// Highest floor known.
+    /// Returns the highest floor received.
     pub fn floor(&self) -> Revision {
         self.floor
     }
@@ -120,28 +119,32 @@
         }
     }
 
-    fn waits_for_unreadable(&self) -> bool {
+    fn next_change_is_unreadable(&self) -> bool {
         self.unreadable == Some(self.revision.next())
     }
 
-    /// Whether the node may serve at `now` (milliseconds).
+    /// Checks whether the node may serve at `now` (milliseconds).
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if it may not serve.
     pub fn check(&self, now: u64) -> Result<(), NotServing> {
         if self.was_paused(now) {
             return Err(NotServing::Paused);
         }
         if !self.started {
-            return Err(self.reason());
+            return Err(self.not_serving_reason());
         }
-        let late = self
+        let expired = self
             .below_since
             .is_some_and(|since| now.saturating_sub(since) > CATCH_UP_MILLISECONDS);
-        if late && !self.waits_for_unreadable() {
-            return Err(self.reason());
+        if expired && !self.next_change_is_unreadable() {
+            return Err(self.not_serving_reason());
         }
         Ok(())
     }
 
-    fn reason(&self) -> NotServing {
+    fn not_serving_reason(&self) -> NotServing {
         if !self.confirmed {
             NotServing::FloorUnknown
         } else if self.revision < self.floor {
--- a/crates/firshore-config/src/history.rs
+++ b/crates/firshore-config/src/history.rs
@@ -1,7 +1,7 @@
-//! Accepted changes as a chain in which each names the digest of the one before it.
+//! Accepted changes as a hash chain: each contains the digest of the history before it.
 //!
-//! The text of a change object is kept and passed on as it was written, so that nodes of another
-//! version compute the same digests and relay fields that they cannot read themselves.
+//! Change objects are stored and forwarded byte for byte, so nodes of different versions compute the
+//! same digests and preserve fields that they cannot read.
 
 use firshore_types::configuration::Change;
 use firshore_types::ids::Revision;
@@ -12,13 +12,13 @@
 use std::collections::VecDeque;
 use std::fmt;
 
-/// Most records kept for peers that lag.
+/// Maximum number of records kept for lagging peers.
 pub const HISTORY_RECORDS: usize = 4_096;
 
-/// Most bytes of record text kept for peers that lag.
+/// Maximum bytes of record text kept for lagging peers.
 pub const HISTORY_BYTES: usize = 2 * 1024 * 1024;
 
-/// Most digests kept to recognise a diverging history; at 11,000 changes a day, 36 hours.
+/// Maximum number of digests kept to detect diverging histories; 36 hours at 11,000 changes a day.
 pub const HISTORY_DIGESTS: usize = 16_384;
 
 /// Digest of the whole history up to one revision: SHA-256, shortened to 128 bits.
@@ -55,21 +55,21 @@
 }
 
 quick_error! {
-    /// Why a change object is not usable.
+    /// Reason why a change object is not usable.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum RecordError {
         /// Not a change object, or of a version that this node cannot read.
         Unreadable(reason: String) {
             display("The change cannot be read: {reason}. Upgrade this node, or undo the change with a new one.")
         }
-        /// It does not follow the history that this node holds.
+        /// The change does not follow this node's history.
         Divergent {
             display("The change belongs to another history. Was the object API restored from a backup? Keep the nodes running and apply again through one of them; it writes the missing changes back.")
         }
     }
 }
 
-/// What a change object holds: the change and the digest of the history that it follows.
+/// Content of a change object: the change and the digest of the history before it.
 #[derive(Serialize, Deserialize)]
 struct ChangeObject {
     revision: Revision,
@@ -77,17 +77,17 @@
     change: Box<RawValue>,
 }
 
-/// One accepted change, in the words in which it was written.
+/// One accepted change, with its original text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Revision that it creates.
+    /// Revision that the change creates.
     pub revision: Revision,
     /// Text of the change object.
     pub text: String,
 }
 
 impl Record {
-    /// The record of `change` on top of the history with digest `previous`.
+    /// Creates the record of `change` that follows the history with digest `previous`.
     pub fn new(previous: HistoryDigest, change: &Change) -> Self {
         let text = serde_json::to_string(change).expect("changes serialise");
         let object = ChangeObject {
@@ -101,14 +101,14 @@
         }
     }
 
-    /// Reads the text of a change object, without its content.
+    /// Parses the text of a change object, but not the change itself.
     pub fn from_text(text: String) -> Result<Self, RecordError> {
         let object = parse(&text)?;
         let revision = object.revision;
         Ok(Self { revision, text })
     }
 
-    /// Digest of the history that ends with this record.
+    /// Returns the digest of the history up to and including this record.
     pub fn digest(&self) -> HistoryDigest {
         let hash = Sha256::digest(self.text.as_bytes());
         let mut bytes = [0; 16];
@@ -116,12 +116,12 @@
         HistoryDigest(bytes)
     }
 
-    /// Digest of the history that this record follows.
+    /// Returns the digest of the history before this record.
     pub fn previous(&self) -> Result<HistoryDigest, RecordError> {
         Ok(parse(&self.text)?.previous)
     }
 
-    /// The change itself; unknown fields are refused.
+    /// Parses the change; unknown fields are an error.
     pub fn change(&self) -> Result<Change, RecordError> {
         let object = parse(&self.text)?;
         let change: Change = serde_json::from_str(object.change.get()).map_err(unreadable)?;
@@ -141,7 +141,7 @@
     RecordError::Unreadable(error.to_string())
 }
 
-/// The newest part of the chain that a node has in force.
+/// Most recent section of a node's chain of changes.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     head: Revision,
@@ -153,7 +153,7 @@
 }
 
 impl History {
-    /// A history of which only the end is known.
+    /// Creates a history that starts at the given revision and digest, without earlier records.
     pub fn starting_at(head: Revision, head_digest: HistoryDigest) -> Self {
         Self {
             head,
@@ -162,17 +162,17 @@
         }
     }
 
-    /// Newest revision.
+    /// Returns the newest revision.
     pub fn head(&self) -> Revision {
         self.head
     }
 
-    /// Digest at the newest revision.
+    /// Returns the digest at the newest revision.
     pub fn head_digest(&self) -> HistoryDigest {
         self.head_digest
     }
 
-    /// Digest at `revision`, if it is still known.
+    /// Returns the digest at `revision`, if it is still kept.
     pub fn digest_at(&self, revision: Revision) -> Option<HistoryDigest> {
         if revision == self.head {
             return Some(self.head_digest);
@@ -182,8 +182,8 @@
         self.earlier_digests.get(index).copied()
     }
 
-    /// Records after `revision`, up to `limit` bytes and at least one, or `None` when they are not
-    /// all kept any more.
+    /// Returns the records after `revision`, up to `limit` bytes and at least one, or `None` if some
+    /// are no longer kept.
     pub fn after(&self, revision: Revision, limit: usize) -> Option<Vec<Record>> {
         let wanted = self.head.0.checked_sub(revision.0)? as usize;
         let start = self.records.len().checked_sub(wanted)?;
@@ -199,14 +199,14 @@
         Some(found)
     }
 
-    /// The record of `revision`, if it is still kept.
+    /// Returns the record of `revision`, if it is still kept.
     pub fn record(&self, revision: Revision) -> Option<&Record> {
         let back = self.head.0.checked_sub(revision.0)? as usize;
         let index = self.records.len().checked_sub(back + 1)?;
         self.records.get(index)
     }
 
-    /// Appends a record that directly follows the head; the caller has checked its place.
+    /// Appends a record; the caller must check that it directly follows the head.
     pub fn append(&mut self, record: Record) {
         self.earlier_digests.push_back(self.head_digest);
         self.head = record.revision;
--- a/crates/firshore-config/src/lib.rs
+++ b/crates/firshore-config/src/lib.rs
@@ -1,6 +1,6 @@
-//! Configuration in force: revisions, proposals, dissemination among nodes, and the rules by which
-//! a node moves forward and never back. State machines without I/O; the object API client lives in
-//! the server.
+//! Configuration in force: revisions, proposals, dissemination among nodes, and the checks that
+//! prevent a node from reverting to an older revision. State machines without I/O; the object API
+//! client is in the server.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod dissemination;
@@ -20,7 +20,7 @@
     format!("{CHANGE_PREFIX}{:020}", revision.0)
 }
 
-/// Revisions in one page of change objects, as told by the key's leading digits.
+/// Revisions in one page of change objects; the key's leading digits identify the page.
 pub const REVISIONS_PER_PAGE: u64 = 1_000;
 
 /// Key prefix of the change objects on the page that holds `revision`.
@@ -28,13 +28,13 @@
     format!("{CHANGE_PREFIX}{:017}", revision.0 / REVISIONS_PER_PAGE)
 }
 
-/// Key of the object that holds a whole configuration, from which an empty cluster starts.
+/// Key of the snapshot object: a whole configuration, from which an empty cluster starts.
 pub const SNAPSHOT_KEY: &str = "configuration-snapshot";
 
 /// Revisions between two writes of the snapshot object.
 pub const SNAPSHOT_REVISIONS: u64 = 1_024;
 
-/// Key prefix of intents: what was in force when a change was first attempted.
+/// Key prefix of intents, which record the revision in force when a change was first attempted.
 pub const INTENT_PREFIX: &str = "change-intents/";
 
 /// Key of the intent of a change.
--- a/crates/firshore-config/src/machine_list.rs
+++ b/crates/firshore-config/src/machine_list.rs
@@ -1,10 +1,10 @@
-//! Spreads the platform's machine list: one node reads it, the others learn of its changes from
+//! Distributes the platform's machine list: one node reads it, the others receive its changes from
 //! peers.
 //!
-//! The list has no versions of its own and lags, so that two readers may see it differently. The
-//! reader stamps each change that it sees; where two nodes read at once, the later stamp wins, and
-//! the next read corrects what was wrong. Being taken off the list is only a hint: a machine that
-//! was not leaving is kept for a while longer.
+//! The platform assigns no versions and may return stale lists, so two readers may see different
+//! lists. The reader assigns a version to each change; if two nodes read at once, the later version
+//! wins, and the next read corrects errors. A machine that disappears from the list without leaving
+//! first is kept for [`REMOVAL_HOLD_MILLISECONDS`].
 
 use crate::readers::Peer;
 use crate::selection::{Distance, Selection};
@@ -18,28 +18,28 @@
 /// Milliseconds between two [`Input::Tick`]s, and between two reads by the reader.
 pub const TICK_MILLISECONDS: u64 = 1_000;
 
-/// Milliseconds without a read, by anyone, after which the next node in order reads too.
+/// Milliseconds without a read by any node after which the next node in order reads too.
 pub const TAKE_OVER_MILLISECONDS: u64 = 5_000;
 
-/// Most nodes that read while none succeeds.
-pub const READERS_AT_MOST: usize = 4;
+/// Maximum number of nodes that read while no read succeeds.
+pub const MAX_READERS: usize = 4;
 
-/// Milliseconds for which a machine is kept that was taken off the list without leaving first.
+/// Milliseconds for which a machine is kept that was removed from the list without leaving first.
 pub const REMOVAL_HOLD_MILLISECONDS: u64 = 30_000;
 
-/// Changes kept for peers that lag; older ones pull the whole list.
+/// Changes kept for lagging peers; peers further behind pull the whole list.
 const CHANGES_KEPT: usize = 256;
 
-/// Peers in the own zone that a node passes a change to.
+/// Peers in the local zone to which a node forwards a change.
 const ZONE_FANOUT: usize = 2;
 
-/// Least milliseconds between two whole lists sent by one node.
+/// Minimum milliseconds between two whole lists sent by one node.
 const LIST_INTERVAL_MILLISECONDS: u64 = 250;
 
-/// One in so many ticks, the list is advertised to another region.
+/// Mean number of ticks between advertisements to another region.
 const REMOTE_TICKS: u32 = 16;
 
-/// Stamp of a change of the list.
+/// Version of the list, ordered by read time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -50,12 +50,12 @@
     pub reader: u64,
 }
 
-/// What a node holds.
+/// Version of a node's list and time of its last check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListAdvertisement {
     /// Version of the list.
     pub version: ListVersion,
-    /// When the list was last read by anyone, in Unix milliseconds on that reader's clock.
+    /// Last read by any node, in Unix milliseconds on that reader's clock.
     pub checked_at: u64,
 }
 
@@ -68,18 +68,18 @@
     pub to: ListVersion,
     /// Machines added or changed.
     pub upserts: Vec<Machine>,
-    /// Machines taken off.
+    /// Machines removed.
     pub removals: Vec<MachineName>,
 }
 
-/// A message between two nodes; a lost one is made good by the next advertisement.
+/// A message between two nodes; the next advertisement compensates for a lost one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineListMessage {
-    /// Tells what the sender holds.
+    /// Version of the sender's list.
     Advertisement(ListAdvertisement),
     /// Changes, each following the one before.
     Changes(Vec<ListChange>),
-    /// Asks for what follows the sender's version.
+    /// Requests the changes after the sender's version.
     Pull(ListVersion),
     /// The whole list.
     List {
@@ -90,7 +90,7 @@
     },
 }
 
-/// What happened.
+/// Event that advances the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// [`TICK_MILLISECONDS`] have passed.
@@ -104,19 +104,19 @@
         /// Content.
         message: MachineListMessage,
     },
-    /// The platform's list as it was read.
+    /// Result of reading the platform's list.
     Read {
-        /// Unix milliseconds on the own clock.
+        /// Unix milliseconds on the local clock.
         read_at: u64,
         /// Machines.
         machines: Vec<Machine>,
     },
 }
 
-/// What is to be done.
+/// Action that the caller must perform.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message to a peer; losing it does no harm.
+    /// Send a message to a peer; delivery need not be reliable.
     Send {
         /// Receiver.
         to: InstanceId,
@@ -133,23 +133,23 @@
 #[derive(Debug)]
 pub struct MachineList {
     selection: Selection,
-    /// Place in the order of readers; `None` beyond the last that may read.
+    /// Position in the order of readers; `None` for nodes that may not read.
     rank: Option<usize>,
     held: ListAdvertisement,
-    /// Own clock at the last news that someone has read the list.
+    /// Local time of the latest read, or of the report that it took place, in milliseconds.
     checked_locally_at: u64,
     machines: BTreeMap<MachineName, Machine>,
-    /// Machines off the list that are still used, with the own clock at their removal.
+    /// Machines removed from the list that are still used, with the local time of their removal.
     kept: BTreeMap<MachineName, (u64, Machine)>,
     changes: VecDeque<ListChange>,
     list_not_before: u64,
 }
 
 impl MachineList {
-    /// A node that holds no list yet; `seed` drives its choice of peers.
-    pub fn new(own: Peer, seed: u64) -> Self {
+    /// Creates an empty list; `seed` initializes the random choice of peers.
+    pub fn new(local: Peer, seed: u64) -> Self {
         Self {
-            selection: Selection::new(own, seed),
+            selection: Selection::new(local, seed),
             rank: None,
             held: ListAdvertisement::default(),
             checked_locally_at: 0,
@@ -160,12 +160,12 @@
         }
     }
 
-    /// What the node holds.
+    /// Returns the version and check time to advertise.
     pub fn advertisement(&self) -> ListAdvertisement {
         self.held
     }
 
-    /// Machines to use: those on the list, and those taken off it a short while ago.
+    /// Returns the machines to use: those on the list and those removed from it recently.
     pub fn machines(&self) -> Vec<Machine> {
         let kept = self.kept.values().map(|(_, machine)| machine);
         self.machines.values().chain(kept).cloned().collect()
@@ -178,25 +178,27 @@
             Input::Tick => self.tick(now, &mut outputs),
             Input::Members(peers) => self.set_members(peers),
             Input::FromPeer { from, message } => self.receive(now, from, message, &mut outputs),
-            Input::Read { read_at, machines } => self.read(now, read_at, machines, &mut outputs),
+            Input::Read { read_at, machines } => {
+                self.record_read(now, read_at, machines, &mut outputs)
+            }
         }
         outputs
     }
 
     fn set_members(&mut self, peers: Vec<Peer>) {
         self.selection.set_peers(peers);
-        let alive = self.selection.everyone().map(|peer| peer.instance.0);
-        let order = rendezvous_top("machine-list-readers", alive, READERS_AT_MOST);
-        let own = self.selection.own().instance.0;
-        self.rank = order.iter().position(|reader| *reader == own);
+        let alive = self.selection.members().map(|peer| peer.instance.0);
+        let order = rendezvous_top("machine-list-readers", alive, MAX_READERS);
+        let local = self.selection.local().instance.0;
+        self.rank = order.iter().position(|reader| *reader == local);
     }
 
-    /// Whether the node reads the platform's list at `now`: the first in order always, each next
-    /// one when nobody has read it for a while longer.
+    /// Returns whether the node reads the platform's list at `now`: the first in order always, each
+    /// following one after a further [`TAKE_OVER_MILLISECONDS`] without a read.
     pub fn is_reader(&self, now: u64) -> bool {
-        let silence = now.saturating_sub(self.checked_locally_at);
+        let without_read = now.saturating_sub(self.checked_locally_at);
         self.rank
-            .is_some_and(|rank| silence >= rank as u64 * TAKE_OVER_MILLISECONDS)
+            .is_some_and(|rank| without_read >= rank as u64 * TAKE_OVER_MILLISECONDS)
     }
 
     fn tick(&mut self, now: u64, outputs: &mut Vec<Output>) {
@@ -215,10 +217,10 @@
             &MachineListMessage::Advertisement(self.held),
             outputs,
         );
-        self.drop_kept(now, outputs);
+        self.remove_expired(now, outputs);
     }
 
-    fn drop_kept(&mut self, now: u64, outputs: &mut Vec<Output>) {
+    fn remove_expired(&mut self, now: u64, outputs: &mut Vec<Output>) {
         let before = self.kept.len();
         self.kept
             .retain(|_, (since, _)| now.saturating_sub(*since) < REMOVAL_HOLD_MILLISECONDS);
@@ -239,32 +241,41 @@
         }
     }
 
-    fn checked(&mut self, now: u64, checked_at: u64) {
+    fn record_check(&mut self, now: u64, checked_at: u64) {
         if checked_at > self.held.checked_at {
             self.held.checked_at = checked_at;
             self.checked_locally_at = now;
         }
     }
 
-    fn read(&mut self, now: u64, read_at: u64, machines: Vec<Machine>, outputs: &mut Vec<Output>) {
-        self.checked(now, read_at);
-        // A reader whose clock lags still shows that the list was read.
+    fn record_read(
+        &mut self,
+        now: u64,
+        read_at: u64,
+        machines: Vec<Machine>,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.record_check(now, read_at);
+        // A read counts even if the reader's clock lags.
         self.checked_locally_at = now;
-        let read: BTreeMap<MachineName, Machine> = machines
+        let listed: BTreeMap<MachineName, Machine> = machines
             .into_iter()
             .map(|machine| (machine.name.clone(), machine))
             .collect();
         let first = self.held.version == ListVersion::default();
-        if read == self.machines && !first {
+        if listed == self.machines && !first {
             return;
         }
-        let upserts = read
+        let upserts = listed
             .values()
             .filter(|machine| self.machines.get(&machine.name) != Some(machine));
-        let removals = self.machines.keys().filter(|name| !read.contains_key(name));
+        let removals = self
+            .machines
+            .keys()
+            .filter(|name| !listed.contains_key(name));
         let to = ListVersion {
             read_at: read_at.max(self.held.version.read_at + 1),
-            reader: self.selection.own().instance.0,
+            reader: self.selection.local().instance.0,
         };
         let change = ListChange {
             from: self.held.version,
@@ -319,7 +330,7 @@
     ) {
         match message {
             MachineListMessage::Advertisement(theirs) => {
-                self.checked(now, theirs.checked_at);
+                self.record_check(now, theirs.checked_at);
                 let answer = match theirs.version.cmp(&self.held.version) {
                     std::cmp::Ordering::Greater => MachineListMessage::Pull(self.held.version),
                     std::cmp::Ordering::Less => MachineListMessage::Advertisement(self.held),
@@ -327,7 +338,7 @@
                 };
                 self.send(&[from], &answer, outputs);
             }
-            MachineListMessage::Changes(changes) => self.take(now, from, changes, outputs),
+            MachineListMessage::Changes(changes) => self.apply_changes(now, from, changes, outputs),
             MachineListMessage::Pull(version) => self.serve_pull(now, from, version, outputs),
             MachineListMessage::List { version, machines } => {
                 self.adopt(now, from, version, machines, outputs);
@@ -335,7 +346,7 @@
         }
     }
 
-    fn take(
+    fn apply_changes(
         &mut self,
         now: u64,
         from: InstanceId,
@@ -355,11 +366,16 @@
             self.apply(now, change);
         }
         if self.held.version > before {
-            self.pass_on(from, before, outputs);
+            self.forward_changes(from, before, outputs);
         }
     }
 
-    fn pass_on(&mut self, from: InstanceId, before: ListVersion, outputs: &mut Vec<Output>) {
+    fn forward_changes(
+        &mut self,
+        from: InstanceId,
+        before: ListVersion,
+        outputs: &mut Vec<Output>,
+    ) {
         let message = match self.changes_after(before) {
             Some(changes) => MachineListMessage::Changes(changes),
             None => MachineListMessage::Advertisement(self.held),
@@ -370,7 +386,7 @@
         outputs.push(Output::Changed(Arc::new(self.machines())));
     }
 
-    /// Changes that lead from `version` to the one held, if all are kept.
+    /// Returns the changes from `version` to the current version, if all are kept.
     fn changes_after(&self, version: ListVersion) -> Option<Vec<ListChange>> {
         let start = self
             .changes
@@ -393,7 +409,7 @@
             self.send(&[to], &MachineListMessage::Changes(changes), outputs);
             return;
         }
-        // Paced; whoever gets nothing pulls again from the next peer that advertises.
+        // Rate limit; a peer without a response pulls again after the next advertisement.
         if now < self.list_not_before {
             return;
         }
@@ -431,6 +447,6 @@
             .retain(|name, _| !self.machines.contains_key(name));
         self.held.version = version;
         self.changes.clear();
-        self.pass_on(from, before, outputs);
+        self.forward_changes(from, before, outputs);
     }
 }
--- a/crates/firshore-config/src/proposal.rs
+++ b/crates/firshore-config/src/proposal.rs
@@ -1,4 +1,4 @@
-//! A change set that an operator proposes, before it has a revision, and what becomes of it.
+//! Change sets proposed by operators, and the decision whether they become revisions.
 
 use firshore_types::configuration::{Change, Configuration};
 use firshore_types::declaration::{Declaration, DeclarationKey};
@@ -8,32 +8,32 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What `firshore apply` sends to a node.
+/// Change set that `firshore apply` sends to a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// Chosen once by the author; sent again unchanged when an answer was lost.
+    /// Assigned once by the author; unchanged when the proposal is resent after a lost response.
     pub change_id: ChangeId,
-    /// Who applies it.
+    /// User who applies it.
     pub author: String,
-    /// Revision that the author looked at.
+    /// Revision on which the author based the proposal.
     pub base: Revision,
     /// Declarations to add or replace.
     pub upserts: Vec<Declaration>,
-    /// Declarations to take away.
+    /// Declarations to remove.
     pub removals: Vec<DeclarationKey>,
 }
 
-/// Another change that touched the same declarations after the author looked.
+/// Another change to the same declarations, accepted after the proposal's base revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConflictingChange {
     /// Identifier of the other change.
     pub change_id: ChangeId,
-    /// Who applied it.
+    /// User who applied it.
     pub author: String,
-    /// Revision that it became.
+    /// Revision that the change created.
     pub revision: Revision,
-    /// Declarations that both touch.
+    /// Declarations that both change.
     pub keys: Vec<DeclarationKey>,
 }
 
@@ -51,27 +51,27 @@
     }
 }
 
-/// What becomes of a proposal on top of a configuration.
+/// Result of checking a proposal against a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It was accepted before, as this revision.
+    /// Already accepted, as this revision.
     AlreadyAccepted(Revision),
-    /// Its identifier was used for another change set, which became this revision.
+    /// The identifier belongs to another change set, accepted as this revision.
     IdentifierTaken(Revision),
-    /// It is to be written as this change.
+    /// Valid; to be written as this change.
     Write(Change),
-    /// Other changes touched the same declarations.
+    /// Other changes modified the same declarations.
     Conflict(Vec<ConflictingChange>),
-    /// It does not fit the configuration.
+    /// Applying it would make the configuration invalid.
     Invalid(Vec<Fault>),
 }
 
 impl Proposal {
-    /// Decides on top of `current`. `since` holds every change after `self.base` up to `current`,
-    /// and any earlier ones among which the proposal may already be.
+    /// Checks the proposal against `current`. `since` holds every change after `self.base` up to
+    /// `current`, and any earlier changes that may include the proposal itself.
     ///
-    /// A change that touches other declarations only is rebased: it is written on top of them. A
-    /// declaration that another change brought to just what this one wants is no conflict.
+    /// The proposal is rebased onto changes to other declarations. A declaration that already has
+    /// the proposed content is no conflict.
     pub fn decide(&self, current: &Configuration, since: &[Change]) -> Decision {
         if let Some(change) = since
             .iter()
@@ -90,7 +90,7 @@
             upserts: self.upserts.clone(),
             removals: self.removals.clone(),
         };
-        let mut faults = self.faults_of_form(current, since);
+        let mut faults = self.key_faults(current, since);
         let mut candidate = current.clone();
         candidate.apply(&change);
         faults.extend(validate(&candidate));
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Whether an accepted change with the same identifier is this proposal.
+    /// Compares the proposal with an accepted change that has the same identifier.
     pub fn settle(&self, change: &Change) -> Decision {
         if change.upserts == self.upserts && change.removals == self.removals {
             Decision::AlreadyAccepted(change.revision)
@@ -115,7 +115,7 @@
         upserts.chain(self.removals.iter().cloned()).collect()
     }
 
-    fn already_as_wanted(&self, current: &Configuration, key: &DeclarationKey) -> bool {
+    fn has_proposed_content(&self, current: &Configuration, key: &DeclarationKey) -> bool {
         let wanted = self.upserts.iter().find(|one| one.key() == *key);
         wanted == current.declarations.get(key)
     }
@@ -127,7 +127,7 @@
             let keys: BTreeSet<DeclarationKey> = change
                 .keys()
                 .filter(|key| touched.contains(key))
-                .filter(|key| !self.already_as_wanted(current, key))
+                .filter(|key| !self.has_proposed_content(current, key))
                 .collect();
             if !keys.is_empty() {
                 conflicts.push(ConflictingChange {
@@ -141,7 +141,7 @@
         conflicts
     }
 
-    fn faults_of_form(&self, current: &Configuration, since: &[Change]) -> Vec<Fault> {
+    fn key_faults(&self, current: &Configuration, since: &[Change]) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut seen = BTreeSet::new();
         let upserts = self.upserts.iter().map(Declaration::key);
--- a/crates/firshore-config/src/readers.rs
+++ b/crates/firshore-config/src/readers.rs
@@ -1,4 +1,4 @@
-//! Which nodes watch the object API: a few in each region, chosen alike by every node.
+//! Election of the nodes that watch the object API: a few in each region, the same on every node.
 
 use firshore_types::hash::rendezvous_top;
 use firshore_types::ids::{InstanceId, RegionName, ZoneName};
@@ -6,7 +6,7 @@
 /// Nodes in each region that watch the object API.
 pub const READERS_PER_REGION: usize = 2;
 
-/// A node that may be told about the configuration.
+/// A node that takes part in dissemination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Identity.
@@ -17,7 +17,7 @@
     pub zone: ZoneName,
 }
 
-/// Nodes of `region`, best first, in the order in which they take over from one another.
+/// Returns the nodes of `region` in the order in which they take over reading.
 pub fn reader_order<'a>(
     subject: &str,
     region: &RegionName,
--- a/crates/firshore-config/src/selection.rs
+++ b/crates/firshore-config/src/selection.rs
@@ -1,4 +1,4 @@
-//! Choice of the few peers that a node tells something, at random and zone-aware.
+//! Random, zone-aware selection of the peers that receive a message.
 
 use crate::readers::Peer;
 use firshore_types::ids::{InstanceId, RegionName};
@@ -7,62 +7,62 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
-/// Where a peer stands, seen from the own node.
+/// Topological distance of a peer from the local node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
-    /// In the own zone.
+    /// In the local zone.
     Zone,
-    /// In another zone of the own region.
+    /// In another zone of the local region.
     Region,
     /// In another region.
     Remote,
 }
 
-/// The own node, its peers, and the random numbers that choose among them.
+/// Local node, its peers, and the random generator that selects among them.
 #[derive(Debug)]
 pub struct Selection {
-    own: Peer,
+    local: Peer,
     peers: Vec<Peer>,
     random: ChaCha8Rng,
 }
 
 impl Selection {
-    /// A node without peers yet.
-    pub fn new(own: Peer, seed: u64) -> Self {
+    /// Creates a selection without peers.
+    pub fn new(local: Peer, seed: u64) -> Self {
         Self {
-            own,
+            local,
             peers: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// The own node.
-    pub fn own(&self) -> &Peer {
-        &self.own
+    /// Returns the local node.
+    pub fn local(&self) -> &Peer {
+        &self.local
     }
 
-    /// Replaces the peers; the own node among them is left out.
+    /// Replaces the peers; the local node is excluded.
     pub fn set_peers(&mut self, mut peers: Vec<Peer>) {
-        peers.retain(|peer| peer.instance != self.own.instance);
+        peers.retain(|peer| peer.instance != self.local.instance);
         self.peers = peers;
     }
 
-    /// The own node and its peers.
-    pub fn everyone(&self) -> impl Iterator<Item = &Peer> {
-        self.peers.iter().chain(std::iter::once(&self.own))
+    /// Iterates over the local node and its peers.
+    pub fn members(&self) -> impl Iterator<Item = &Peer> {
+        self.peers.iter().chain(std::iter::once(&self.local))
     }
 
     fn distance(&self, peer: &Peer) -> Distance {
-        if peer.region != self.own.region {
+        if peer.region != self.local.region {
             Distance::Remote
-        } else if peer.zone != self.own.zone {
+        } else if peer.zone != self.local.zone {
             Distance::Region
         } else {
             Distance::Zone
         }
     }
 
-    /// Up to `count` peers at a distance.
+    /// Returns up to `count` random peers at `distance`.
     pub fn choose(&mut self, count: usize, distance: Distance) -> Vec<InstanceId> {
         let candidates: Vec<InstanceId> = self
             .peers
@@ -76,13 +76,13 @@
             .collect()
     }
 
-    /// One peer in each other region.
+    /// Returns one random peer in each other region.
     pub fn one_in_each_other_region(&mut self) -> Vec<InstanceId> {
         let regions: BTreeSet<RegionName> = self
             .peers
             .iter()
             .map(|peer| peer.region.clone())
-            .filter(|region| *region != self.own.region)
+            .filter(|region| *region != self.local.region)
             .collect();
         let mut chosen = Vec::new();
         for region in regions {
@@ -96,7 +96,7 @@
         chosen
     }
 
-    /// True once in `turns` calls, on average.
+    /// Returns `true` once in `turns` calls on average.
     pub fn happens_once_in(&mut self, turns: u32) -> bool {
         self.random.random_ratio(1, turns)
     }
--- a/crates/firshore-config/tests/convergence.rs
+++ b/crates/firshore-config/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs: nodes never go back, and converge once faults end.
+//! Seeded random runs: nodes never revert to an older revision, and converge after faults end.
 
 mod support;
 
@@ -15,7 +15,7 @@
 
 const NODES: u64 = 36;
 const FAULTY_MILLISECONDS: u64 = 60_000;
-const CALM_MILLISECONDS: u64 = 19_000;
+const CONVERGENCE_MILLISECONDS: u64 = 19_000;
 const LOSS_PERCENT: u32 = 10;
 
 enum Event {
@@ -24,7 +24,7 @@
     Objects { after: Revision },
 }
 
-struct World {
+struct Simulation {
     random: ChaCha8Rng,
     nodes: Vec<Dissemination>,
     heads: Vec<Revision>,
@@ -34,17 +34,17 @@
     sequence: u64,
 }
 
-fn home(instance: u64) -> Peer {
+fn peer_of(instance: u64) -> Peer {
     let region = ["north", "south", "west"][(instance % 3) as usize];
     peer(instance, region, &format!("{region}-{}", instance % 6 / 3))
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             nodes: (0..NODES)
-                .map(|one| Dissemination::new(home(one), seed ^ one))
+                .map(|one| Dissemination::new(peer_of(one), seed ^ one))
                 .collect(),
             heads: vec![Revision(0); NODES as usize],
             records: Vec::new(),
@@ -53,17 +53,17 @@
             sequence: 0,
         };
         for index in 0..NODES as usize {
-            world.join(0, index);
-            let first = world.random.random_range(0..TICK_MILLISECONDS);
-            world.schedule(first, index, Event::Tick);
+            simulation.join(0, index);
+            let first = simulation.random.random_range(0..TICK_MILLISECONDS);
+            simulation.schedule(first, index, Event::Tick);
         }
-        world
+        simulation
     }
 
     fn join(&mut self, now: u64, index: usize) {
-        let members = (0..NODES).map(home).collect();
+        let members = (0..NODES).map(peer_of).collect();
         let outputs = self.nodes[index].step(now, Input::Members(members));
-        self.act(now, index, outputs);
+        self.perform(now, index, outputs);
     }
 
     fn schedule(&mut self, at: u64, index: usize, event: Event) {
@@ -72,7 +72,7 @@
         self.events.insert(self.sequence, (index, event));
     }
 
-    fn act(&mut self, now: u64, index: usize, outputs: Vec<Output>) {
+    fn perform(&mut self, now: u64, index: usize, outputs: Vec<Output>) {
         let from = InstanceId(index as u64);
         for output in outputs {
             match output {
@@ -80,8 +80,8 @@
                     let lost =
                         now < FAULTY_MILLISECONDS && self.random.random_ratio(LOSS_PERCENT, 100);
                     let cut = (20_000..35_000).contains(&now)
-                        && (home(to.0).region == "west".into())
-                            != (home(from.0).region == "west".into());
+                        && (peer_of(to.0).region == "west".into())
+                            != (peer_of(from.0).region == "west".into());
                     if !lost && !cut {
                         let at = now + self.random.random_range(1..60);
                         self.schedule(at, to.0 as usize, Event::Message { from, message });
@@ -94,7 +94,7 @@
                 Output::InForce(configuration) => {
                     assert!(
                         configuration.revision > self.heads[index],
-                        "a node went back"
+                        "a node reverted to an older revision"
                     );
                     self.heads[index] = configuration.revision;
                 }
@@ -133,32 +133,32 @@
                 continue;
             }
             let outputs = self.nodes[index].step(now, input);
-            self.act(now, index, outputs);
+            self.perform(now, index, outputs);
         }
     }
 
     fn restart(&mut self, now: u64, index: usize) {
         let seed = self.random.random();
-        self.nodes[index] = Dissemination::new(home(index as u64), seed);
+        self.nodes[index] = Dissemination::new(peer_of(index as u64), seed);
         self.heads[index] = Revision(0);
         self.join(now, index);
     }
 }
 
 #[test]
-fn nodes_never_go_back_and_converge() {
+fn nodes_never_revert_and_converge() {
     for seed in 0..8 {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         let mut now = 0;
         while now < FAULTY_MILLISECONDS {
-            now += world.random.random_range(100..3_000);
-            world.run(now);
-            let count = world.random.random_range(1..4);
-            world.records = extend(&world.records, count, "only");
+            now += simulation.random.random_range(100..3_000);
+            simulation.run(now);
+            let count = simulation.random.random_range(1..4);
+            simulation.records = extend(&simulation.records, count, "only");
         }
-        world.run(now + CALM_MILLISECONDS);
-        let newest = Revision(world.records.len() as u64);
-        for (index, node) in world.nodes.iter().enumerate() {
+        simulation.run(now + CONVERGENCE_MILLISECONDS);
+        let newest = Revision(simulation.records.len() as u64);
+        for (index, node) in simulation.nodes.iter().enumerate() {
             assert_eq!(node.history().head(), newest, "seed {seed}, node {index}");
         }
     }
--- a/crates/firshore-config/tests/dissemination.rs
+++ b/crates/firshore-config/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Fault cases of dissemination, one row each.
+//! Fault cases of dissemination.
 
 mod support;
 
@@ -84,14 +84,14 @@
             Expected::Nothing,
         ),
         (
-            "overlap with what is held",
+            "overlap with applied changes",
             newer[7..].to_vec(),
             13,
             Expected::Nothing,
         ),
         ("older change", ours[4..6].to_vec(), 10, Expected::Nothing),
         (
-            "a change overtook another",
+            "changes out of order",
             newer[11..].to_vec(),
             10,
             Expected::Pull,
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn snapshots_never_lead_back_or_aside() {
+fn snapshots_never_revert_or_diverge() {
     let ours = chain(10, "ours");
     let theirs = node_at(&chain(9, "theirs")).snapshot();
     let cases: [(&str, Snapshot, u64, bool); 4] = [
@@ -197,18 +197,18 @@
     assert_eq!(records[..], ours[8..]);
 
     let outputs = node_at(&ours).step(1, from_peer(advertisement(&ours, 0)));
-    assert!(sent(&outputs).is_empty(), "equal nodes stay silent");
+    assert!(sent(&outputs).is_empty(), "equal nodes send nothing");
 
     let outputs = node_at(&ours).step(1, from_peer(advertisement(&chain(10, "theirs"), 0)));
     assert_eq!(refused(&outputs), Some(RecordError::Divergent));
 
     let mut node = node_at(&ours);
     node.step(1, from_peer(advertisement(&ours, 12)));
-    assert_eq!(node.floor(), Revision(12), "the floor spreads");
+    assert_eq!(node.floor(), Revision(12), "the floor is received");
 }
 
 #[test]
-fn a_pull_gets_a_range_a_snapshot_or_a_refusal() {
+fn pull_returns_range_snapshot_or_busy() {
     let long = chain(HISTORY_RECORDS as u64 + 50, "ours");
     let mut node = node_at(&long);
     let pull = |after: u64| {
@@ -228,7 +228,7 @@
     let outputs = node.step(2, pull(0));
     assert!(
         matches!(&sent(&outputs)[..], [(_, Message::Busy)]),
-        "snapshots are paced"
+        "snapshots are rate-limited"
     );
     let outputs = node.step(
         3,
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn large_news_is_advertised_and_small_news_pushed() {
+fn large_changes_are_advertised_and_small_ones_pushed() {
     let ours = chain(1, "ours");
     let small = node().step(0, Input::ObjectsRead(ours.clone()));
     let messages = sent(&small);
@@ -292,15 +292,15 @@
         .collect();
     let order = reader_order("configuration-readers", &"north".into(), &peers);
     let reading = |alive: &[_]| -> Vec<InstanceId> {
-        let reads = |own: &firshore_config::readers::Peer| {
-            let mut node = Dissemination::new(own.clone(), 1);
+        let reads = |local: &firshore_config::readers::Peer| {
+            let mut node = Dissemination::new(local.clone(), 1);
             node.step(0, Input::Members(alive.to_vec()));
             node.is_reader(0)
         };
         alive
             .iter()
-            .filter(|own| reads(own))
-            .map(|own| own.instance)
+            .filter(|local| reads(local))
+            .map(|local| local.instance)
             .collect()
     };
     let mut expected = order[..READERS_PER_REGION].to_vec();
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_reader_that_cannot_read_asks_the_next_to() {
+fn failing_reader_hands_over_to_the_next() {
     let peers: Vec<_> = (1..=10)
         .map(|instance| peer(instance, "north", "north-a"))
         .collect();
@@ -328,16 +328,19 @@
         node
     };
     let mut reader = node_of(order[0]);
-    let mut asked = Vec::new();
+    let mut substitutes = Vec::new();
     for attempt in 0..2 * SUBSTITUTE_MILLISECONDS / 1_000 {
         let outputs = reader.step(attempt * 1_000, Input::ObjectsUnread);
         let early = attempt + 1 < u64::from(FAILED_READS_BEFORE_HANDOVER);
         assert!(!early || sent(&outputs).is_empty(), "attempt {attempt}");
-        asked.extend(sent(&outputs).into_iter().map(|(to, _)| to));
+        substitutes.extend(sent(&outputs).into_iter().map(|(to, _)| to));
     }
-    // One substitute at a time, each for its term, in order.
-    assert_eq!(asked, order[READERS_PER_REGION..READERS_PER_REGION + 2]);
-    let mut substitute = node_of(asked[0]);
+    // One substitute at a time, in order, each for `SUBSTITUTE_MILLISECONDS`.
+    assert_eq!(
+        substitutes,
+        order[READERS_PER_REGION..READERS_PER_REGION + 2]
+    );
+    let mut substitute = node_of(substitutes[0]);
     let outputs = substitute.step(5, from_peer(Message::TakeOverReading));
     assert!(
         outputs
@@ -348,7 +351,7 @@
 }
 
 #[test]
-fn the_object_api_restored_or_stale_changes_nothing() {
+fn restored_or_stale_object_api_changes_nothing() {
     let ours = chain(10, "ours");
     let rewritten = extend(&ours[..5], 8, "rewritten");
     let cases = [
@@ -360,7 +363,7 @@
             Some(RecordError::Divergent),
         ),
         (
-            "a hole after a restore",
+            "a gap after a restore",
             extend(&ours, 3, "ours")[11..].to_vec(),
             None,
         ),
--- a/crates/firshore-config/tests/floor.rs
+++ b/crates/firshore-config/tests/floor.rs
@@ -1,11 +1,11 @@
-//! When a node may serve.
+//! Conditions under which a node may serve.
 
 use firshore_config::floor::{CATCH_UP_MILLISECONDS, FloorGate, NotServing, PAUSE_MILLISECONDS};
 use firshore_types::ids::Revision;
 
 enum Step {
     Read(u64),
-    Heard(u64),
+    Received(u64),
     InForce(u64),
     Unreadable(u64),
     Wait(u64),
@@ -18,7 +18,7 @@
     for step in steps {
         match step {
             Step::Read(floor) => gate.floor_read(now, Revision(*floor)),
-            Step::Heard(floor) => gate.floor_heard(now, Revision(*floor)),
+            Step::Received(floor) => gate.floor_heard(now, Revision(*floor)),
             Step::InForce(revision) => gate.in_force(now, Revision(*revision)),
             Step::Unreadable(revision) => gate.unreadable(Revision(*revision)),
             Step::Wait(milliseconds) => now += milliseconds,
@@ -40,49 +40,53 @@
     let pause = PAUSE_MILLISECONDS + 1;
     let long = CATCH_UP_MILLISECONDS + 1;
     let cases: &[(&str, &[Step], Result<(), NotServing>)] = &[
-        ("nothing known", &[], Err(NotServing::FloorUnknown)),
+        (
+            "floor and configuration unknown",
+            &[],
+            Err(NotServing::FloorUnknown),
+        ),
         (
             "floor unknown",
             &[InForce(5)],
             Err(NotServing::FloorUnknown),
         ),
         (
-            "heard from a peer only",
-            &[Heard(5), InForce(5)],
+            "received from a peer only",
+            &[Received(5), InForce(5)],
             Err(NotServing::FloorUnknown),
         ),
-        ("nothing accepted ever", &[Read(0)], Err(NotServing::Empty)),
+        ("no accepted change", &[Read(0)], Err(NotServing::Empty)),
         ("starting below", &[Read(7), InForce(6)], below(6, 7)),
         (
-            "starting below a heard floor",
-            &[Read(5), Heard(7), InForce(6)],
+            "starting below a received floor",
+            &[Read(5), Received(7), InForce(6)],
             below(6, 7),
         ),
         ("at the floor", &[Read(7), InForce(7)], Ok(())),
         ("above the floor", &[InForce(9), Read(7)], Ok(())),
         (
             "floor raised just now",
-            &[Read(7), InForce(7), Heard(8)],
+            &[Read(7), InForce(7), Received(8)],
             Ok(()),
         ),
         (
-            "left behind",
-            &[Read(7), InForce(7), Heard(8), Wait(long)],
+            "floor not reached in time",
+            &[Read(7), InForce(7), Received(8), Wait(long)],
             below(7, 8),
         ),
         (
             "caught up",
-            &[Read(7), InForce(7), Heard(8), Wait(long), InForce(8)],
+            &[Read(7), InForce(7), Received(8), Wait(long), InForce(8)],
             Ok(()),
         ),
         (
-            "cut off after its start",
+            "isolated after its start",
             &[Read(7), InForce(7), Wait(1_000_000)],
             Ok(()),
         ),
         (
             "a change of a newer version",
-            &[Read(7), InForce(7), Heard(8), Unreadable(8), Wait(long)],
+            &[Read(7), InForce(7), Received(8), Unreadable(8), Wait(long)],
             Ok(()),
         ),
         (
@@ -101,7 +105,7 @@
             Err(NotServing::FloorUnknown),
         ),
         (
-            "paused, and left behind",
+            "paused, new floor not reached",
             &[Alive, Read(7), InForce(7), Wait(pause), Alive, Read(8)],
             below(7, 8),
         ),
--- a/crates/firshore-config/tests/history.rs
+++ b/crates/firshore-config/tests/history.rs
@@ -1,4 +1,4 @@
-//! The chain and what is kept of it.
+//! Bounds and lookup of the kept history.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::chain;
 
 #[test]
-fn what_is_kept_is_bounded_and_found_again() {
+fn kept_history_is_bounded_and_retrievable() {
     let records = chain(HISTORY_RECORDS as u64 + 10, "one");
     let mut history = History::default();
     for record in &records {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_record_survives_its_text() {
+fn record_round_trips_through_text() {
     let record = &chain(2, "one")[1];
     let read = Record::from_text(record.text.clone()).unwrap();
     assert_eq!(read, *record);
--- a/crates/firshore-config/tests/machine_list.rs
+++ b/crates/firshore-config/tests/machine_list.rs
@@ -1,9 +1,9 @@
-//! The machine list: one reader, changes as a chain, removals only as hints.
+//! Machine list: one reader, chained changes, delayed removals.
 
 mod support;
 
 use firshore_config::machine_list::{
-    Input, ListVersion, MachineList, MachineListMessage, Output, READERS_AT_MOST,
+    Input, ListVersion, MAX_READERS, MachineList, MachineListMessage, Output,
     REMOVAL_HOLD_MILLISECONDS, TAKE_OVER_MILLISECONDS, TICK_MILLISECONDS,
 };
 use firshore_config::readers::Peer;
@@ -42,38 +42,38 @@
     list.step(now, Input::Read { read_at, machines })
 }
 
-fn home(instance: u64) -> Peer {
+fn peer_of(instance: u64) -> Peer {
     let region = ["north", "south"][(instance % 2) as usize];
     peer(instance, region, &format!("{region}-{}", instance % 4))
 }
 
 fn members(count: u64) -> Vec<Peer> {
-    (1..=count).map(home).collect()
+    (1..=count).map(peer_of).collect()
 }
 
 #[test]
 fn one_node_reads_and_others_take_over_in_order() {
     let lists: Vec<MachineList> = (1..=20)
         .map(|instance| {
-            let mut list = MachineList::new(home(instance), instance);
+            let mut list = MachineList::new(peer_of(instance), instance);
             list.step(0, Input::Members(members(20)));
             list
         })
         .collect();
-    for silent in 0..=READERS_AT_MOST {
-        let now = silent as u64 * TAKE_OVER_MILLISECONDS;
+    for stale_intervals in 0..=MAX_READERS {
+        let now = stale_intervals as u64 * TAKE_OVER_MILLISECONDS;
         let reading = lists.iter().filter(|list| list.is_reader(now)).count();
         assert_eq!(
             reading,
-            (silent + 1).min(READERS_AT_MOST),
-            "after {now} ms of silence"
+            (stale_intervals + 1).min(MAX_READERS),
+            "after {now} ms without a read"
         );
     }
 }
 
 #[test]
-fn being_taken_off_the_list_is_a_hint() {
-    let mut list = MachineList::new(home(1), 1);
+fn machines_removed_without_leaving_are_kept_temporarily() {
+    let mut list = MachineList::new(peer_of(1), 1);
     let mut first = live(&["a", "b"]);
     first.push(machine("c", 1, MachineState::Leaving));
     read(&mut list, 0, first);
@@ -81,7 +81,7 @@
     assert_eq!(
         names(&list),
         ["a", "b"],
-        "the leaving one is gone, the live one is kept"
+        "the leaving machine is removed, the live one is kept"
     );
     list.step(1_000 + REMOVAL_HOLD_MILLISECONDS - 1, Input::Tick);
     assert_eq!(names(&list), ["a", "b"]);
@@ -101,14 +101,14 @@
     read(&mut list, 52_000, moved);
     let machines = list.machines();
     let b: Vec<&Machine> = machines.iter().filter(|one| one.name.0 == "b").collect();
-    assert_eq!(b.len(), 1, "a name stands once");
+    assert_eq!(b.len(), 1, "a name appears once");
     assert_eq!(b[0].address.port(), 2);
 }
 
 #[test]
 fn changes_apply_only_as_a_chain() {
     let from = InstanceId(2);
-    let mut reader = MachineList::new(home(2), 2);
+    let mut reader = MachineList::new(peer_of(2), 2);
     let mut sent = Vec::new();
     reader.step(0, Input::Members(members(8)));
     for (now, names) in [
@@ -150,7 +150,7 @@
         ("older", &[0, 1, 0], 2, false),
     ];
     for (name, order, applied, pulled) in cases {
-        let mut list = MachineList::new(home(1), 1);
+        let mut list = MachineList::new(peer_of(1), 1);
         let changes = order.iter().map(|index| sent[*index].clone()).collect();
         let message = MachineListMessage::Changes(changes);
         let outputs = list.step(9, Input::FromPeer { from, message });
@@ -168,7 +168,12 @@
     for seed in 0..6 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut lists: BTreeMap<u64, MachineList> = (1..=NODES)
-            .map(|instance| (instance, MachineList::new(home(instance), seed + instance)))
+            .map(|instance| {
+                (
+                    instance,
+                    MachineList::new(peer_of(instance), seed + instance),
+                )
+            })
             .collect();
         let mut platform = live(&["a", "b", "c"]);
         let mut inbox: Vec<(u64, u64, MachineListMessage)> = Vec::new();
--- a/crates/firshore-config/tests/proposal.rs
+++ b/crates/firshore-config/tests/proposal.rs
@@ -1,4 +1,4 @@
-//! What becomes of a proposal when others apply at the same time.
+//! Decisions on proposals when other changes are applied concurrently.
 
 mod support;
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn racing_proposals() {
+fn concurrent_proposals() {
     let changes = [
         change(1, "first", "grower", 1),
         change(2, "second", "portal", 2),
@@ -64,32 +64,32 @@
             Kind::Conflict("third", 3),
         ),
         (
-            "the same wish",
+            "the same content",
             proposal("mine", 1, "grower", 3),
             Kind::Write(4),
         ),
         (
-            "removed here, changed there",
+            "removal conflicts with a change",
             removal,
             Kind::Conflict("third", 3),
         ),
         (
-            "sent again",
+            "resent",
             proposal("second", 1, "portal", 2),
             Kind::Accepted(2),
         ),
         (
-            "sent again, base older",
+            "resent, base older",
             proposal("third", 0, "grower", 3),
             Kind::Accepted(3),
         ),
         (
-            "identifier of another",
+            "identifier of another change",
             proposal("second", 1, "portal", 7),
             Kind::Taken(2),
         ),
         ("named twice", twice, Kind::Invalid),
-        ("removes what is not there", absent, Kind::Invalid),
+        ("removes an undeclared name", absent, Kind::Invalid),
     ];
     for (name, proposal, expected) in cases {
         let seen = match proposal.decide(&configuration(&changes), &changes) {
