--- a/crates/firshore-config/src/dissemination/adoption.rs
+++ b/crates/firshore-config/src/dissemination/adoption.rs
@@ -33,7 +33,7 @@
         }
         if self.history.head() > before {
             self.configuration = configuration.expect("a record was taken");
-            self.spread(before, source, outputs);
+            self.forward_changes(before, source, outputs);
         }
     }
 
@@ -43,9 +43,11 @@
         configuration: &mut Arc<Configuration>,
     ) -> Result<(), RecordError> {
         if record.revision <= self.history.head() {
-            let known = self.history.digest_at(record.revision);
-            return match known {
-                Some(known) if known != record.digest() => Err(RecordError::Divergent),
+            let local_digest = self.history.digest_at(record.revision);
+            return match local_digest {
+                Some(local_digest) if local_digest != record.digest() => {
+                    Err(RecordError::Divergent)
+                }
                 _ => Ok(()),
             };
         }
@@ -66,7 +68,7 @@
         outputs: &mut Vec<Output>,
     ) {
         if let Some(peer) = source.peer() {
-            if self.ahead.is_none_or(|(known, _)| revision > known) {
+            if self.ahead.is_none_or(|(highest, _)| revision > highest) {
                 self.ahead = Some((revision, peer));
             }
             self.pull_if_behind(now, outputs);
@@ -82,8 +84,8 @@
         let revision = snapshot.configuration.revision;
         let before = self.history.head();
         if revision <= before {
-            let known = self.history.digest_at(revision);
-            if known.is_some_and(|known| known != snapshot.digest) {
+            let local_digest = self.history.digest_at(revision);
+            if local_digest.is_some_and(|local_digest| local_digest != snapshot.digest) {
                 self.refuse(revision, source.peer(), RecordError::Divergent, outputs);
             }
             return;
@@ -91,19 +93,24 @@
         self.configuration = Arc::new(snapshot.configuration);
         self.history = History::starting_at(revision, snapshot.digest);
         if source != Source::Disk {
-            self.spread(before, source, outputs);
+            self.forward_changes(before, source, outputs);
         }
     }
 
     /// Sends the changes after `before` to a bounded number of peers.
-    pub(super) fn spread(&mut self, before: Revision, source: Source, outputs: &mut Vec<Output>) {
+    pub(super) fn forward_changes(
+        &mut self,
+        before: Revision,
+        source: Source,
+        outputs: &mut Vec<Output>,
+    ) {
         self.reported
             .retain(|revision, _| *revision > self.history.head());
         let message = self.changes_message(before);
         let mut receivers = self.selection.choose(ZONE_FANOUT, Distance::Zone);
         // Fewer receivers in the local zone allow more in other zones.
-        let near = ZONE_FANOUT + REGION_FANOUT - receivers.len();
-        receivers.extend(self.selection.choose(near, Distance::Region));
+        let region_count = ZONE_FANOUT + REGION_FANOUT - receivers.len();
+        receivers.extend(self.selection.choose(region_count, Distance::Region));
         if receivers.is_empty() || source == Source::Objects {
             receivers.extend(self.selection.choose(1, Distance::Remote));
         }
--- a/crates/firshore-config/src/dissemination/anti_entropy.rs
+++ b/crates/firshore-config/src/dissemination/anti_entropy.rs
@@ -26,14 +26,17 @@
         self.floor = self.floor.max(theirs.floor);
         let head = self.history.head();
         if theirs.revision > head {
-            if self.ahead.is_none_or(|(known, _)| theirs.revision > known) {
+            if self
+                .ahead
+                .is_none_or(|(highest, _)| theirs.revision > highest)
+            {
                 self.ahead = Some((theirs.revision, from));
             }
             self.pull_if_behind(now, outputs);
             return;
         }
-        let known = self.history.digest_at(theirs.revision);
-        if known.is_some_and(|known| known != theirs.digest) {
+        let local_digest = self.history.digest_at(theirs.revision);
+        if local_digest.is_some_and(|local_digest| local_digest != theirs.digest) {
             self.refuse(theirs.revision, Some(from), RecordError::Divergent, outputs);
             let message = Message::Divergent {
                 at: theirs.revision,
@@ -103,8 +106,8 @@
             outputs.push(Output::Send { to, message });
             return;
         }
-        let known = self.history.digest_at(after);
-        if known.is_some_and(|known| known != digest) {
+        let local_digest = self.history.digest_at(after);
+        if local_digest.is_some_and(|local_digest| local_digest != digest) {
             let message = Message::Divergent { at: after };
             outputs.push(Output::Send { to, message });
             self.refuse(after, Some(to), RecordError::Divergent, outputs);
--- a/crates/firshore-config/src/dissemination/reading.rs
+++ b/crates/firshore-config/src/dissemination/reading.rs
@@ -25,8 +25,12 @@
         self.failed_reads = 0;
         let before = self.history.head();
         self.apply_records(now, Source::Objects, records, outputs);
-        let stuck = !records.is_empty() && self.history.head() == before;
-        let backoff = if stuck { READ_RETRY_MILLISECONDS } else { 0 };
+        let no_progress = !records.is_empty() && self.history.head() == before;
+        let backoff = if no_progress {
+            READ_RETRY_MILLISECONDS
+        } else {
+            0
+        };
         self.watch = Watch::Idle {
             not_before: now + backoff,
         };
--- a/crates/firshore-config/src/history.rs
+++ b/crates/firshore-config/src/history.rs
@@ -177,32 +177,32 @@
         if revision == self.head {
             return Some(self.head_digest);
         }
-        let back = self.head.0.checked_sub(revision.0)? as usize;
-        let index = self.earlier_digests.len().checked_sub(back)?;
+        let offset = self.head.0.checked_sub(revision.0)? as usize;
+        let index = self.earlier_digests.len().checked_sub(offset)?;
         self.earlier_digests.get(index).copied()
     }
 
     /// Returns the records after `revision`, up to `limit` bytes and at least one, or `None` if some
     /// are no longer kept.
     pub fn after(&self, revision: Revision, limit: usize) -> Option<Vec<Record>> {
-        let wanted = self.head.0.checked_sub(revision.0)? as usize;
-        let start = self.records.len().checked_sub(wanted)?;
+        let count = self.head.0.checked_sub(revision.0)? as usize;
+        let start = self.records.len().checked_sub(count)?;
         let mut bytes = 0;
-        let mut found = Vec::new();
+        let mut selected = Vec::new();
         for record in self.records.range(start..) {
             bytes += record.text.len();
-            if bytes > limit && !found.is_empty() {
+            if bytes > limit && !selected.is_empty() {
                 break;
             }
-            found.push(record.clone());
+            selected.push(record.clone());
         }
-        Some(found)
+        Some(selected)
     }
 
     /// Returns the record of `revision`, if it is still kept.
     pub fn record(&self, revision: Revision) -> Option<&Record> {
-        let back = self.head.0.checked_sub(revision.0)? as usize;
-        let index = self.records.len().checked_sub(back + 1)?;
+        let offset = self.head.0.checked_sub(revision.0)? as usize;
+        let index = self.records.len().checked_sub(offset + 1)?;
         self.records.get(index)
     }
 
--- a/crates/firshore-config/src/machine_list.rs
+++ b/crates/firshore-config/src/machine_list.rs
@@ -135,7 +135,7 @@
     selection: Selection,
     /// Position in the order of readers; `None` for nodes that may not read.
     rank: Option<usize>,
-    held: ListAdvertisement,
+    current: ListAdvertisement,
     /// Local time of the latest read, or of the report that it took place, in milliseconds.
     checked_locally_at: u64,
     machines: BTreeMap<MachineName, Machine>,
@@ -151,7 +151,7 @@
         Self {
             selection: Selection::new(local, seed),
             rank: None,
-            held: ListAdvertisement::default(),
+            current: ListAdvertisement::default(),
             checked_locally_at: 0,
             machines: BTreeMap::new(),
             kept: BTreeMap::new(),
@@ -162,7 +162,7 @@
 
     /// Returns the version and check time to advertise.
     pub fn advertisement(&self) -> ListAdvertisement {
-        self.held
+        self.current
     }
 
     /// Returns the machines to use: those on the list and those removed from it recently.
@@ -214,7 +214,7 @@
         }
         self.send(
             &receivers,
-            &MachineListMessage::Advertisement(self.held),
+            &MachineListMessage::Advertisement(self.current),
             outputs,
         );
         self.remove_expired(now, outputs);
@@ -242,8 +242,8 @@
     }
 
     fn record_check(&mut self, now: u64, checked_at: u64) {
-        if checked_at > self.held.checked_at {
-            self.held.checked_at = checked_at;
+        if checked_at > self.current.checked_at {
+            self.current.checked_at = checked_at;
             self.checked_locally_at = now;
         }
     }
@@ -262,7 +262,7 @@
             .into_iter()
             .map(|machine| (machine.name.clone(), machine))
             .collect();
-        let first = self.held.version == ListVersion::default();
+        let first = self.current.version == ListVersion::default();
         if listed == self.machines && !first {
             return;
         }
@@ -274,11 +274,11 @@
             .keys()
             .filter(|name| !listed.contains_key(name));
         let to = ListVersion {
-            read_at: read_at.max(self.held.version.read_at + 1),
+            read_at: read_at.max(self.current.version.read_at + 1),
             reader: self.selection.local().instance.0,
         };
         let change = ListChange {
-            from: self.held.version,
+            from: self.current.version,
             to,
             upserts: upserts.cloned().collect(),
             removals: removals.cloned().collect(),
@@ -293,8 +293,8 @@
 
     fn fanout(&mut self) -> Vec<InstanceId> {
         let mut receivers = self.selection.choose(ZONE_FANOUT, Distance::Zone);
-        let near = ZONE_FANOUT + 1 - receivers.len();
-        receivers.extend(self.selection.choose(near, Distance::Region));
+        let region_count = ZONE_FANOUT + 1 - receivers.len();
+        receivers.extend(self.selection.choose(region_count, Distance::Region));
         receivers
     }
 
@@ -308,7 +308,7 @@
             self.kept.remove(&machine.name);
             self.machines.insert(machine.name.clone(), machine.clone());
         }
-        self.held.version = change.to;
+        self.current.version = change.to;
         self.changes.push_back(change);
         if self.changes.len() > CHANGES_KEPT {
             self.changes.pop_front();
@@ -331,9 +331,9 @@
         match message {
             MachineListMessage::Advertisement(theirs) => {
                 self.record_check(now, theirs.checked_at);
-                let answer = match theirs.version.cmp(&self.held.version) {
-                    std::cmp::Ordering::Greater => MachineListMessage::Pull(self.held.version),
-                    std::cmp::Ordering::Less => MachineListMessage::Advertisement(self.held),
+                let answer = match theirs.version.cmp(&self.current.version) {
+                    std::cmp::Ordering::Greater => MachineListMessage::Pull(self.current.version),
+                    std::cmp::Ordering::Less => MachineListMessage::Advertisement(self.current),
                     std::cmp::Ordering::Equal => return,
                 };
                 self.send(&[from], &answer, outputs);
@@ -353,19 +353,19 @@
         changes: Vec<ListChange>,
         outputs: &mut Vec<Output>,
     ) {
-        let before = self.held.version;
+        let before = self.current.version;
         for change in changes {
-            if change.to <= self.held.version {
+            if change.to <= self.current.version {
                 continue;
             }
-            if change.from != self.held.version {
-                let pull = MachineListMessage::Pull(self.held.version);
+            if change.from != self.current.version {
+                let pull = MachineListMessage::Pull(self.current.version);
                 self.send(&[from], &pull, outputs);
                 break;
             }
             self.apply(now, change);
         }
-        if self.held.version > before {
+        if self.current.version > before {
             self.forward_changes(from, before, outputs);
         }
     }
@@ -378,7 +378,7 @@
     ) {
         let message = match self.changes_after(before) {
             Some(changes) => MachineListMessage::Changes(changes),
-            None => MachineListMessage::Advertisement(self.held),
+            None => MachineListMessage::Advertisement(self.current),
         };
         let mut receivers = self.fanout();
         receivers.retain(|to| *to != from);
@@ -402,7 +402,7 @@
         version: ListVersion,
         outputs: &mut Vec<Output>,
     ) {
-        if version >= self.held.version {
+        if version >= self.current.version {
             return;
         }
         if let Some(changes) = self.changes_after(version) {
@@ -415,7 +415,7 @@
         }
         self.list_not_before = now + LIST_INTERVAL_MILLISECONDS;
         let message = MachineListMessage::List {
-            version: self.held.version,
+            version: self.current.version,
             machines: self.machines.values().cloned().collect(),
         };
         self.send(&[to], &message, outputs);
@@ -429,10 +429,10 @@
         machines: Vec<Machine>,
         outputs: &mut Vec<Output>,
     ) {
-        if version <= self.held.version {
+        if version <= self.current.version {
             return;
         }
-        let before = self.held.version;
+        let before = self.current.version;
         let listed: BTreeMap<MachineName, Machine> = machines
             .into_iter()
             .map(|machine| (machine.name.clone(), machine))
@@ -445,7 +445,7 @@
         }
         self.kept
             .retain(|name, _| !self.machines.contains_key(name));
-        self.held.version = version;
+        self.current.version = version;
         self.changes.clear();
         self.forward_changes(from, before, outputs);
     }
--- a/crates/firshore-config/src/selection.rs
+++ b/crates/firshore-config/src/selection.rs
@@ -86,18 +86,22 @@
             .collect();
         let mut chosen = Vec::new();
         for region in regions {
-            let inside: Vec<&Peer> = self
+            let candidates: Vec<&Peer> = self
                 .peers
                 .iter()
                 .filter(|peer| peer.region == region)
                 .collect();
-            chosen.extend(inside.choose(&mut self.random).map(|peer| peer.instance));
+            chosen.extend(
+                candidates
+                    .choose(&mut self.random)
+                    .map(|peer| peer.instance),
+            );
         }
         chosen
     }
 
-    /// Returns `true` once in `turns` calls on average.
-    pub fn happens_once_in(&mut self, turns: u32) -> bool {
-        self.random.random_ratio(1, turns)
+    /// Returns `true` once in `mean_calls` calls on average.
+    pub fn happens_once_in(&mut self, mean_calls: u32) -> bool {
+        self.random.random_ratio(1, mean_calls)
     }
 }
--- a/crates/firshore-config/tests/convergence.rs
+++ b/crates/firshore-config/tests/convergence.rs
@@ -79,10 +79,10 @@
                 Output::Send { to, message } => {
                     let lost =
                         now < FAULTY_MILLISECONDS && self.random.random_ratio(LOSS_PERCENT, 100);
-                    let cut = (20_000..35_000).contains(&now)
+                    let partitioned = (20_000..35_000).contains(&now)
                         && (peer_of(to.0).region == "west".into())
                             != (peer_of(from.0).region == "west".into());
-                    if !lost && !cut {
+                    if !lost && !partitioned {
                         let at = now + self.random.random_range(1..60);
                         self.schedule(at, to.0 as usize, Event::Message { from, message });
                     }
