--- a/crates/firshore-config/src/dissemination/adoption.rs
+++ b/crates/firshore-config/src/dissemination/adoption.rs
@@ -1,7 +1,7 @@
-//! Putting into force what follows the own history, refusing what does not, and passing it on.
+//! Applies and forwards changes that follow the local history, and refuses others.
 
 use super::{
-    Dissemination, Output, REGION_FANOUT, REPORTED_REFUSALS, Refusal, Source, ZONE_FANOUT,
+    Dissemination, MAX_REPORTED_REFUSALS, Output, REGION_FANOUT, Refusal, Source, ZONE_FANOUT,
 };
 use crate::history::{History, Record, RecordError};
 use crate::message::Snapshot;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Dissemination {
-    pub(super) fn offer(
+    pub(super) fn apply_records(
         &mut self,
         now: u64,
         source: Source,
@@ -22,30 +22,32 @@
         let mut configuration = None;
         for record in records {
             if record.revision > self.history.head().next() {
-                self.note_gap(now, source, record.revision, outputs);
+                self.record_gap(now, source, record.revision, outputs);
                 break;
             }
             let configuration = configuration.get_or_insert_with(|| self.configuration.clone());
-            if let Err(error) = self.take(record, configuration) {
+            if let Err(error) = self.apply_record(record, configuration) {
                 self.refuse(record.revision, source.peer(), error, outputs);
                 break;
             }
         }
         if self.history.head() > before {
             self.configuration = configuration.expect("a record was taken");
-            self.spread(before, source, outputs);
+            self.forward_changes(before, source, outputs);
         }
     }
 
-    pub(super) fn take(
+    pub(super) fn apply_record(
         &mut self,
         record: &Record,
         configuration: &mut Arc<Configuration>,
     ) -> Result<(), RecordError> {
         if record.revision <= self.history.head() {
-            let known = self.history.digest_at(record.revision);
-            return match known {
-                Some(known) if known != record.digest() => Err(RecordError::Divergent),
+            let local_digest = self.history.digest_at(record.revision);
+            return match local_digest {
+                Some(local_digest) if local_digest != record.digest() => {
+                    Err(RecordError::Divergent)
+                }
                 _ => Ok(()),
             };
         }
@@ -58,7 +60,7 @@
         Ok(())
     }
 
-    pub(super) fn note_gap(
+    pub(super) fn record_gap(
         &mut self,
         now: u64,
         source: Source,
@@ -66,7 +68,7 @@
         outputs: &mut Vec<Output>,
     ) {
         if let Some(peer) = source.peer() {
-            if self.ahead.is_none_or(|(known, _)| revision > known) {
+            if self.ahead.is_none_or(|(highest, _)| revision > highest) {
                 self.ahead = Some((revision, peer));
             }
             self.pull_if_behind(now, outputs);
@@ -82,8 +84,8 @@
         let revision = snapshot.configuration.revision;
         let before = self.history.head();
         if revision <= before {
-            let known = self.history.digest_at(revision);
-            if known.is_some_and(|known| known != snapshot.digest) {
+            let local_digest = self.history.digest_at(revision);
+            if local_digest.is_some_and(|local_digest| local_digest != snapshot.digest) {
                 self.refuse(revision, source.peer(), RecordError::Divergent, outputs);
             }
             return;
@@ -91,19 +93,24 @@
         self.configuration = Arc::new(snapshot.configuration);
         self.history = History::starting_at(revision, snapshot.digest);
         if source != Source::Disk {
-            self.spread(before, source, outputs);
+            self.forward_changes(before, source, outputs);
         }
     }
 
-    /// Tells a bounded number of peers what is new after `before`.
-    pub(super) fn spread(&mut self, before: Revision, source: Source, outputs: &mut Vec<Output>) {
+    /// Sends the changes after `before` to a bounded number of peers.
+    pub(super) fn forward_changes(
+        &mut self,
+        before: Revision,
+        source: Source,
+        outputs: &mut Vec<Output>,
+    ) {
         self.reported
             .retain(|revision, _| *revision > self.history.head());
-        let message = self.news_after(before);
+        let message = self.changes_message(before);
         let mut receivers = self.selection.choose(ZONE_FANOUT, Distance::Zone);
-        // A zone with few nodes leaves more for the others.
-        let near = ZONE_FANOUT + REGION_FANOUT - receivers.len();
-        receivers.extend(self.selection.choose(near, Distance::Region));
+        // Fewer receivers in the local zone allow more in other zones.
+        let region_count = ZONE_FANOUT + REGION_FANOUT - receivers.len();
+        receivers.extend(self.selection.choose(region_count, Distance::Region));
         if receivers.is_empty() || source == Source::Objects {
             receivers.extend(self.selection.choose(1, Distance::Remote));
         }
@@ -125,7 +132,7 @@
         if self.reported.get(&revision) == Some(&error) {
             return;
         }
-        if self.reported.len() >= REPORTED_REFUSALS {
+        if self.reported.len() >= MAX_REPORTED_REFUSALS {
             self.reported.pop_first();
         }
         self.reported.insert(revision, error.clone());
--- a/crates/firshore-config/src/dissemination/anti_entropy.rs
+++ b/crates/firshore-config/src/dissemination/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Comparing what two nodes hold, and pulling what one of them lacks.
+//! Comparison of two nodes' histories, and pulls of missing changes.
 
 use super::{
     Dissemination, EAGER_PUSH_BYTES, Output, PULL_TIMEOUT_MILLISECONDS, Pull, RANGE_BYTES,
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Compares what a peer holds with the own history.
+    /// Compares a peer's advertisement with the local history.
     pub(super) fn compare(
         &mut self,
         now: u64,
@@ -26,14 +26,17 @@
         self.floor = self.floor.max(theirs.floor);
         let head = self.history.head();
         if theirs.revision > head {
-            if self.ahead.is_none_or(|(known, _)| theirs.revision > known) {
+            if self
+                .ahead
+                .is_none_or(|(highest, _)| theirs.revision > highest)
+            {
                 self.ahead = Some((theirs.revision, from));
             }
             self.pull_if_behind(now, outputs);
             return;
         }
-        let known = self.history.digest_at(theirs.revision);
-        if known.is_some_and(|known| known != theirs.digest) {
+        let local_digest = self.history.digest_at(theirs.revision);
+        if local_digest.is_some_and(|local_digest| local_digest != theirs.digest) {
             self.refuse(theirs.revision, Some(from), RecordError::Divergent, outputs);
             let message = Message::Divergent {
                 at: theirs.revision,
@@ -42,7 +45,7 @@
             return;
         }
         if theirs.revision < head {
-            let message = self.news_after(theirs.revision);
+            let message = self.changes_message(theirs.revision);
             outputs.push(Output::Send { to: from, message });
         } else if theirs.floor < self.floor {
             let message = Message::Advertisement(self.advertisement());
@@ -50,8 +53,8 @@
         }
     }
 
-    /// The changes after `revision` where they are few, else an advertisement of them.
-    pub(super) fn news_after(&self, revision: Revision) -> Message {
+    /// Returns a message with the changes after `revision` if they are small, else an advertisement.
+    pub(super) fn changes_message(&self, revision: Revision) -> Message {
         let records = self.history.after(revision, EAGER_PUSH_BYTES);
         match records {
             Some(records) if is_small_and_whole(&records, self.history.head()) => {
@@ -72,7 +75,7 @@
         match self.pull {
             Some(pull) if now < pull.until => return,
             Some(pull) if pull.from == from => {
-                // It did not answer; the next advertisement names another.
+                // The peer did not respond; the next advertisement selects another.
                 self.pull = None;
                 self.ahead = None;
                 return;
@@ -103,8 +106,8 @@
             outputs.push(Output::Send { to, message });
             return;
         }
-        let known = self.history.digest_at(after);
-        if known.is_some_and(|known| known != digest) {
+        let local_digest = self.history.digest_at(after);
+        if local_digest.is_some_and(|local_digest| local_digest != digest) {
             let message = Message::Divergent { at: after };
             outputs.push(Output::Send { to, message });
             self.refuse(after, Some(to), RecordError::Divergent, outputs);
