--- a/crates/firshore-adapter/src/backend.rs
+++ b/crates/firshore-adapter/src/backend.rs
@@ -1,4 +1,4 @@
-//! Back ends: who they are, what they are told with a request, and what their answers say.
+//! Back ends: their identity, the terms sent with a request, and the content of responses.
 
 use crate::incarnation::Incarnation;
 use actix_http::ResponseHead;
@@ -17,95 +17,95 @@
     pub service: ServiceName,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Zone it stands in.
+    /// Zone of the back end.
     pub zone: ZoneName,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it has said that it is about to leave.
+    /// Whether it has announced that it will shut down.
     pub leaving: bool,
 }
 
-/// Load that a back end tells with an answer.
+/// Load that a back end reports with a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests under way.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the back end.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// How long work takes there at present, where it is told.
+    /// Current pace, if reported.
     pub pace: Option<Pace>,
 }
 
-/// How long work takes at a back end, as a part of the usual time in hundredths: 200 is half as fast as usual.
+/// Factor by which work at a back end takes longer than typical, in hundredths: 200 is half the typical speed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pace(NonZeroU32);
 
 impl Pace {
-    /// As long as usual.
+    /// Typical duration: factor 1.
     pub const USUAL: Self = Self(NonZeroU32::new(100).expect("100 is not 0"));
 
-    /// A pace in hundredths of the usual time; `None` for 0, as no work takes no time.
+    /// Creates a pace from hundredths of the typical duration; `None` for 0.
     pub fn from_hundredths(hundredths: u32) -> Option<Self> {
         NonZeroU32::new(hundredths).map(Self)
     }
 
-    /// Returns the pace in hundredths of the usual time.
+    /// Returns the pace in hundredths of the typical duration.
     pub fn hundredths(self) -> u32 {
         self.0.get()
     }
 
-    /// Returns how many times the usual time work takes.
+    /// Returns the factor by which work takes longer than typical.
     pub fn factor(self) -> f32 {
         self.0.get() as f32 / Self::USUAL.0.get() as f32
     }
 }
 
-/// Whether an answer says that the request ran.
+/// What a response states about the execution of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// The back end says that it did not and will not run it.
+    /// The back end states that it did not and will not run it.
     No,
-    /// It ran, or nothing says that it did not.
+    /// It ran, or the response does not exclude that it ran.
     Maybe,
-    /// The back end vouches for the answer as its own.
+    /// The back end confirms that it produced the response.
     Yes,
 }
 
-/// What an answer's head says.
+/// Decoded head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
     /// Whether the request ran.
     pub ran: Ran,
     /// Another incarnation holds the address.
     pub misdirected: bool,
-    /// Load, where it is told.
+    /// Load, if reported.
     pub load: Option<ReportedLoad>,
 }
 
-/// What a request is sent with.
+/// Terms sent with a request to a back end.
 #[derive(Clone, Copy, Debug)]
 pub struct SendTerms<'a> {
     /// The only incarnation that may run it.
     pub incarnation: &'a Incarnation,
-    /// Time left for it.
+    /// Time remaining until the deadline.
     pub remaining: Duration,
-    /// Number of the last event that is held already, where a stream is to go on.
+    /// Number of the last event received, if a stream is resumed.
     pub resume_after: Option<u64>,
-    /// Tenant that the request comes from, where it is known.
+    /// Tenant of the request, if known.
     pub tenant: Option<&'a TenantName>,
 }
 
-/// How requests to back ends and their answers are written. Called for every send and answer.
+/// Encodes requests to back ends and decodes their responses. Called for every request and response.
 pub trait BackendDialect {
-    /// Sets the headers that tell a back end `terms`; the caller's other headers stay. What a caller
-    /// sends as a key, or as the name of a tenant, never reaches a back end.
+    /// Sets the headers that carry `terms` and keeps the caller's other headers. Removes keys and tenant
+    /// names that the caller sent.
     fn write_terms(&self, headers: &mut HeaderMap, terms: &SendTerms<'_>);
 
-    /// Reads the head of an answer.
+    /// Decodes the head of a response.
     fn read_answer(&self, head: &ResponseHead) -> AnswerHead;
 
-    /// Whether an answer belongs to the request with these headers.
+    /// Returns whether a response belongs to the request with these headers.
     fn answers(&self, request: &HeaderMap, head: &ResponseHead) -> bool;
 }
--- a/crates/firshore-adapter/src/caller.rs
+++ b/crates/firshore-adapter/src/caller.rs
@@ -1,12 +1,12 @@
-//! What callers say with an online request.
+//! Terms and key that callers send with an online request.
 
 use actix_http::header::HeaderMap;
 use std::time::Duration;
 
-/// A part of a prompt, which other requests may share.
+/// Part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Hash that stands for the part's content.
+    /// Hash of the part's content.
     pub hash: u64,
     /// Length in tokens.
     pub tokens: u32,
@@ -17,29 +17,28 @@
 pub struct RequestTerms {
     /// Identifier, for logs.
     pub id: String,
-    /// Time that the caller waits, from the request's arrival.
+    /// Timeout of the caller, from the request's arrival.
     pub deadline: Option<Duration>,
-    /// Parts of the prompt, in order; the last one is often the request's own.
+    /// Parts of the prompt, in order; the last one is often unique to the request.
     pub prompt: Vec<PromptPart>,
-    /// Number of the last event that the caller holds of a stream that it takes up again.
+    /// Number of the last event that the caller received of a resumed stream.
     pub resume_after: Option<u64>,
 }
 
 /// The key that a request carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerKey<'a> {
-    /// None.
+    /// No key.
     Absent,
-    /// This one.
+    /// Exactly one key.
     Given(&'a str),
-    /// Several, or one that is not text: nobody holds it.
+    /// Several keys, or one that is not text; matches no tenant.
     Unusable,
 }
 
-/// How terms are read from a request's headers. Called once for each request.
+/// Reads terms and key from a request's headers. Called once for each request.
 pub trait CallerDialect {
-    /// Reads the terms; values that cannot be read count as absent, as back ends see the headers
-    /// unchanged.
+    /// Reads the terms; invalid values count as absent, because back ends receive the headers unchanged.
     fn read_terms(&self, headers: &HeaderMap) -> RequestTerms;
 
     /// Reads the key.
--- a/crates/firshore-adapter/src/configuration.rs
+++ b/crates/firshore-adapter/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A whole configuration as the data path uses it.
+//! The configuration that the data path uses.
 
 use crate::route::RouteTable;
 use crate::tenant::TenantTable;
@@ -6,25 +6,25 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What is known of a service beside its back ends.
+/// Settings of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Service {
-    /// Most connections that one back end takes from all nodes together; 0: unknown.
+    /// Maximum connections that one back end accepts from all nodes together; 0: unknown.
     pub connections_per_backend: u32,
-    /// Requests that one back end works on at once, where the configuration says so.
+    /// Concurrent requests of one back end, if configured.
     pub slots: Option<u32>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Size and time limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest head of a request in bytes.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: usize,
-    /// Longest body of a request in bytes.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Longest time for a request's head to arrive, from its first byte.
+    /// Timeout for a request's head, from its first byte.
     pub head_timeout: Duration,
-    /// Longest time that a connection may rest.
+    /// Idle timeout of a connection.
     pub idle_timeout: Duration,
 }
 
@@ -39,10 +39,10 @@
     }
 }
 
-/// Everything operators declare, as of one version.
+/// Everything that operators declare, at one version.
 #[derive(Clone, Debug, Default)]
 pub struct ServingConfiguration {
-    /// Rises with every change.
+    /// Version; increases with every change.
     pub version: u64,
     /// Routes.
     pub routes: RouteTable,
--- a/crates/firshore-adapter/src/decode.rs
+++ b/crates/firshore-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! What the environment's own objects mean.
+//! Decoding of the environment's objects.
 
 use crate::backend::Backend;
 use crate::configuration::ServingConfiguration;
@@ -8,70 +8,70 @@
 use std::time::Duration;
 
 quick_error! {
-    /// Why an object cannot be understood.
+    /// Error in decoding an object.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum DecodeError {
-        /// A field is missing or unusable.
+        /// A field is missing or invalid.
         Invalid(object: String, reason: String) {
             display("The object '{object}' cannot be used: {reason}. Correct it in the store.")
         }
     }
 }
 
-/// Longest reason that is told of a refusal, in bytes: it may quote what another writer wrote.
-const LONGEST_REASON: usize = 200;
+/// Limits the length of a reported reason, as it may quote text of another writer.
+const MAX_REASON_BYTES: usize = 200;
 
-/// Returns the begin of a reason, where it is long.
+/// Truncates a long reason.
 pub fn brief(reason: impl ToString) -> String {
     let mut reason = reason.to_string();
-    let end = reason.floor_char_boundary(LONGEST_REASON);
+    let end = reason.floor_char_boundary(MAX_REASON_BYTES);
     reason.truncate(end);
     reason
 }
 
-/// A wish to empty a node with a disk.
+/// An operator's request to empty a node with a disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Retirement {
     /// Node.
     pub node: String,
-    /// Time that the operator gives.
+    /// Time limit set by the operator.
     pub within: Duration,
-    /// Whether its status says already that it is empty.
+    /// Whether its status already reports that the node is empty.
     pub done: bool,
 }
 
-/// How far a retirement is.
+/// Progress of a retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetirementProgress {
     /// The node is being emptied.
     Running,
-    /// Nothing that must last depends on it any more; its disk may be taken away.
+    /// No durable data depends on the node any longer; its disk may be removed.
     Done,
 }
 
-/// Kinds of the environment's objects, and their content.
+/// Names and decodes the environment's objects.
 pub trait Decoder {
-    /// Kind that holds the back ends.
+    /// Returns the kind that holds the back ends.
     fn backend_kind(&self) -> &str;
 
-    /// Kind that holds the configuration.
+    /// Returns the kind that holds the configuration.
     fn configuration_kind(&self) -> &str;
 
-    /// Name of the configuration's object.
+    /// Returns the name of the configuration's object.
     fn configuration_name(&self) -> &str;
 
-    /// Kind that holds wishes to empty nodes.
+    /// Returns the kind that holds requests to empty nodes.
     fn retirement_kind(&self) -> &str;
 
-    /// Reads a back end.
+    /// Decodes a back end.
     fn backend(&self, object: &Object) -> Result<Backend, DecodeError>;
 
-    /// Reads a configuration.
+    /// Decodes a configuration.
     fn configuration(&self, object: &Object) -> Result<ServingConfiguration, DecodeError>;
 
-    /// Reads a wish to empty a node.
+    /// Decodes a request to empty a node.
     fn retirement(&self, object: &Object) -> Result<Retirement, DecodeError>;
 
-    /// The status that reports a retirement's progress.
+    /// Returns the status that reports a retirement's progress.
     fn retirement_status(&self, progress: RetirementProgress) -> Value;
 }
--- a/crates/firshore-adapter/src/incarnation.rs
+++ b/crates/firshore-adapter/src/incarnation.rs
@@ -1,15 +1,15 @@
-//! Which process a back end is: its name, and where it tells so the start of its process.
+//! Identity of a back end's process: its name and, if reported, its start time.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Name that a back end is listed under. Its process may end and start again under the same one.
+/// Name under which a back end is listed. A restarted process keeps the name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendName(Arc<str>);
 
 impl BackendName {
-    /// Returns the name as it is listed.
+    /// Returns the listed name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -27,24 +27,23 @@
     }
 }
 
-/// Start of a process in Unix milliseconds, by its own clock: compared with other starts of the same back end
-/// only.
+/// Start time of a process in Unix milliseconds by the back end's clock. Comparable only with other start
+/// times of the same back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StartTime(pub u64);
 
-/// Identity of one run of a back end's process. An address may be reused, and so may a name where the start
-/// is told; an incarnation never is.
+/// Identity of one run of a back end's process. Unlike an address or a name, it is never reused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
     /// Name.
     pub name: BackendName,
-    /// Start, where the back end tells it.
+    /// Start time, if the back end reports it.
     pub started: Option<StartTime>,
 }
 
 impl Incarnation {
-    /// Returns the one of a back end that does not tell its start: every start has a name of its own.
+    /// Returns the incarnation of a back end that reports no start time and has a new name at each start.
     pub fn named(name: impl Into<BackendName>) -> Self {
         Self {
             name: name.into(),
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Returns the one of a back end that started then.
+    /// Returns the incarnation of a back end with the given start time.
     pub fn started(name: impl Into<BackendName>, started: StartTime) -> Self {
         Self {
             name: name.into(),
@@ -60,7 +59,7 @@
         }
     }
 
-    /// Whether `other` is a later start of the same back end: this one has ended then.
+    /// Returns whether `other` is a later run of the same back end, so that this one has ended.
     pub fn is_succeeded_by(&self, other: &Self) -> bool {
         let (Some(own), Some(others)) = (self.started, other.started) else {
             return false;
--- a/crates/firshore-adapter/src/jobs.rs
+++ b/crates/firshore-adapter/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs over HTTP: their calls, what is submitted, what is read.
+//! Batch jobs over HTTP: submissions, other calls, and results.
 
 use actix_http::Method;
 use actix_http::header::HeaderMap;
@@ -9,32 +9,31 @@
 use std::time::Duration;
 
 quick_error! {
-    /// Why a call about a job cannot be understood.
+    /// Error in reading a call about a job.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum JobCallError {
-        /// A part of it is missing or unusable.
+        /// A field is missing or invalid.
         Invalid(reason: String) {
             display("The call cannot be used: {reason}. Correct it and send it again.")
         }
     }
 }
 
-/// Stands between a tenant's name and an identifier in [`JobId::journal_key`]. Neither a header's text nor
-/// a path can hold it, so keys of two jobs are never alike.
+/// Separates tenant and identifier in [`JobId::journal_key`]. Header values and paths cannot contain it,
+/// so keys are unambiguous.
 const KEY_SEPARATOR: char = '\u{1f}';
 
-/// A job, by the tenant that it belongs to and the identifier that the tenant gave it: identifiers of
-/// different tenants may be alike.
+/// Key of a job: its tenant and the identifier that the tenant chose, unique within the tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobId {
-    /// Tenant; `None` for jobs of callers without a key, which anybody may ask for.
+    /// Tenant; `None` for jobs of callers without a key, which any caller may read.
     pub tenant: Option<TenantName>,
     /// Identifier, as callers name it.
     pub id: String,
 }
 
 impl JobId {
-    /// A job that belongs to no tenant.
+    /// Returns the key of a job without a tenant.
     pub fn of_nobody(id: impl Into<String>) -> Self {
         Self {
             tenant: None,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// The text that names the job in the journal, among the jobs of all tenants.
+    /// Returns the job's key in the journal, unique across tenants.
     pub fn journal_key(&self) -> String {
         match &self.tenant {
             None => self.id.clone(),
@@ -51,7 +50,7 @@
     }
 }
 
-/// The identifier, as callers name it, in a key of the journal.
+/// Extracts the caller's job identifier from a journal key.
 pub fn caller_id(journal_key: &str) -> &str {
     match journal_key.rsplit_once(KEY_SEPARATOR) {
         None => journal_key,
@@ -59,26 +58,26 @@
     }
 }
 
-/// One item as it is submitted.
+/// One submitted item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobItem {
     /// Identifier, unique within the job.
     pub id: String,
-    /// Path that it is sent to.
+    /// Request path.
     pub path: String,
-    /// Headers that it is sent with.
+    /// Request headers.
     pub headers: Vec<(String, String)>,
-    /// Body that it is sent with.
+    /// Request body.
     pub body: Payload,
-    /// Tokens of the prompt and at most of the output, together.
+    /// Tokens of the prompt plus the maximum of output tokens.
     pub tokens: u64,
 }
 
-/// Bytes that the allocator and the containers add to each part of an item, about.
+/// Approximate overhead of allocator and containers for each stored field of an item.
 const OVERHEAD_BYTES: usize = 64;
 
 impl JobItem {
-    /// Memory that it takes in bytes, about.
+    /// Returns the approximate memory use in bytes.
     pub fn held_bytes(&self) -> usize {
         let headers = self.headers.iter();
         let headers = headers.map(|(name, value)| name.len() + value.len() + OVERHEAD_BYTES);
@@ -90,13 +89,13 @@
 /// A call about a job, other than its submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobCall {
-    /// Read results from a position on; wait for one up to `wait`.
+    /// Read results from a position; wait up to `wait` for the first one.
     Results {
         /// Job.
         job: String,
-        /// First position wanted.
+        /// First position to return.
         from: u64,
-        /// Longest wait for a result.
+        /// Maximum wait for a result.
         wait: Duration,
     },
     /// Read the body of an item that has no result yet.
@@ -106,35 +105,35 @@
         /// Item.
         item: String,
     },
-    /// End the job.
+    /// Cancel the job.
     End {
         /// Job.
         job: String,
     },
 }
 
-/// What became of an item.
+/// Outcome of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemOutcome {
-    /// It ran to its end; the data of its events in order.
+    /// It completed; holds the data of its events in order.
     Done(Vec<String>),
-    /// It is given up.
+    /// It was abandoned without a result.
     GivenUp,
 }
 
-/// A result at its position.
+/// Result of one item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
     /// Item.
     pub item: String,
-    /// What became of it.
+    /// Outcome.
     pub outcome: ItemOutcome,
 }
 
-/// A part of a job's results.
+/// One page of a job's results.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultPage {
-    /// Items of the job.
+    /// Number of items in the job.
     pub total: u64,
     /// Position of the first result.
     pub from: u64,
@@ -142,10 +141,10 @@
     pub results: Vec<ItemResult>,
 }
 
-/// How calls about jobs are read and answered. Called for requests on routes that take jobs, and
-/// for requests that no route matches.
+/// Parses calls about jobs and encodes their responses. Used for requests on job routes and for requests
+/// that match no route.
 pub trait JobDialect {
-    /// The call that a request makes, or `None` if it is about no job.
+    /// Parses a request as a job call; `None` if it does not concern a job.
     fn read_call(
         &self,
         method: &Method,
@@ -154,15 +153,15 @@
         headers: &HeaderMap,
     ) -> Option<Result<JobCall, JobCallError>>;
 
-    /// The identifier under which a job is submitted.
+    /// Returns the identifier of a submitted job.
     fn job_id(&self, headers: &HeaderMap) -> Option<String>;
 
-    /// Reads the items of a submission.
+    /// Parses the items of a submission.
     fn read_submission(&self, body: &[u8]) -> Result<Vec<JobItem>, JobCallError>;
 
-    /// Writes results; the content type is that of JSON.
+    /// Encodes results as JSON.
     fn write_results(&self, page: &ResultPage) -> Vec<u8>;
 
-    /// Header under which an item's identifier is sent.
+    /// Returns the name of the header that carries an item's identifier.
     fn item_id_header(&self) -> &'static str;
 }
--- a/crates/firshore-adapter/src/lib.rs
+++ b/crates/firshore-adapter/src/lib.rs
@@ -1,7 +1,7 @@
-//! The seam between firshore and the environment that it is deployed into.
+//! Interface between firshore and the environment that it is deployed into.
 //!
-//! Everything here is in the product's own words. An environment is met by an implementation of
-//! [`Adapter`], which translates and decides nothing: what callers send ([`caller::CallerDialect`],
+//! The types here do not depend on an environment. Each environment supplies the parts of an
+//! [`Adapter`], which only translate: what callers send ([`caller::CallerDialect`],
 //! [`jobs::JobDialect`]), what back ends speak ([`backend::BackendDialect`]), where versioned
 //! objects are kept ([`objects::ObjectStore`]) and what some of them mean ([`decode::Decoder`]).
 #![deny(missing_docs, unsafe_code)]
@@ -18,17 +18,17 @@
 
 use std::rc::Rc;
 
-/// One environment, as the composition root hands it to a node.
+/// Adapter to one environment, passed to a node at its start.
 #[derive(Clone)]
 pub struct Adapter {
-    /// How online requests are read.
+    /// Reads online requests.
     pub caller: Rc<dyn caller::CallerDialect>,
-    /// How batch jobs are submitted and read.
+    /// Reads and answers batch job calls.
     pub jobs: Rc<dyn jobs::JobDialect>,
-    /// What back ends are told and answer.
+    /// Writes requests to back ends and reads their responses.
     pub backend: Rc<dyn backend::BackendDialect>,
-    /// Where versioned objects are kept.
+    /// Store of versioned objects.
     pub objects: Rc<dyn objects::ObjectStore>,
-    /// What the environment's own objects mean.
+    /// Decodes the environment's objects.
     pub decoder: Rc<dyn decode::Decoder>,
 }
--- a/crates/firshore-adapter/src/objects.rs
+++ b/crates/firshore-adapter/src/objects.rs
@@ -1,44 +1,44 @@
-//! Versioned objects in a store outside: listed in pages, written by compare-and-set, watched from
+//! Versioned objects in an external store: listed in pages, written by compare-and-set, watched from
 //! a revision.
 //!
-//! The store may be slow or down, may refuse, may lose an answer after the change was made or make
-//! it seconds later, and may forget its history. So every write carries a revision or creates, and
-//! an unknown outcome is settled by reading.
+//! The store may be slow or unavailable, refuse a call, lose a response after it applied the change,
+//! apply a change seconds later, or discard its history. Every write therefore carries the expected
+//! revision or creates an object, and an unknown outcome is resolved by reading.
 
 use futures_util::future::LocalBoxFuture;
 use quick_error::quick_error;
 use serde_json::Value;
 use std::time::Duration;
 
-/// Position in the store's history; rises with each change.
+/// Position in the store's history; increases with each change.
 pub type Revision = u64;
 
 /// One object.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Object {
-    /// Name, unique within its kind; empty where what the store holds has none that can be read.
+    /// Name, unique within its kind; empty if it cannot be read.
     pub name: String,
     /// Revision of its last change.
     pub revision: Revision,
-    /// What is wanted; null where it cannot be read.
+    /// Desired state; null if it cannot be read.
     pub spec: Value,
-    /// What is; null where it cannot be read.
+    /// Actual state; null if it cannot be read.
     pub status: Value,
 }
 
-/// A part of a listing.
+/// One page of a listing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Page {
     /// Objects, in order of name.
     pub objects: Vec<Object>,
-    /// Whether more follow after the last name.
+    /// Whether more objects follow after the last name.
     pub more: bool,
     /// Revision of the store that the page shows.
     pub revision: Revision,
 }
 
 impl Page {
-    /// Returns the last name that can be read: the listing goes on after it.
+    /// Returns the last readable name, after which the next page starts.
     pub fn cursor(&self) -> Option<&str> {
         let names = self.objects.iter().map(|object| object.name.as_str());
         names.rev().find(|name| !name.is_empty())
@@ -50,12 +50,12 @@
 pub enum Change {
     /// It was created or changed.
     Written(Object),
-    /// It is gone.
+    /// It was deleted.
     Removed(String),
 }
 
 impl Change {
-    /// Returns the object's name; empty where it cannot be read.
+    /// Returns the object's name; empty if it cannot be read.
     pub fn name(&self) -> &str {
         match self {
             Self::Written(object) => &object.name,
@@ -67,17 +67,17 @@
 /// Changes after a revision, in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
-    /// Changes; none if the wait ran out.
+    /// Changes; empty if the wait expired.
     pub changes: Vec<Change>,
-    /// Revision to go on from.
+    /// Revision from which to continue.
     pub revision: Revision,
 }
 
 quick_error! {
-    /// Why the store did not do as asked.
+    /// Error of a store call.
     #[derive(Clone, Debug, PartialEq)]
     pub enum ObjectError {
-        /// Another revision stands there; nothing was written.
+        /// The object has another revision; nothing was written.
         Conflict {
             display("The object has another revision. Read it and decide anew.")
         }
@@ -85,15 +85,15 @@
         Missing {
             display("There is no such object. Create it first.")
         }
-        /// The changes since that revision are forgotten.
+        /// The store no longer has the changes since that revision.
         HistoryGone {
             display("The store has forgotten the changes since that revision. List anew.")
         }
-        /// The store refused; nothing was done.
+        /// The store refused the call; nothing was changed.
         Refused(reason: String) {
             display("The store refused: {reason}. Try again later.")
         }
-        /// No usable answer: a write may or may not take effect, even seconds later.
+        /// No valid response: a write may or may not take effect, even seconds later.
         Unanswered(reason: String) {
             display("The store did not answer: {reason}. Read back to learn whether a write took effect.")
         }
@@ -103,18 +103,18 @@
 /// A result of the store.
 pub type Answer<'a, T> = LocalBoxFuture<'a, Result<T, ObjectError>>;
 
-/// A store of versioned objects. Every call ends within a bound of its own.
+/// A store of versioned objects. Every call has a timeout.
 pub trait ObjectStore {
-    /// Objects of a kind after a name, a page at a time.
+    /// Returns one page of a kind's objects, starting after the given name.
     fn list<'a>(&'a self, kind: &'a str, after: Option<&'a str>) -> Answer<'a, Page>;
 
-    /// One object, as it is now.
+    /// Returns the current state of one object.
     fn get<'a>(&'a self, kind: &'a str, name: &'a str) -> Answer<'a, Option<Object>>;
 
-    /// Creates an object; a conflict if there is one of this name.
+    /// Creates an object; fails with a conflict if the name exists.
     fn create<'a>(&'a self, kind: &'a str, name: &'a str, spec: Value) -> Answer<'a, ()>;
 
-    /// Replaces what is wanted, if the object still has this revision.
+    /// Replaces the desired state if the object still has this revision.
     fn replace<'a>(
         &'a self,
         kind: &'a str,
@@ -123,7 +123,7 @@
         spec: Value,
     ) -> Answer<'a, ()>;
 
-    /// Replaces what is, if the object still has this revision.
+    /// Replaces the actual state if the object still has this revision.
     fn replace_status<'a>(
         &'a self,
         kind: &'a str,
@@ -132,10 +132,10 @@
         status: Value,
     ) -> Answer<'a, ()>;
 
-    /// A revision that the store had reached, perhaps seconds ago, asked for as cheaply as it can be: it
-    /// shows that the store can be reached, and may show that something has changed.
+    /// Returns a revision, possibly seconds old, by the cheapest call available. Shows that the store is
+    /// reachable, and possibly that something has changed.
     fn reach<'a>(&'a self) -> Answer<'a, Revision>;
 
-    /// Changes of a kind after a revision; waits up to `wait` for one.
+    /// Returns the changes of a kind after a revision; waits up to `wait` for the first one.
     fn watch<'a>(&'a self, kind: &'a str, after: Revision, wait: Duration) -> Answer<'a, Changes>;
 }
--- a/crates/firshore-adapter/src/route.rs
+++ b/crates/firshore-adapter/src/route.rs
@@ -1,31 +1,30 @@
-//! Routes: which requests go to which service, and on what terms.
+//! Routes: map requests to services and set their limits.
 
 use firshore_types::ids::ServiceName;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What may be done with a request that may have run already.
+/// Whether a request that may have run can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repetition {
     /// It may run any number of times.
     Idempotent,
-    /// It may run once at most.
+    /// It may run at most once.
     AtMostOnce,
-    /// A stream of numbered events: a run that broke off may go on elsewhere after the last event
-    /// received.
+    /// A stream of numbered events: after an interruption, another back end may resume it after the last
+    /// event received.
     Resumable,
 }
 
 /// Terms of a route whose requests are batch jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobTerms {
-    /// Time from the submission in which callers want all results; `None` if the route says nothing.
+    /// Target time from submission to the last result; `None` if the route sets none.
     pub due_after: Option<Duration>,
-    /// Time from the submission after which an item without a result may be given up.
+    /// Time from submission after which an item without a result may be abandoned.
     pub give_up_after: Duration,
-    /// Tokens that items of one tenant without a result may have together on the route; `None`: any
-    /// number.
+    /// Maximum total tokens of one tenant's unfinished items on the route; `None`: unlimited.
     pub most_waiting_tokens: Option<u64>,
 }
 
@@ -43,29 +42,29 @@
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
-    /// Host that requests name, in lower case.
+    /// Host name of requests, in lower case.
     pub host: String,
-    /// Beginning of the path; ends with a slash.
+    /// Path prefix; ends with a slash.
     pub path_prefix: String,
     /// Services that run its requests; never empty.
     pub services: Vec<WeightedService>,
-    /// What may be done with a request that may have run already.
+    /// Whether a request that may have run can be sent again.
     pub repetition: Repetition,
-    /// Whether answers are streams of events.
+    /// Whether responses are event streams.
     pub streams: bool,
-    /// Longest time from a request's arrival to the end of its answer.
+    /// Timeout from a request's arrival to the end of its response.
     pub timeout: Duration,
-    /// Time to the answer (streams: to the first event) that callers aim for.
+    /// Target time to the response (streams: to the first event).
     pub objective: Duration,
-    /// Most back ends that may run one request.
+    /// Maximum number of back ends that may run one request.
     pub attempts: u32,
-    /// Rank among the routes of a service; 0 goes first.
+    /// Rank among the routes of a service; 0 is highest.
     pub priority: u32,
-    /// Whether requests need no key, also where there are tenants.
+    /// Whether requests need no key even if tenants are declared.
     pub public: bool,
-    /// Whether requests that share the beginning of a prompt are best run by the same back end.
+    /// Whether requests with a common prompt prefix are preferably run by the same back end.
     pub prefix_affinity: bool,
-    /// Present where requests are batch jobs.
+    /// Present if requests are batch jobs.
     pub jobs: Option<JobTerms>,
 }
 
@@ -76,12 +75,12 @@
 }
 
 impl RouteTable {
-    /// Indexes routes.
+    /// Indexes routes by host.
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
-            let of_host = by_host.entry(route.host.clone()).or_default();
-            of_host.push(Arc::new(route));
+            let host_routes = by_host.entry(route.host.clone()).or_default();
+            host_routes.push(Arc::new(route));
         }
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
@@ -89,7 +88,7 @@
         Self { by_host }
     }
 
-    /// The route of a request, by its host (a port is ignored) and path (without query).
+    /// Returns the route for a host (a port is ignored) and path (without query).
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or_default();
         let routes = match self.by_host.get(host) {
@@ -100,23 +99,23 @@
         routes.find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Whether callers without a key may hand jobs in, and so ask for them.
+    /// Returns whether callers without a key may submit jobs and read their results.
     pub fn has_public_jobs(&self) -> bool {
         let mut routes = self.iter();
         routes.any(|route| route.public && route.jobs.is_some())
     }
 
-    /// All routes, in no order.
+    /// Returns all routes, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.by_host.values().flatten()
     }
 
-    /// Number of routes.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
 
-    /// Whether there is none.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/firshore-adapter/src/tenant.rs
+++ b/crates/firshore-adapter/src/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: who is calling, by the key that a request carries, and how much each may ask.
+//! Tenants: identified by the key that a request carries, each with a rate limit.
 
 use firshore_types::ids::TenantName;
 use quick_error::quick_error;
@@ -6,49 +6,49 @@
 use std::sync::Arc;
 
 quick_error! {
-    /// Why declared tenants cannot be used.
+    /// Error in the declared tenants.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum TenantError {
         /// Two declarations have one name.
         NamedTwice(name: TenantName) {
             display("The tenant '{name}' is declared twice. Merge the two.")
         }
-        /// Two tenants hold one key, so that it does not say who calls.
+        /// Two tenants hold one key, which therefore does not identify the caller.
         KeyHeldTwice(first: TenantName, second: TenantName) {
             display("The tenants '{first}' and '{second}' hold the same key. Give one of them a new one.")
         }
-        /// A key has no characters: a request without a key would hold it.
+        /// A key is empty: requests without a key would match it.
         EmptyKey(name: TenantName) {
             display("A key of the tenant '{name}' is empty. Remove it.")
         }
-        /// A name that cannot be written into a header, as back ends are told it.
+        /// A name cannot be written into the header that names the tenant to back ends.
         UnusableName(name: TenantName) {
             display("The tenant's name {:?} is empty or not printable ASCII. Change it.", name.as_str())
         }
-        /// A rate or burst that is no amount.
+        /// A rate or burst is negative or not finite.
         UnusableLimit(name: TenantName) {
             display("The rate or burst of the tenant '{name}' is not a number from 0 on. Correct it.")
         }
     }
 }
 
-/// How much a tenant may ask over all nodes, counted over a span that is a setting of the nodes.
+/// Rate limit of a tenant over all nodes, counted over a time span set on the nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Requests beyond that in one span.
+    /// Additional requests allowed in one span.
     pub burst: f64,
 }
 
-/// A caller that is known by its keys.
+/// A caller identified by its keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name, as back ends are told.
+    /// Name, as sent to back ends.
     pub name: TenantName,
-    /// Rank of its requests, before that of their route; 0 goes first.
+    /// Rank of its requests, compared before the route's rank; 0 is highest.
     pub priority: Option<u32>,
-    /// How much it may ask; `None`: any amount.
+    /// Rate limit; `None`: unlimited.
     pub limit: Option<RateLimit>,
 }
 
@@ -61,7 +61,7 @@
     pub keys: Vec<String>,
 }
 
-/// All tenants, by their keys.
+/// Tenants indexed by key.
 #[derive(Clone, Debug, Default)]
 pub struct TenantTable {
     by_key: HashMap<String, Arc<Tenant>>,
@@ -90,12 +90,13 @@
 }
 
 impl TenantTable {
-    /// Indexes tenants.
+    /// Indexes tenants by key.
     ///
     /// # Errors
     ///
-    /// Where a key does not say whose it is, or a limit is no amount: no part of the table is used then,
-    /// as a wrong part would let somebody in, or keep somebody out, in another's name.
+    /// Returns an error if a name or key is not unique, a name or key is invalid, or a limit is not an
+    /// amount. The whole table is then refused, because a wrong entry could authenticate a caller as
+    /// another tenant.
     pub fn new(declared: impl IntoIterator<Item = DeclaredTenant>) -> Result<Self, TenantError> {
         let mut table = Self::default();
         let mut names = HashSet::new();
@@ -118,7 +119,7 @@
             return Err(TenantError::EmptyKey(tenant.name.clone()));
         }
         match self.by_key.insert(key, tenant.clone()) {
-            // A key that its own tenant lists twice is still one key.
+            // A tenant may list the same key twice.
             Some(holder) if !Arc::ptr_eq(&holder, tenant) => Err(TenantError::KeyHeldTwice(
                 holder.name.clone(),
                 tenant.name.clone(),
@@ -127,22 +128,22 @@
         }
     }
 
-    /// The tenant that holds a key.
+    /// Returns the tenant that holds a key.
     pub fn holder(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 
-    /// All tenants, as declared.
+    /// Returns all tenants.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.tenants.iter()
     }
 
-    /// Number of tenants.
+    /// Returns the number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
--- a/crates/firshore-logging/src/lib.rs
+++ b/crates/firshore-logging/src/lib.rs
@@ -1,6 +1,5 @@
-//! The log: short sentences, each behind the fixed prefix of its part, written by a thread of its
-//! own. A reader that is slow delays nobody: lines that do not fit the queue are dropped and counted
-//! in a line that says so.
+//! Logging on a separate thread. A slow reader of the output does not block callers: lines that do not
+//! fit the queue are dropped, and a later line reports their number.
 #![deny(missing_docs, unsafe_code)]
 
 use schemars::JsonSchema;
@@ -43,7 +42,7 @@
     Debug,
 }
 
-/// Where the log goes.
+/// Output of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
     /// Standard output.
@@ -53,7 +52,7 @@
 }
 
 impl LogLevel {
-    fn least_severe(self) -> Level {
+    fn minimum_level(self) -> Level {
         match self {
             Self::Error => Level::Error,
             Self::Warning => Level::Warning,
@@ -63,7 +62,7 @@
     }
 }
 
-/// Builds the root logger; it writes on a thread of its own.
+/// Builds the root logger, which writes on a separate thread.
 pub fn root(settings: &LogSettings, destination: Destination) -> Logger {
     match destination {
         Destination::Output => to_writer(settings, std::io::stdout()),
@@ -71,9 +70,9 @@
     }
 }
 
-/// Builds a logger for any writer, which may block: only the logger's own thread waits for it.
+/// Builds a logger for any writer. A writer that blocks stops only the logging thread.
 pub fn to_writer(settings: &LogSettings, writer: impl std::io::Write + Send + 'static) -> Logger {
-    let level = settings.level.least_severe();
+    let level = settings.level.minimum_level();
     match settings.format {
         LogFormat::Text => {
             let decorator = slog_term::PlainDecorator::new(writer);
@@ -83,7 +82,7 @@
     }
 }
 
-/// A logger that writes nothing, for tests and the lab.
+/// Returns a logger that discards all lines, for tests and the lab.
 pub fn silent() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/firshore-logging/tests/blocked_output.rs
+++ b/crates/firshore-logging/tests/blocked_output.rs
@@ -1,19 +1,19 @@
-//! A reader that takes nothing delays nobody.
+//! A blocked log output must not block callers.
 
 use firshore_logging::{LogFormat, LogSettings, to_writer};
 use slog::info;
 use std::io::{Result, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// Takes a line only once it is let, and tells what it took when it ends.
+/// Writer that blocks until `gate` opens and sends everything written when it is dropped.
 struct GatedWriter {
     gate: Receiver<()>,
     open: bool,
-    taken: Vec<u8>,
-    /// Told of each line taken.
-    wrote: Sender<()>,
-    /// Told all that was taken, at the end.
-    told: Sender<Vec<u8>>,
+    buffer: Vec<u8>,
+    /// Notified of each write.
+    written: Sender<()>,
+    /// Receives all written bytes on drop.
+    output: Sender<Vec<u8>>,
 }
 
 impl Write for GatedWriter {
@@ -22,9 +22,9 @@
             let _ = self.gate.recv();
             self.open = true;
         }
-        self.taken.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         if bytes.ends_with(b"\n") {
-            let _ = self.wrote.send(());
+            let _ = self.written.send(());
         }
         Ok(bytes.len())
     }
@@ -36,46 +36,46 @@
 
 impl Drop for GatedWriter {
     fn drop(&mut self) {
-        let _ = self.told.send(std::mem::take(&mut self.taken));
+        let _ = self.output.send(std::mem::take(&mut self.buffer));
     }
 }
 
 #[test]
-fn lines_that_nobody_reads_are_dropped_and_counted() {
+fn blocked_output_drops_and_counts_lines() {
     const LINES: usize = 5_000;
-    const ROOM: usize = 20;
+    const WRITES_BEFORE_REPORT: usize = 20;
     let (open, gate) = channel();
-    let (told, taken) = channel();
-    let (wrote, writes) = channel();
+    let (output, received) = channel();
+    let (written, writes) = channel();
     let writer = GatedWriter {
         gate,
         open: false,
-        taken: Vec::new(),
-        wrote,
-        told,
+        buffer: Vec::new(),
+        written,
+        output,
     };
     let settings = LogSettings {
         format: LogFormat::Json,
         ..LogSettings::default()
     };
     let log = to_writer(&settings, writer);
-    // Nothing is taken meanwhile: if a line waited for the writer, this would never end.
+    // The writer is blocked: if logging waited for it, this would not return.
     for number in 0..LINES {
         info!(log, "test: Line."; "number" => number);
     }
     open.send(()).unwrap();
-    // Once some were taken there is room for the line that counts the dropped ones.
-    for _ in 0..ROOM {
+    // After some writes the queue has space for the line that counts the dropped ones.
+    for _ in 0..WRITES_BEFORE_REPORT {
         writes.recv().unwrap();
     }
     info!(log, "test: After.");
     drop(log);
-    let taken = String::from_utf8(taken.recv().unwrap()).unwrap();
-    let written = taken
+    let text = String::from_utf8(received.recv().unwrap()).unwrap();
+    let written = text
         .lines()
         .filter(|line| line.contains("test: Line."))
         .count();
     assert!(written > 0 && written < LINES, "{written} lines written");
-    let dropped = taken.lines().find(|line| line.contains("dropped"));
+    let dropped = text.lines().find(|line| line.contains("dropped"));
     assert!(dropped.is_some(), "a line says that lines were dropped");
 }
--- a/crates/firshore-metrics/src/lib.rs
+++ b/crates/firshore-metrics/src/lib.rs
@@ -1,5 +1,5 @@
-//! Makes metrics and tells them as text. A metric is made by the [`Builder`] with its name and what
-//! it means, so that the reference page's table comes from the same call.
+//! Registers metrics and encodes them as text. The [`Builder`] takes each metric's name and meaning,
+//! from which the reference page's table is generated too.
 //!
 //! ```
 //! let mut builder = firshore_metrics::Builder::default();
@@ -22,8 +22,7 @@
 /// Prefix of every metric's name.
 const PREFIX: &str = "firshore";
 
-/// Bounds of the buckets of a histogram of times, in seconds: what callers are promised lies between
-/// some milliseconds and some seconds.
+/// Upper bounds of duration histogram buckets in seconds; they cover the latency targets of callers.
 const SECONDS_BUCKETS: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1.0, 2.0, 4.0, 8.0, 16.0,
 ];
@@ -37,7 +36,7 @@
     pub kind: &'static str,
     /// Labels, if any, separated by commas.
     pub labels: &'static str,
-    /// What it counts, with its unit.
+    /// What it measures, with its unit.
     pub meaning: &'static str,
 }
 
@@ -76,14 +75,14 @@
         });
     }
 
-    /// Makes a counter scraped as `firshore_{name}_total`.
+    /// Registers a counter scraped as `firshore_{name}_total`.
     pub fn counter(&mut self, name: &str, meaning: &'static str) -> Counter {
         let counter = Counter::default();
         self.register(name, "counter", "", meaning, counter.clone());
         counter
     }
 
-    /// Makes a counter for each set of labels.
+    /// Registers a counter for each set of labels.
     pub fn counters<L>(
         &mut self,
         name: &str,
@@ -98,14 +97,14 @@
         family
     }
 
-    /// Makes a gauge scraped as `firshore_{name}`.
+    /// Registers a gauge scraped as `firshore_{name}`.
     pub fn gauge(&mut self, name: &str, meaning: &'static str) -> Gauge {
         let gauge = Gauge::default();
         self.register(name, "gauge", "", meaning, gauge.clone());
         gauge
     }
 
-    /// Makes a gauge for each set of labels.
+    /// Registers a gauge for each set of labels.
     pub fn gauges<L>(
         &mut self,
         name: &str,
@@ -120,14 +119,14 @@
         family
     }
 
-    /// Makes a histogram of times in seconds, scraped as `firshore_{name}`.
+    /// Registers a histogram of durations in seconds, scraped as `firshore_{name}`.
     pub fn seconds(&mut self, name: &str, meaning: &'static str) -> Histogram {
         let histogram = Histogram::new(SECONDS_BUCKETS);
         self.register(name, "histogram", "", meaning, histogram.clone());
         histogram
     }
 
-    /// Ends the making: what was made can be told from now on.
+    /// Returns the registered metrics, ready for encoding.
     pub fn finish(self) -> MetricSet {
         MetricSet {
             registry: self.registry,
@@ -136,14 +135,14 @@
     }
 }
 
-/// Metrics that are told together.
+/// Metrics that are encoded together.
 pub struct MetricSet {
     registry: Registry,
     descriptions: Vec<MetricDescription>,
 }
 
 impl MetricSet {
-    /// Returns all metrics in the text format of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string succeeds");
--- a/crates/firshore-protocol/src/lib.rs
+++ b/crates/firshore-protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! The protocol between nodes: authenticated TCP connections carrying CBOR frames.
+//! Protocol between nodes: authenticated TCP connections that carry CBOR frames.
 //!
-//! A connection starts with a handshake in which both ends prove that they hold the cluster's
-//! secret; after it, each frame is a length (four bytes, big endian) and a CBOR body.
+//! A connection starts with a handshake in which both ends prove that they know the cluster's
+//! secret. After it, each frame is a length (four bytes, big endian) and a CBOR body.
 #![deny(missing_docs, unsafe_code)]
 
 pub use firshore_link::{error, frame, handshake};
--- a/crates/firshore-protocol/src/message.rs
+++ b/crates/firshore-protocol/src/message.rs
@@ -14,45 +14,45 @@
 use firshore_types::ids::{InstanceId, JobId, MachineName, NodeName};
 use serde::{Deserialize, Serialize};
 
-/// A question or notice to a peer.
+/// A request or notification to a peer.
 pub type RequestFrame = firshore_link::RequestFrame<Request>;
 
-/// The answer to a request.
+/// The response to a request.
 pub type ResponseFrame = firshore_link::ResponseFrame<Response>;
 
-/// What a node asks of a peer.
+/// Request to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// A message of the membership protocol; a notice.
+    /// A message of the membership protocol; a notification.
     #[serde(rename = "g")]
     Gossip(GossipEnvelope),
-    /// An online request is on its way to this engine, which the peer owns; a notice.
+    /// An online request was sent to this engine, which the peer owns; a notification.
     #[serde(rename = "o")]
     OnlineArrival(MachineName),
-    /// Concerns a journal group; only the group's leader answers.
+    /// Request to a journal group; served by the group's leader only.
     Journal {
         /// Group.
         group: GroupId,
         /// Content.
         request: JournalRequest,
     },
-    /// Concerns the dissemination of the configuration.
+    /// Dissemination of the configuration.
     Configuration {
         /// Sender.
         from: InstanceId,
         /// Content.
         message: ConfigurationMessage,
     },
-    /// Which configuration the peer has in force.
+    /// Queries the configuration that the peer has in force.
     ConfigurationInForce,
-    /// Concerns the spread of the machine list.
+    /// Dissemination of the machine list.
     MachineList {
         /// Sender.
         from: InstanceId,
         /// Content.
         message: MachineListMessage,
     },
-    /// Load of the sender's engines; a notice.
+    /// Load of the sender's engines; a notification.
     #[serde(rename = "l")]
     LoadDigest(LoadDigest),
     /// Demand for shares of tenants' limits that the peer allocates.
@@ -62,9 +62,9 @@
         /// Demands.
         demands: Vec<LimitDemand>,
     },
-    /// Which replica of a journal group the peer's disk holds.
+    /// Queries which replica of a journal group the peer's disk holds.
     ReplicaIdentity(GroupId),
-    /// A message between replicas of a journal group; a notice.
+    /// A message between replicas of a journal group; a notification.
     Replication {
         /// Group.
         group: GroupId,
@@ -75,7 +75,7 @@
     },
 }
 
-/// What a node asks of a journal group's leader.
+/// Request to a journal group's leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JournalRequest {
     /// Commit a command.
@@ -84,13 +84,13 @@
     JobSummary(JobId),
     /// State of all jobs.
     JobSummaries,
-    /// Results of a job from a position on.
+    /// Results of a job from a position.
     JobResults {
         /// Job.
         job: JobId,
-        /// First position of the output wanted.
+        /// First position to return.
         from: u32,
-        /// Most results wanted.
+        /// Maximum number of results.
         count: u32,
     },
 }
@@ -106,7 +106,7 @@
     pub founding: Option<GroupMembership>,
 }
 
-/// What a peer answers.
+/// Response of a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Response {
     /// Outcome of a committed command.
@@ -115,11 +115,11 @@
     Jobs(Vec<JobSummary>),
     /// Results.
     Results(Vec<NamedResult>),
-    /// The journal group's leader did not do as asked, or the peer does not lead it.
+    /// The journal group's leader refused the request, or the peer is not the leader.
     Refused(JournalRefusal),
-    /// Messages about the configuration in return.
+    /// Dissemination messages for the configuration.
     Configuration(Vec<ConfigurationMessage>),
-    /// Messages about the machine list in return.
+    /// Dissemination messages for the machine list.
     MachineList(Vec<MachineListMessage>),
     /// The configuration that the peer has in force.
     ConfigurationInForce(NodeConfiguration),
@@ -127,6 +127,6 @@
     LimitGrants(Vec<LimitGrant>),
     /// Replica on the peer's disk, if it has a disk.
     ReplicaIdentity(Option<ReplicaIdentity>),
-    /// The message arrived.
+    /// Acknowledges a message.
     Received,
 }
--- a/crates/firshore-types/src/configuration.rs
+++ b/crates/firshore-types/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The whole configuration at one revision, and the changes that lead from one to the next.
+//! The configuration at one revision, and the changes between revisions.
 
 use crate::declaration::{
     Declaration, DeclarationKey, Kind, Metadata, PolicySpec, PoolSpec, ServiceSpec, TenantSpec,
@@ -9,26 +9,26 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// One accepted change set. Revision `revision` follows `revision - 1` and no other.
+/// One accepted change set. Applies only to revision `revision - 1`.
 ///
-/// Unknown fields are refused: a change of a newer version is not put into force in part.
+/// Unknown fields are refused, so that a change of a newer version is not applied in part.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
     /// Revision that this change creates.
     pub revision: Revision,
-    /// Chosen by the author before the first write; settles lost answers.
+    /// Chosen by the author before the first write; identifies the change after a lost response.
     pub change_id: ChangeId,
-    /// Who applied it, for conflict messages.
+    /// Author, for conflict messages.
     pub author: String,
     /// Declarations added or replaced.
     pub upserts: Vec<Declaration>,
-    /// Declarations taken away.
+    /// Declarations removed.
     pub removals: Vec<DeclarationKey>,
 }
 
 impl Change {
-    /// Keys that the change touches.
+    /// Returns the keys that the change adds, replaces or removes.
     pub fn keys(&self) -> impl Iterator<Item = DeclarationKey> + '_ {
         self.upserts
             .iter()
@@ -47,8 +47,8 @@
 }
 
 impl Configuration {
-    /// Applies `change` if it directly follows this revision; otherwise returns `false` and
-    /// changes nothing.
+    /// Applies `change` if it directly follows this revision; otherwise changes nothing and returns
+    /// `false`.
     pub fn apply(&mut self, change: &Change) -> bool {
         if change.revision != self.revision.next() {
             return false;
@@ -63,7 +63,7 @@
         true
     }
 
-    /// Every service.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = (&Metadata, &ServiceSpec)> {
         self.declarations
             .of_kind(Kind::Service)
@@ -73,7 +73,7 @@
             })
     }
 
-    /// Every pool.
+    /// Returns all pools.
     pub fn pools(&self) -> impl Iterator<Item = (&Metadata, &PoolSpec)> {
         self.declarations
             .of_kind(Kind::EnginePool)
@@ -83,7 +83,7 @@
             })
     }
 
-    /// Every policy.
+    /// Returns all policies.
     pub fn policies(&self) -> impl Iterator<Item = (&Metadata, &PolicySpec)> {
         self.declarations
             .of_kind(Kind::Policy)
@@ -93,7 +93,7 @@
             })
     }
 
-    /// Every tenant.
+    /// Returns all tenants.
     pub fn tenants(&self) -> impl Iterator<Item = (&Metadata, &TenantSpec)> {
         self.declarations
             .of_kind(Kind::Tenant)
@@ -103,7 +103,7 @@
             })
     }
 
-    /// The service of this name.
+    /// Returns the service of this name.
     pub fn service(&self, name: &str) -> Option<(&Metadata, &ServiceSpec)> {
         match self.find(Kind::Service, name)? {
             Declaration::Service { metadata, spec } => Some((metadata, spec)),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The pool of this name.
+    /// Returns the pool of this name.
     pub fn pool(&self, name: &str) -> Option<(&Metadata, &PoolSpec)> {
         match self.find(Kind::EnginePool, name)? {
             Declaration::EnginePool { metadata, spec } => Some((metadata, spec)),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The tenant of this name.
+    /// Returns the tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<(&Metadata, &TenantSpec)> {
         match self.find(Kind::Tenant, name)? {
             Declaration::Tenant { metadata, spec } => Some((metadata, spec)),
@@ -132,8 +132,8 @@
         self.declarations.get(&DeclarationKey { kind, name })
     }
 
-    /// Policies, in order of name, that govern a request of a tenant with these labels to a
-    /// service with those. A later policy's settings replace an earlier one's.
+    /// Returns the policies, ordered by name, that govern requests of a tenant to a service with the
+    /// given labels. Settings of later policies replace those of earlier ones.
     pub fn governing<'a>(
         &'a self,
         tenant: &'a Labels,
@@ -159,7 +159,7 @@
     }
 }
 
-/// SHA-256 of a caller's key in hexadecimal, the only form in which keys are kept.
+/// Returns the SHA-256 of a caller's key in hexadecimal, the only form in which keys are stored.
 pub fn key_digest(key: &str) -> String {
     hex::encode(Sha256::digest(key.as_bytes()))
 }
--- a/crates/firshore-types/src/declaration.rs
+++ b/crates/firshore-types/src/declaration.rs
@@ -20,8 +20,8 @@
 /// Place in line that a caller or job has bought; a larger number goes first.
 pub type Priority = u8;
 
-/// Highest priority that a tenant or policy may set. Engines get the online ones above all batch
-/// ones, so that half of the range is the engine's to tell the two apart.
+/// Highest priority that a tenant or policy may set. Engines receive online priorities above all batch
+/// priorities, in the upper half of their range.
 pub const MAXIMUM_PRIORITY: Priority = 127;
 
 /// What a service speaks.
@@ -206,7 +206,7 @@
         }
     }
 
-    /// What it is found by.
+    /// Returns its kind and name.
     pub fn key(&self) -> DeclarationKey {
         let kind = match self {
             Self::Service { .. } => Kind::Service,
@@ -221,20 +221,19 @@
     }
 }
 
-/// Typed views of names used as references between declarations.
 impl ServiceSpec {
-    /// Whether the service is served by model engines.
+    /// Returns whether the service is served by model engines.
     pub fn is_model(&self) -> bool {
         self.protocol == Protocol::Model
     }
 }
 
-/// Name of a service declaration as an identifier.
+/// Returns the name of a service declaration as an identifier.
 pub fn service_name(metadata: &Metadata) -> ServiceName {
     ServiceName(metadata.name.clone())
 }
 
-/// Name of a tenant declaration as an identifier.
+/// Returns the name of a tenant declaration as an identifier.
 pub fn tenant_name(metadata: &Metadata) -> TenantName {
     TenantName(metadata.name.clone())
 }
--- a/crates/firshore-types/src/declaration_set.rs
+++ b/crates/firshore-types/src/declaration_set.rs
@@ -1,53 +1,53 @@
-//! All declarations by kind and name, cheap to copy: copies share the declarations themselves.
+//! Set of declarations by kind and name. Copies are cheap because they share the declarations.
 
 use crate::declaration::{Declaration, DeclarationKey, Kind};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Declarations in order of kind and name, each standing once. Serialises as a list.
+/// Declarations ordered by kind and name, without duplicates. Serializes as a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DeclarationSet {
     found: BTreeMap<DeclarationKey, Arc<Declaration>>,
 }
 
 impl DeclarationSet {
-    /// The declaration under `key`.
+    /// Returns the declaration of `key`.
     pub fn get(&self, key: &DeclarationKey) -> Option<&Declaration> {
         self.found.get(key).map(Arc::as_ref)
     }
 
-    /// Whether `key` is declared.
+    /// Returns whether `key` is declared.
     pub fn contains_key(&self, key: &DeclarationKey) -> bool {
         self.found.contains_key(key)
     }
 
-    /// Adds a declaration in place of any of the same kind and name.
+    /// Adds a declaration, or replaces the one of the same kind and name.
     pub fn insert(&mut self, declaration: Declaration) {
         self.found.insert(declaration.key(), Arc::new(declaration));
     }
 
-    /// Takes the declaration under `key` away.
+    /// Removes the declaration of `key`.
     pub fn remove(&mut self, key: &DeclarationKey) {
         self.found.remove(key);
     }
 
-    /// Every key, in order.
+    /// Returns all keys, in order.
     pub fn keys(&self) -> impl Iterator<Item = &DeclarationKey> {
         self.found.keys()
     }
 
-    /// Every declaration, in order.
+    /// Returns all declarations, in order.
     pub fn values(&self) -> impl Iterator<Item = &Declaration> {
         self.found.values().map(Arc::as_ref)
     }
 
-    /// Every key with its declaration, in order.
+    /// Returns all keys with their declarations, in order.
     pub fn iter(&self) -> impl Iterator<Item = (&DeclarationKey, &Declaration)> {
         self.found.iter().map(|(key, value)| (key, value.as_ref()))
     }
 
-    /// Every declaration of one kind, in order of name, without a look at the others.
+    /// Returns the declarations of one kind, ordered by name, without visiting the others.
     pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = &Declaration> {
         let first = DeclarationKey {
             kind,
@@ -59,19 +59,19 @@
             .map(|(_, declaration)| declaration.as_ref())
     }
 
-    /// Number of declarations.
+    /// Returns the number of declarations.
     pub fn len(&self) -> usize {
         self.found.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.found.is_empty()
     }
 }
 
 impl FromIterator<Declaration> for DeclarationSet {
-    /// Of two declarations with one key the later stays.
+    /// Keeps the last declaration of each key.
     fn from_iter<I: IntoIterator<Item = Declaration>>(declarations: I) -> Self {
         let mut set = Self::default();
         for declaration in declarations {
--- a/crates/firshore-types/src/error.rs
+++ b/crates/firshore-types/src/error.rs
@@ -1,4 +1,4 @@
-//! The one error body callers see, with typed codes, the remedy, and whether the request ran.
+//! Error body for callers: typed code, remedy, and whether the request ran.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -16,7 +16,7 @@
 }
 
 impl Execution {
-    /// The value of the `Firshore-Execution` header.
+    /// Returns the value of the `Firshore-Execution` header.
     pub fn header_value(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -112,7 +112,7 @@
     pub message: String,
     /// Whether the request ran.
     pub execution: Execution,
-    /// Seconds after which another try is sensible.
+    /// Seconds to wait before another attempt.
     pub retry_after_seconds: Option<u32>,
 }
 
@@ -130,7 +130,7 @@
 }
 
 impl ApiError {
-    /// An error for a request that certainly was not run.
+    /// Creates an error for a request that certainly was not run.
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// An error for a request that may have been run.
+    /// Creates an error for a request that may have been run.
     pub fn maybe_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             execution: Execution::Unknown,
@@ -148,13 +148,13 @@
         }
     }
 
-    /// The same error telling the caller when to come back.
+    /// Sets the number of seconds that the caller should wait before another attempt.
     pub fn retry_after(mut self, seconds: u32) -> Self {
         self.retry_after_seconds = Some(seconds);
         self
     }
 
-    /// The JSON body: `{"error":{"code","message","remedy","execution"}}`.
+    /// Returns the JSON body: `{"error":{"code","message","remedy","execution"}}`.
     pub fn body(&self) -> String {
         let detail = ErrorDetail {
             code: self.code,
--- a/crates/firshore-types/src/hash.rs
+++ b/crates/firshore-types/src/hash.rs
@@ -1,21 +1,21 @@
-//! Rendezvous hashing: every node computes the same owner for a key without talking.
+//! Rendezvous hashing: all nodes compute the same owner of a key without communication.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Weight of `candidate` for `key`; the candidate with the highest weight owns the key.
+/// Returns the weight of `candidate` for `key`; the candidate with the highest weight owns the key.
 pub fn rendezvous_weight(key: &str, candidate: u64) -> u64 {
     xxh3_64_with_seed(key.as_bytes(), candidate)
 }
 
-/// The candidate with the highest weight for `key`, or `None` when there is none. Ties, which
-/// need a 64-bit collision, go to the larger candidate so that all nodes still agree.
+/// Returns the candidate with the highest weight for `key`, or `None` without candidates. A tie (a
+/// 64-bit collision) goes to the larger candidate, so that all nodes agree.
 pub fn rendezvous_owner(key: &str, candidates: impl IntoIterator<Item = u64>) -> Option<u64> {
     candidates
         .into_iter()
         .max_by_key(|candidate| (rendezvous_weight(key, *candidate), *candidate))
 }
 
-/// The `count` candidates with the highest weights for `key`, best first.
+/// Returns the `count` candidates with the highest weights for `key`, in descending order.
 pub fn rendezvous_top(
     key: &str,
     candidates: impl IntoIterator<Item = u64>,
@@ -29,12 +29,12 @@
     all
 }
 
-/// Words of a prompt that make one cache block.
+/// Words of a prompt in one cache block.
 pub const WORDS_PER_BLOCK: usize = 16;
 
-/// Hashes of a prompt's whole blocks, each covering all blocks before it, so that two prompts
-/// share the first `n` hashes exactly when they share their first `n` blocks. A word stands for a
-/// token, as in the engine's cache events.
+/// Returns the hashes of a prompt's complete blocks. Each hash covers all previous blocks, so two
+/// prompts share the first `n` hashes exactly if they share the first `n` blocks. One word counts as
+/// one token, as in the engine's cache events.
 pub fn prompt_block_hashes(prompt: &str) -> Vec<u64> {
     let words: Vec<&str> = prompt.split_whitespace().collect();
     let mut hashes = Vec::new();
--- a/crates/firshore-types/src/ids.rs
+++ b/crates/firshore-types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Each is a newtype so that two kinds cannot be mistaken for one another.
+//! Identifiers. Each is a newtype, so that the compiler rejects one in place of another.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// Borrows the identifier's text.
+            /// Returns the identifier's text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -87,7 +87,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// The revision that directly follows this one.
+    /// Returns the next revision.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/firshore-types/src/labels.rs
+++ b/crates/firshore-types/src/labels.rs
@@ -20,12 +20,12 @@
         )
     }
 
-    /// The value under `key`, if any.
+    /// Returns the value of `key`, if any.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str)
     }
 
-    /// These labels with `other` laid over them.
+    /// Returns these labels merged with `other`, whose values take precedence.
     pub fn overlaid_with(&self, other: &Labels) -> Labels {
         let mut merged = self.0.clone();
         merged.extend(other.0.clone());
@@ -85,7 +85,7 @@
 }
 
 impl Selector {
-    /// A selector of exact label values.
+    /// Creates a selector of exact label values.
     pub fn matching<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         Self {
             match_labels: Labels::from_pairs(pairs).0,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether every condition holds for `labels`.
+    /// Returns whether every condition holds for `labels`.
     pub fn matches(&self, labels: &Labels) -> bool {
         let exact = self
             .match_labels
--- a/crates/firshore-types/src/lib.rs
+++ b/crates/firshore-types/src/lib.rs
@@ -1,5 +1,5 @@
-//! Shared vocabulary of firshore: identifiers, labels and selectors, declarations with their
-//! validation, and the error body every caller sees. No input or output happens here.
+//! Shared types of firshore: identifiers, labels and selectors, declarations with their validation,
+//! and the error body that callers receive. Performs no I/O.
 //!
 //! ```
 //! use firshore_types::labels::{Labels, Selector};
--- a/crates/firshore-types/src/machine.rs
+++ b/crates/firshore-types/src/machine.rs
@@ -1,18 +1,18 @@
-//! Machines as the platform's machine list and the engines' own reports describe them.
+//! Machines, as described by the platform's machine list and the engines' reports.
 
 use crate::ids::{MachineName, RegionName, ZoneName};
 use crate::labels::Labels;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Whether a machine stays or is on its way out.
+/// Whether a machine is in use or leaving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
     /// In use.
     #[default]
     Live,
-    /// About to go: gets no new work.
+    /// Leaving: gets no new work.
     Leaving,
 }
 
@@ -23,14 +23,14 @@
     pub name: MachineName,
     /// Where its HTTP interface listens.
     pub address: SocketAddr,
-    /// Region it stands in.
+    /// Region of the machine.
     pub region: RegionName,
-    /// Zone it stands in.
+    /// Zone of the machine.
     pub zone: ZoneName,
     /// Labels that engine pools select on.
     #[serde(default)]
     pub labels: Labels,
-    /// Live or leaving. The list lags: absence is no proof of death.
+    /// Live or leaving. The list lags: absence does not prove that the machine has stopped.
     #[serde(default)]
     pub state: MachineState,
 }
--- a/crates/firshore-types/src/payload.rs
+++ b/crates/firshore-types/src/payload.rs
@@ -1,11 +1,11 @@
-//! Bytes as messages and logs carry them.
+//! Byte payloads of messages and logs.
 
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::sync::Arc;
 
-/// Bytes that are shared, not copied, and travel as a CBOR byte string.
+/// Reference-counted bytes, encoded as a CBOR byte string.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Payload(pub Arc<[u8]>);
 
--- a/crates/firshore-types/src/policy.rs
+++ b/crates/firshore-types/src/policy.rs
@@ -1,13 +1,13 @@
-//! What the declared policies decide for one request or batch job.
+//! Effective policy of a request or batch job.
 
 use crate::configuration::Configuration;
 use crate::declaration::{Limits, Metadata, PolicySpec, Priority, TenantSpec};
 use crate::labels::{Labels, Selector};
 
-/// Everything that policies decide for the work of one tenant at one service.
+/// Combined settings of all policies for one tenant's work at one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EffectivePolicy {
-    /// Place in line; a larger number goes first.
+    /// Queue priority; a larger number goes first.
     pub priority: Priority,
     /// Machines that the work may run on, within the service's pool. Matches every machine when
     /// no policy restricts them.
@@ -18,11 +18,11 @@
     pub batch_allowed: bool,
 }
 
-/// The policy in force for a tenant's work at a service; `job` holds the labels of the batch job,
+/// Returns the effective policy for a tenant's work at a service; `job` holds the labels of the batch job,
 /// or `None` for an online request.
 ///
-/// The tenant's declaration gives the starting values. Governing policies follow in order of
-/// name, and each value that a policy sets replaces the earlier one. A policy with a `jobs`
+/// The tenant's declaration gives the initial values. Governing policies apply in order of name, and
+/// each value that a policy sets replaces the earlier one. A policy with a `jobs`
 /// selector governs batch jobs only.
 pub fn effective(
     configuration: &Configuration,
--- a/crates/firshore-types/src/settings.rs
+++ b/crates/firshore-types/src/settings.rs
@@ -1,10 +1,10 @@
-//! Why a settings file cannot be used.
+//! Errors of settings files.
 
 use quick_error::quick_error;
 use std::path::PathBuf;
 
 quick_error! {
-    /// Why settings cannot be used.
+    /// Error in reading settings.
     #[derive(Debug)]
     pub enum SettingsError {
         /// The file cannot be read.
@@ -15,7 +15,7 @@
         Parse(path: PathBuf, error: toml::de::Error) {
             display("The settings file {} is invalid: {error} Correct the key that is named, as docs/REFERENCE.md gives.", path.display())
         }
-        /// A value is unusable.
+        /// A value is invalid.
         Invalid(key: &'static str, value: String, remedy: &'static str) {
             display("Setting {key} = '{value}' cannot be used. {remedy}")
         }
--- a/crates/firshore-types/src/validation.rs
+++ b/crates/firshore-types/src/validation.rs
@@ -1,4 +1,4 @@
-//! Reading declarations from YAML and checking that they fit together.
+//! Parses declarations from YAML and validates them and their references.
 
 use crate::configuration::Configuration;
 use crate::declaration::{Declaration, DeclarationKey, Kind, MAXIMUM_PRIORITY, Priority, Protocol};
@@ -30,10 +30,10 @@
     }
 }
 
-/// Remedy of a document that does not have the shape of its kind.
+/// Remedy for a document that does not match the schema of its kind.
 const SHAPE_REMEDY: &str = "Write it as docs/REFERENCE.md gives for its kind.";
 
-/// A document whose kind is known and whose content is not looked at yet.
+/// A document with a parsed kind and unparsed content.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Envelope {
@@ -42,19 +42,23 @@
     spec: Value,
 }
 
-/// A fault without its place.
+/// A fault before its place is added.
 struct ShapeFault {
     field: String,
     problem: String,
 }
 
-/// Reads every YAML document in `text`; `place` names the file in faults.
+/// Parses every YAML document in `text`; `place` names the file in faults.
+///
+/// # Errors
+///
+/// Returns one fault for each invalid document.
 pub fn parse_declarations(place: &str, text: &str) -> Result<Vec<Declaration>, Vec<Fault>> {
     let mut declarations = Vec::new();
     let mut faults = Vec::new();
     for (number, document) in serde_norway::Deserializer::from_str(text).enumerate() {
         let document = Value::deserialize(document);
-        let unreadable = document.is_err();
+        let invalid_yaml = document.is_err();
         match parse_document(document) {
             Ok(Some(declaration)) => declarations.push(declaration),
             Ok(None) => {}
@@ -65,7 +69,7 @@
                 remedy: SHAPE_REMEDY.to_owned(),
             }),
         }
-        if unreadable {
+        if invalid_yaml {
             break;
         }
     }
@@ -86,32 +90,32 @@
     if document.is_null() {
         return Ok(None);
     }
-    let envelope: Envelope = read_part("", document)?;
-    let metadata = read_part("metadata", envelope.metadata)?;
+    let envelope: Envelope = parse_section("", document)?;
+    let metadata = parse_section("metadata", envelope.metadata)?;
     let spec = envelope.spec;
     let declaration = match envelope.kind {
         Kind::Service => Declaration::Service {
             metadata,
-            spec: read_part("spec", spec)?,
+            spec: parse_section("spec", spec)?,
         },
         Kind::EnginePool => Declaration::EnginePool {
             metadata,
-            spec: read_part("spec", spec)?,
+            spec: parse_section("spec", spec)?,
         },
         Kind::Policy => Declaration::Policy {
             metadata,
-            spec: read_part("spec", spec)?,
+            spec: parse_section("spec", spec)?,
         },
         Kind::Tenant => Declaration::Tenant {
             metadata,
-            spec: read_part("spec", spec)?,
+            spec: parse_section("spec", spec)?,
         },
     };
     Ok(Some(declaration))
 }
 
-/// Reads the part of a document under `prefix`; a fault names the path down to the field.
-fn read_part<T: DeserializeOwned>(prefix: &str, value: Value) -> Result<T, ShapeFault> {
+/// Parses the section of a document under `prefix`; a fault gives the full path of the field.
+fn parse_section<T: DeserializeOwned>(prefix: &str, value: Value) -> Result<T, ShapeFault> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
         let inner = if path == "." { "" } else { path.as_str() };
@@ -132,7 +136,7 @@
     })
 }
 
-/// Checks every declaration and every reference between them.
+/// Validates all declarations and the references between them; returns the faults.
 pub fn validate(configuration: &Configuration) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (key, declaration) in configuration.declarations.iter() {
--- a/crates/firshore-types/tests/declaration_set.rs
+++ b/crates/firshore-types/tests/declaration_set.rs
@@ -1,4 +1,4 @@
-//! The set of declarations: look-up by kind and name, cheap copies, its form in messages.
+//! Set of declarations: lookup by kind and name, copies, serialization.
 
 use firshore_types::configuration::Configuration;
 use firshore_types::declaration::{DeclarationKey, Kind};
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn each_kind_is_listed_alone_in_order_of_name() {
+fn of_kind_lists_one_kind_by_name() {
     let names = |kind| -> Vec<String> {
         let set = set();
         let found = set.of_kind(kind);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn names_are_found_within_their_kind_only() {
+fn lookup_respects_the_kind() {
     let configuration = Configuration {
         declarations: set(),
         ..Configuration::default()
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_changed_copy_leaves_the_original_as_it_was() {
+fn changing_a_copy_keeps_the_original() {
     let original = set();
     let mut copy = original.clone();
     copy.remove(&key(Kind::Tenant, "a"));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_set_travels_as_a_list() {
+fn set_serializes_as_a_list() {
     let text = serde_json::to_string(&set()).unwrap();
     assert!(text.starts_with('['), "{text}");
     let back: DeclarationSet = serde_json::from_str(&text).unwrap();
--- a/crates/firshore-types/tests/declarations.rs
+++ b/crates/firshore-types/tests/declarations.rs
@@ -1,4 +1,4 @@
-//! Reading declarations: what is unknown is refused, never passed over.
+//! Declarations with unknown fields are refused, not accepted in part.
 
 use firshore_types::validation::parse_declarations;
 
--- a/crates/firshore-types/tests/hash.rs
+++ b/crates/firshore-types/tests/hash.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn nobody_owns_a_key_without_candidates() {
+fn key_without_candidates_has_no_owner() {
     assert_eq!(rendezvous_owner("key", []), None);
     assert!(rendezvous_top("key", [], 3).is_empty());
 }
--- a/crates/firshore-types/tests/labels.rs
+++ b/crates/firshore-types/tests/labels.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn labels_laid_over_others_replace_them() {
+fn overlaid_labels_replace_existing_values() {
     let under = Labels::from_pairs([("a", "1"), ("b", "2")]);
     let over = Labels::from_pairs([("b", "3"), ("c", "4")]);
     let expected = Labels::from_pairs([("a", "1"), ("b", "3"), ("c", "4")]);
--- a/crates/firshore-types/tests/policy.rs
+++ b/crates/firshore-types/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Labels and policies decide priority, back ends, limits and batch permission.
+//! Policies set priority, back ends, limits and batch permission by labels.
 
 use firshore_types::configuration::Configuration;
 use firshore_types::labels::Labels;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn policies_decide_by_labels() {
+fn policies_apply_by_labels() {
     let nightly = policy(
         "nightly",
         "{jobs: {matchLabels: {class: nightly}}, priority: 10}",
@@ -94,15 +94,15 @@
 }
 
 #[test]
-fn unset_values_keep_what_stood_before() {
+fn unset_values_keep_earlier_values() {
     let rate = policy("a", "{limits: {requestsPerSecond: 3}}");
     let pause = policy("b", "{batchAllowed: false}");
     let resume = policy(
         "c",
         "{jobs: {matchLabels: {class: urgent}}, batchAllowed: true}",
     );
-    let place = policy("d", "{backends: {matchLabels: {accelerator: large}}}");
-    let policies = format!("{rate}{pause}{resume}{place}");
+    let placement = policy("d", "{backends: {matchLabels: {accelerator: large}}}");
+    let policies = format!("{rate}{pause}{resume}{placement}");
     let online = decide(&policies, "grower", None);
     assert_eq!(online.limits.requests_per_second, Some(3.0));
     assert_eq!(online.limits.concurrent_requests, Some(4));
--- a/crates/firshore-types/tests/validation.rs
+++ b/crates/firshore-types/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Reading declarations and checking that they fit together.
+//! Parsing and validation of declarations.
 
 use firshore_types::configuration::Configuration;
 use firshore_types::validation::{parse_declarations, validate};
@@ -50,7 +50,7 @@
     assert_eq!(parse_declarations("shop.yaml", &text).unwrap().len(), 3);
 }
 
-/// Each broken file with all that is reported of it: file or declaration, field, problem, remedy.
+/// Compares the full report of each invalid file: file or declaration, field, problem, remedy.
 #[test]
 fn each_fault_names_place_field_and_remedy() {
     let cases = [
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_fault_never_repeats_a_key_that_was_written_for_its_digest() {
+fn fault_does_not_reveal_a_key_given_as_digest() {
     let text =
         "kind: Tenant\nmetadata: {name: x}\nspec: {keyDigests: [open-sesame-123], priority: 1}";
     let found = faults(text);
