--- a/crates/firshore-adapter/src/backend.rs
+++ b/crates/firshore-adapter/src/backend.rs
@@ -44,7 +44,7 @@
 
 impl Pace {
     /// Typical duration: factor 1.
-    pub const USUAL: Self = Self(NonZeroU32::new(100).expect("100 is not 0"));
+    pub const TYPICAL: Self = Self(NonZeroU32::new(100).expect("100 is not 0"));
 
     /// Creates a pace from hundredths of the typical duration; `None` for 0.
     pub fn from_hundredths(hundredths: u32) -> Option<Self> {
@@ -58,7 +58,7 @@
 
     /// Returns the factor by which work takes longer than typical.
     pub fn factor(self) -> f32 {
-        self.0.get() as f32 / Self::USUAL.0.get() as f32
+        self.0.get() as f32 / Self::TYPICAL.0.get() as f32
     }
 }
 
--- a/crates/firshore-adapter/src/incarnation.rs
+++ b/crates/firshore-adapter/src/incarnation.rs
@@ -61,10 +61,10 @@
 
     /// Returns whether `other` is a later run of the same back end, so that this one has ended.
     pub fn is_succeeded_by(&self, other: &Self) -> bool {
-        let (Some(own), Some(others)) = (self.started, other.started) else {
+        let (Some(start), Some(other_start)) = (self.started, other.started) else {
             return false;
         };
-        self.name == other.name && own < others
+        self.name == other.name && start < other_start
     }
 }
 
--- a/crates/firshore-adapter/src/tenant.rs
+++ b/crates/firshore-adapter/src/tenant.rs
@@ -100,13 +100,13 @@
     pub fn new(declared: impl IntoIterator<Item = DeclaredTenant>) -> Result<Self, TenantError> {
         let mut table = Self::default();
         let mut names = HashSet::new();
-        for one in declared {
-            check(&one.tenant)?;
-            if !names.insert(one.tenant.name.clone()) {
-                return Err(TenantError::NamedTwice(one.tenant.name));
+        for declaration in declared {
+            check(&declaration.tenant)?;
+            if !names.insert(declaration.tenant.name.clone()) {
+                return Err(TenantError::NamedTwice(declaration.tenant.name));
             }
-            let tenant = Arc::new(one.tenant);
-            for key in one.keys {
+            let tenant = Arc::new(declaration.tenant);
+            for key in declaration.keys {
                 table.insert(key, &tenant)?;
             }
             table.tenants.push(tenant);
--- a/crates/firshore-logging/src/lib.rs
+++ b/crates/firshore-logging/src/lib.rs
@@ -76,9 +76,9 @@
     match settings.format {
         LogFormat::Text => {
             let decorator = slog_term::PlainDecorator::new(writer);
-            finish(slog_term::FullFormat::new(decorator).build().fuse(), level)
+            build_logger(slog_term::FullFormat::new(decorator).build().fuse(), level)
         }
-        LogFormat::Json => finish(slog_json::Json::default(writer).fuse(), level),
+        LogFormat::Json => build_logger(slog_json::Json::default(writer).fuse(), level),
     }
 }
 
@@ -87,7 +87,7 @@
     Logger::root(slog::Discard, o!())
 }
 
-fn finish<D>(drain: D, level: Level) -> Logger
+fn build_logger<D>(drain: D, level: Level) -> Logger
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
--- a/crates/firshore-types/src/declaration.rs
+++ b/crates/firshore-types/src/declaration.rs
@@ -17,7 +17,7 @@
     pub labels: Labels,
 }
 
-/// Place in line that a caller or job has bought; a larger number goes first.
+/// Queue priority of a caller or job; a larger number goes first.
 pub type Priority = u8;
 
 /// Highest priority that a tenant or policy may set. Engines receive online priorities above all batch
@@ -180,7 +180,7 @@
     Tenant,
 }
 
-/// Kind and name together: what a declaration is found by.
+/// Kind and name, which identify a declaration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DeclarationKey {
     /// Kind.
@@ -196,7 +196,7 @@
 }
 
 impl Declaration {
-    /// Name and labels.
+    /// Returns its name and labels.
     pub fn metadata(&self) -> &Metadata {
         match self {
             Self::Service { metadata, .. }
--- a/crates/firshore-types/src/error.rs
+++ b/crates/firshore-types/src/error.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Whether a refused or failed request was run by a back end (`Firshore-Execution`).
+/// Whether a back end ran a refused or failed request (`Firshore-Execution`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Execution {
@@ -11,7 +11,7 @@
     None,
     /// It may have been run, wholly or in part.
     Unknown,
-    /// It was run to its end.
+    /// It was run to completion.
     Complete,
 }
 
@@ -48,7 +48,7 @@
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// What the caller can do about it.
+            /// Suggested action.
             pub fn remedy(self) -> &'static str {
                 match self { $(Self::$name => $remedy,)* }
             }
@@ -63,7 +63,7 @@
     InvalidHeader = "invalid_header", 400, "Correct or remove the header that the message names.";
     /// A line of a batch is not a valid item.
     InvalidItem = "invalid_item", 400, "Correct the line that the message names and submit the whole job again.";
-    /// No key, or a key nobody holds.
+    /// No key, or an unknown key.
     Unauthorized = "unauthorized", 401, "Send 'Authorization: Bearer' with a key that a Tenant declaration lists.";
     /// The tenant may not use this service.
     Forbidden = "forbidden", 403, "Ask the operators for a policy that lets this tenant use the service.";
@@ -73,7 +73,7 @@
     UnknownModel = "unknown_model", 404, "Name a model that a declared service serves.";
     /// The path does not take this method.
     MethodNotAllowed = "method_not_allowed", 405, "Use the method that the reference gives for this path.";
-    /// The change or key was used for something else.
+    /// The change or key was already used for another purpose.
     Conflict = "conflict", 409, "Read the current state, then decide whether to send a new change or use a new key.";
     /// The head of the request did not arrive in time.
     RequestTimeout = "request_timeout", 408, "Send the whole request again, without pauses.";
@@ -85,19 +85,19 @@
     RateLimited = "rate_limited", 429, "Wait as 'Retry-After' says, then send it again.";
     /// All eligible back ends and the queue are full.
     Overloaded = "overloaded", 429, "Wait as 'Retry-After' says, then send it again.";
-    /// Something inside failed.
+    /// An internal failure.
     Internal = "internal", 500, "Report the request's time and this message to the operators.";
-    /// The back end broke off or answered outside its protocol.
+    /// The back end interrupted its response or violated its protocol.
     BackendFailed = "backend_failed", 502, "Send it again if it may run twice; otherwise check its effect first.";
     /// The node is leaving or cannot serve yet.
     Unavailable = "unavailable", 503, "Send it to another node, or wait as 'Retry-After' says.";
     /// No live back end is eligible.
     NoBackend = "no_backend", 503, "Wait as 'Retry-After' says; operators: check the pool's selector and the machine list.";
-    /// Back ends end under the request.
+    /// Back ends crash while they run the request.
     CrashesBackends = "crashes_back_ends", 503, "Do not repeat it unchanged before 'Retry-After' is over; operators: find the back ends in the log by 'explain'.";
     /// The journal cannot commit now.
     JournalUnavailable = "journal_unavailable", 503, "Wait as 'Retry-After' says, then send it again with the same key.";
-    /// Disk space is used up on the journal's replicas.
+    /// The journal's replicas are out of disk space.
     StorageFull = "storage_full", 507, "Wait until the operators free space, then submit again with the same key.";
     /// The deadline passed.
     DeadlineExceeded = "deadline_exceeded", 504, "Send it again with a later deadline if the answer is still wanted.";
--- a/crates/firshore-types/tests/policy.rs
+++ b/crates/firshore-types/tests/policy.rs
@@ -23,7 +23,7 @@
 spec: {protocol: model, model: boundary-llm, pool: engines}
 ";
 
-fn decide(policies: &str, tenant: &str, job: Option<&str>) -> EffectivePolicy {
+fn effective_policy(policies: &str, tenant: &str, job: Option<&str>) -> EffectivePolicy {
     let text = format!("{DECLARATIONS}{policies}");
     let declarations = parse_declarations("test", &text).expect("the declarations parse");
     let mut configuration = Configuration::default();
@@ -89,7 +89,11 @@
         ),
     ];
     for (name, policies, tenant, job, priority) in cases {
-        assert_eq!(decide(&policies, tenant, job).priority, priority, "{name}");
+        assert_eq!(
+            effective_policy(&policies, tenant, job).priority,
+            priority,
+            "{name}"
+        );
     }
 }
 
@@ -103,11 +107,11 @@
     );
     let placement = policy("d", "{backends: {matchLabels: {accelerator: large}}}");
     let policies = format!("{rate}{pause}{resume}{placement}");
-    let online = decide(&policies, "grower", None);
+    let online = effective_policy(&policies, "grower", None);
     assert_eq!(online.limits.requests_per_second, Some(3.0));
     assert_eq!(online.limits.concurrent_requests, Some(4));
     assert!(!online.batch_allowed);
-    assert!(decide(&policies, "grower", Some("urgent")).batch_allowed);
+    assert!(effective_policy(&policies, "grower", Some("urgent")).batch_allowed);
     let large = Labels::from_pairs([("accelerator", "large")]);
     assert!(online.backends.matches(&large));
     assert!(!online.backends.matches(&Labels::default()));
