--- a/crates/firshore-protocol/src/message.rs
+++ b/crates/firshore-protocol/src/message.rs
@@ -115,7 +115,7 @@
     Jobs(Vec<JobSummary>),
     /// Results.
     Results(Vec<NamedResult>),
-    /// The journal group's leader refused the request, or the peer is not the leader.
+    /// The journal group's leader did not carry out the request, or the peer is not the leader.
     Refused(JournalRefusal),
     /// Dissemination messages for the configuration.
     Configuration(Vec<ConfigurationMessage>),
--- a/crates/firshore-types/src/error.rs
+++ b/crates/firshore-types/src/error.rs
@@ -35,20 +35,20 @@
         }
 
         impl ErrorCode {
-            /// All codes, for the reference page.
+            /// All codes, as listed on the reference page.
             pub const ALL: &'static [ErrorCode] = &[$(Self::$name,)*];
 
-            /// The code as callers see it.
+            /// Returns the code that callers receive.
             pub fn as_str(self) -> &'static str {
                 match self { $(Self::$name => $code,)* }
             }
 
-            /// HTTP status that carries the code.
+            /// Returns the HTTP status of the code.
             pub fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// Suggested action.
+            /// Returns the suggested action for the caller.
             pub fn remedy(self) -> &'static str {
                 match self { $(Self::$name => $remedy,)* }
             }
