--- a/crates/firshore-types/src/error.rs
+++ b/crates/firshore-types/src/error.rs
@@ -1,9 +1,9 @@
-//! The one error body callers see, with typed codes, the remedy, and whether the request ran.
+//! Error body for callers: typed code, remedy, and whether the request ran.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Whether a refused or failed request was run by a back end (`Firshore-Execution`).
+/// Whether a back end ran a refused or failed request (`Firshore-Execution`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Execution {
@@ -11,12 +11,12 @@
     None,
     /// It may have been run, wholly or in part.
     Unknown,
-    /// It was run to its end.
+    /// It was run to completion.
     Complete,
 }
 
 impl Execution {
-    /// The value of the `Firshore-Execution` header.
+    /// Returns the value of the `Firshore-Execution` header.
     pub fn header_value(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -35,20 +35,20 @@
         }
 
         impl ErrorCode {
-            /// All codes, for the reference page.
+            /// All codes, as listed on the reference page.
             pub const ALL: &'static [ErrorCode] = &[$(Self::$name,)*];
 
-            /// The code as callers see it.
+            /// Returns the code that callers receive.
             pub fn as_str(self) -> &'static str {
                 match self { $(Self::$name => $code,)* }
             }
 
-            /// HTTP status that carries the code.
+            /// Returns the HTTP status of the code.
             pub fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// What the caller can do about it.
+            /// Returns the suggested action for the caller.
             pub fn remedy(self) -> &'static str {
                 match self { $(Self::$name => $remedy,)* }
             }
@@ -63,7 +63,7 @@
     InvalidHeader = "invalid_header", 400, "Correct or remove the header that the message names.";
     /// A line of a batch is not a valid item.
     InvalidItem = "invalid_item", 400, "Correct the line that the message names and submit the whole job again.";
-    /// No key, or a key nobody holds.
+    /// No key, or an unknown key.
     Unauthorized = "unauthorized", 401, "Send 'Authorization: Bearer' with a key that a Tenant declaration lists.";
     /// The tenant may not use this service.
     Forbidden = "forbidden", 403, "Ask the operators for a policy that lets this tenant use the service.";
@@ -73,7 +73,7 @@
     UnknownModel = "unknown_model", 404, "Name a model that a declared service serves.";
     /// The path does not take this method.
     MethodNotAllowed = "method_not_allowed", 405, "Use the method that the reference gives for this path.";
-    /// The change or key was used for something else.
+    /// The change or key was already used for another purpose.
     Conflict = "conflict", 409, "Read the current state, then decide whether to send a new change or use a new key.";
     /// The head of the request did not arrive in time.
     RequestTimeout = "request_timeout", 408, "Send the whole request again, without pauses.";
@@ -85,19 +85,19 @@
     RateLimited = "rate_limited", 429, "Wait as 'Retry-After' says, then send it again.";
     /// All eligible back ends and the queue are full.
     Overloaded = "overloaded", 429, "Wait as 'Retry-After' says, then send it again.";
-    /// Something inside failed.
+    /// An internal failure.
     Internal = "internal", 500, "Report the request's time and this message to the operators.";
-    /// The back end broke off or answered outside its protocol.
+    /// The back end interrupted its response or violated its protocol.
     BackendFailed = "backend_failed", 502, "Send it again if it may run twice; otherwise check its effect first.";
     /// The node is leaving or cannot serve yet.
     Unavailable = "unavailable", 503, "Send it to another node, or wait as 'Retry-After' says.";
     /// No live back end is eligible.
     NoBackend = "no_backend", 503, "Wait as 'Retry-After' says; operators: check the pool's selector and the machine list.";
-    /// Back ends end under the request.
+    /// Back ends crash while they run the request.
     CrashesBackends = "crashes_back_ends", 503, "Do not repeat it unchanged before 'Retry-After' is over; operators: find the back ends in the log by 'explain'.";
     /// The journal cannot commit now.
     JournalUnavailable = "journal_unavailable", 503, "Wait as 'Retry-After' says, then send it again with the same key.";
-    /// Disk space is used up on the journal's replicas.
+    /// The journal's replicas are out of disk space.
     StorageFull = "storage_full", 507, "Wait until the operators free space, then submit again with the same key.";
     /// The deadline passed.
     DeadlineExceeded = "deadline_exceeded", 504, "Send it again with a later deadline if the answer is still wanted.";
@@ -112,7 +112,7 @@
     pub message: String,
     /// Whether the request ran.
     pub execution: Execution,
-    /// Seconds after which another try is sensible.
+    /// Seconds to wait before another attempt.
     pub retry_after_seconds: Option<u32>,
 }
 
@@ -130,7 +130,7 @@
 }
 
 impl ApiError {
-    /// An error for a request that certainly was not run.
+    /// Creates an error for a request that certainly was not run.
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// An error for a request that may have been run.
+    /// Creates an error for a request that may have been run.
     pub fn maybe_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             execution: Execution::Unknown,
@@ -148,13 +148,13 @@
         }
     }
 
-    /// The same error telling the caller when to come back.
+    /// Sets the number of seconds that the caller should wait before another attempt.
     pub fn retry_after(mut self, seconds: u32) -> Self {
         self.retry_after_seconds = Some(seconds);
         self
     }
 
-    /// The JSON body: `{"error":{"code","message","remedy","execution"}}`.
+    /// Returns the JSON body: `{"error":{"code","message","remedy","execution"}}`.
     pub fn body(&self) -> String {
         let detail = ErrorDetail {
             code: self.code,
