--- a/crates/firshore-batch/src/command.rs
+++ b/crates/firshore-batch/src/command.rs
@@ -1,5 +1,5 @@
 //! Commands that change jobs, and their outcomes. Every command goes through the journal's log.
-//! Each may be proposed again when its outcome is unknown: the second time changes nothing.
+//! Commands are idempotent: one with an unknown outcome may be proposed again.
 
 use crate::job::{Governance, ItemResult, JobSummary};
 use firshore_types::ids::{InstanceId, ItemIndex, JobId, TenantName};
@@ -13,11 +13,11 @@
     pub custom_id: String,
     /// JSON text of the request's body.
     pub body: String,
-    /// Whether the item may be run again when its first run is lost.
+    /// Whether the item may be run again when a run is lost.
     pub repeatable: bool,
 }
 
-/// What is known of a job before its items.
+/// Attributes of a submitted job, without its items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
     /// Derived from tenant and key, so that a resubmission finds the same job.
@@ -34,25 +34,25 @@
     pub deadline_milliseconds: Option<u64>,
     /// Milliseconds that the job is kept after its end.
     pub retention_milliseconds: u64,
-    /// What policies set at submission.
+    /// Settings from policies at submission.
     pub governance: Governance,
 }
 
-/// One attempt to submit a job. Two attempts with the same key race without mixing: the first
+/// One attempt to submit a job. Concurrent attempts with the same key stay separate: the first
 /// one sealed becomes the job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UploadId {
     /// Job.
     pub job: JobId,
-    /// Chosen at random for the attempt.
+    /// Random number of the attempt.
     pub attempt: u64,
 }
 
-/// Fences one lease: no two leases of one job ever have the same token.
+/// Fencing token of a lease, unique among the leases of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseToken(pub u64);
 
-/// Names one lease, in whichever journal group its job is.
+/// Identifies a lease across journal groups.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseReference {
     /// Job.
@@ -63,7 +63,7 @@
     pub token: LeaseToken,
 }
 
-/// Permission to run one item for a time.
+/// Permission to run one item until the lease expires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemLease {
     /// The lease.
@@ -74,27 +74,27 @@
     pub item: Item,
 }
 
-/// Names one request for leases, so that it can be proposed again.
+/// Identifies a lease request, so that a repeated proposal returns the same leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequestId {
-    /// Owner that asks.
+    /// Owner that requests the leases.
     pub holder: InstanceId,
-    /// Counts the owner's requests.
+    /// Sequence number among the owner's requests.
     pub sequence: u64,
 }
 
 /// A request for leases on behalf of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Names it.
+    /// Identifier of the request.
     pub id: LeaseRequestId,
-    /// Models that the engine runs.
+    /// Models that the engine serves.
     pub models: Vec<String>,
     /// Labels of the engine, for the jobs' selectors.
     pub engine_labels: Labels,
-    /// Most items wanted.
+    /// Maximum number of items to lease.
     pub count: u32,
-    /// How long the leases last, in milliseconds from the leader's stamp.
+    /// Duration of the leases in milliseconds, from the leader's timestamp.
     pub duration_milliseconds: u64,
 }
 
@@ -107,32 +107,32 @@
     pub result: ItemResult,
 }
 
-/// Why a lease comes back without a result.
+/// Reason for which a lease is returned without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandbackReason {
-    /// The item certainly was not run.
+    /// The item was definitely not run.
     NotRun,
-    /// The run was stopped on purpose before its end; it does not count against the item.
+    /// The run was stopped deliberately; for a repeatable item it doesn't count as lost.
     Interrupted,
-    /// The run ended without an answer; whether it took effect is unknown.
+    /// The run ended without a response; it may have taken effect.
     Lost,
 }
 
-/// A lease handed back without a result.
+/// A lease returned without a result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handback {
     /// The lease.
     pub lease: LeaseReference,
-    /// Why.
+    /// Reason.
     pub reason: HandbackReason,
 }
 
 /// A change to the job table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Unix milliseconds; the journal's leader stamps it before the command enters the log.
+    /// Unix milliseconds, set by the journal's leader before the command enters the log.
     pub at: u64,
-    /// What to do.
+    /// Action to apply.
     pub action: Action,
 }
 
@@ -142,10 +142,10 @@
     }
 }
 
-/// What a command does.
+/// Action of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Begins an upload; nothing is accepted until it is sealed.
+    /// Begins an upload; the job is accepted only when the upload is sealed.
     Open {
         /// The upload.
         upload: UploadId,
@@ -156,77 +156,78 @@
     Append {
         /// The upload.
         upload: UploadId,
-        /// Counts the upload's chunks from 0.
+        /// Number of the chunk in the upload, from 0.
         sequence: u32,
         /// Items.
         items: Vec<Item>,
     },
-    /// Accepts the whole upload as a job, or finds the job that was accepted before.
+    /// Accepts the whole upload as a job, or returns the job accepted earlier under its key.
     Seal {
         /// The upload.
         upload: UploadId,
         /// SHA-256 of the submitted body; a resubmission must match it.
         body_digest: String,
-        /// Items in all chunks.
+        /// Number of items in all chunks.
         total: u32,
     },
     /// Drops an upload.
     Abandon(UploadId),
     /// Leases pending items.
     Lease(LeaseRequest),
-    /// Prolongs leases.
+    /// Extends leases.
     Renew {
         /// The leases.
         leases: Vec<LeaseReference>,
-        /// How long they last from the leader's stamp, in milliseconds.
+        /// New duration in milliseconds, from the leader's timestamp.
         duration_milliseconds: u64,
     },
     /// Records that a non-repeatable item is about to be sent.
     Start(LeaseReference),
-    /// Records results; for each item the first one committed wins.
+    /// Records results; the first one committed for an item is kept.
     Complete(Vec<Completion>),
-    /// Hands leases back.
+    /// Returns leases without results.
     Return(Vec<Handback>),
     /// Stops a job.
     Cancel(JobId),
-    /// Replaces what policies set for a job, unless it came from a later revision.
+    /// Replaces a job's settings from policies, unless they came from a later revision.
     Govern {
         /// Job.
         job: JobId,
-        /// What policies set.
+        /// Settings from policies.
         governance: Governance,
     },
     /// Deletes a job that has ended.
     Delete(JobId),
-    /// Lets time pass: ends lapsed leases, passed deadlines, abandoned uploads, kept jobs.
+    /// Applies the current time: expires leases, ends jobs past their deadline, drops idle uploads
+    /// and deletes jobs whose retention has ended.
     Tick,
 }
 
-/// Answer to a command.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Done, nothing to tell.
+    /// The command was applied; there is no further result.
     Done,
     /// The upload is open.
     Opened {
-        /// A job with this key exists; only the digest needs to be compared, by sealing.
+        /// Whether a job with this key exists; sealing then only compares the digests.
         exists: bool,
     },
     /// State of the job concerned.
     Job(Box<JobSummary>),
     /// Leases granted.
     Leased(Vec<ItemLease>),
-    /// Leases that were not prolonged: their items must stop.
+    /// Leases that were not extended; their items must stop.
     Renewed {
-        /// Leases that lapsed, or whose job has been stopped.
+        /// Leases that expired, or whose job was stopped.
         refused: Vec<LeaseReference>,
     },
     /// Whether the item may be sent, once.
     Start {
-        /// `false`: it must not be sent.
+        /// `false` if the item must not be sent.
         allowed: bool,
     },
-    /// The key was used with another body.
+    /// The key was used earlier with another body.
     Conflict,
     /// No such job.
     UnknownJob,
--- a/crates/firshore-batch/src/headroom.rs
+++ b/crates/firshore-batch/src/headroom.rs
@@ -1,36 +1,36 @@
-//! How many batch items an engine may run beside its online requests: additive increase and
-//! multiplicative decrease (Chiu and Jain, 1989) on what online requests experience, compared
-//! with what they experienced on the same engine while no item ran.
+//! Limits the batch items that an engine runs besides its online requests, by additive increase
+//! and multiplicative decrease (Chiu and Jain, 1989). The input is the latency of online requests
+//! relative to their latency on the same engine while no item runs.
 
-/// Least time between two steps of a controller, in milliseconds.
+/// Minimum interval between adjustments of the allowance, in milliseconds.
 pub const STEP_MILLISECONDS: u64 = 200;
 
-/// Time without any online request after which an engine counts as quiet, in milliseconds.
+/// Time without online requests after which batch items may use all slots, in milliseconds.
 pub const QUIET_MILLISECONDS: u64 = 60;
 
-/// Slowdown of online requests that is accepted, as a share of their undisturbed time.
+/// Accepted slowdown of online requests, as a fraction of their reference latency.
 pub const TOLERANCE: f64 = 0.04;
 
-/// Items added to the allowance at a step whose samples were within the tolerance.
+/// Items added to the allowance at a step with samples within the tolerance.
 const INCREASE: f64 = 0.5;
 
-/// Items added to an allowance below one at a step without samples: at one, an item runs and
-/// samples follow.
+/// Items added to an allowance below one at a step without samples, so that it reaches one and an
+/// item can run to produce samples.
 const PROBE_INCREASE: f64 = 0.01;
 
-/// Factor on the allowance at a step that found online requests slowed down.
+/// Factor applied to the allowance at a step with a slowdown above the tolerance.
 const DECREASE: f64 = 0.5;
 
-/// Samples beside batch items that a step needs: single ones scatter more than the tolerance.
-const MINIMUM_SAMPLES: u32 = 5;
+/// Samples taken while items run that a step needs; the scatter of fewer exceeds the tolerance.
+const MIN_SAMPLES: u32 = 5;
 
-/// Weight of a new sample in a reference.
+/// Weight of a new sample in the reference average.
 const REFERENCE_WEIGHT: f64 = 0.1;
 
-/// Numbers of online requests, and length classes of prompts, told apart in references.
+/// Number of classes in a reference, by online requests or by the logarithm of prompt length.
 const CLASSES: usize = 32;
 
-/// An engine's load as the controller needs it.
+/// Slots and running requests of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineOccupancy {
     /// Requests that the engine can run at once.
@@ -41,7 +41,7 @@
     pub batch: u32,
 }
 
-/// Undisturbed times by class, each an exponentially weighted average.
+/// Mean latency without batch items by class, each an exponentially weighted average.
 #[derive(Clone, Debug)]
 struct References {
     milliseconds: [Option<f64>; CLASSES],
@@ -54,7 +54,7 @@
         }
     }
 
-    fn learn(&mut self, class: usize, sample: f64) {
+    fn update(&mut self, class: usize, sample: f64) {
         let reference = &mut self.milliseconds[class.min(CLASSES - 1)];
         *reference = Some(match reference {
             Some(old) => *old + (sample - *old) * REFERENCE_WEIGHT,
@@ -62,14 +62,15 @@
         });
     }
 
-    /// The reference of `class`, or of the nearest lower class that has one.
+    /// Returns the reference of `class`, or of the nearest lower class that has one.
     fn get(&self, class: usize) -> Option<f64> {
-        let known = &self.milliseconds[..=class.min(CLASSES - 1)];
-        known.iter().rev().find_map(|reference| *reference)
+        let candidates = &self.milliseconds[..=class.min(CLASSES - 1)];
+        candidates.iter().rev().find_map(|reference| *reference)
     }
 }
 
-/// Samples of one kind: what is usual while no item runs, and how samples beside items compare.
+/// Samples of one kind of latency: references without batch items, and the sum of the ratios of
+/// samples with batch items to them.
 #[derive(Clone, Debug)]
 struct Samples {
     references: References,
@@ -88,16 +89,16 @@
 
     fn observe(&mut self, class: usize, batch: u32, milliseconds: f64) {
         if batch == 0 {
-            self.references.learn(class, milliseconds);
+            self.references.update(class, milliseconds);
         } else if let Some(reference) = self.references.get(class) {
             self.ratio_sum += milliseconds / reference;
             self.count += 1;
         }
     }
 
-    /// The mean ratio since the last call, once there are enough samples.
+    /// Returns and resets the mean ratio, once there are enough samples.
     fn take_ratio(&mut self) -> Option<f64> {
-        if self.count < MINIMUM_SAMPLES {
+        if self.count < MIN_SAMPLES {
             return None;
         }
         let ratio = self.ratio_sum / f64::from(self.count);
@@ -107,7 +108,7 @@
     }
 }
 
-/// The controller of one engine.
+/// Controls the batch allowance of one engine.
 #[derive(Clone, Debug)]
 pub struct HeadroomController {
     allowance: f64,
@@ -130,15 +131,15 @@
 }
 
 impl HeadroomController {
-    /// Takes note of the time between two tokens of online requests, in milliseconds.
+    /// Records the time between two tokens of online requests, in milliseconds.
     pub fn observe_token_gap(&mut self, occupancy: EngineOccupancy, milliseconds: f64) {
         let class = occupancy.online as usize;
         self.token_gaps
             .observe(class, occupancy.batch, milliseconds);
     }
 
-    /// Takes note of the time to the first token of an online request with a prompt of
-    /// `prompt_bytes`, in milliseconds.
+    /// Records the time to the first token of an online request with a prompt of `prompt_bytes`,
+    /// in milliseconds.
     pub fn observe_first_token(
         &mut self,
         occupancy: EngineOccupancy,
@@ -150,12 +151,12 @@
             .observe(class, occupancy.batch, milliseconds);
     }
 
-    /// Notes that an online request is on the engine, or on its way there.
+    /// Records that an online request runs on the engine or is being sent to it.
     pub fn online_seen(&mut self, now: u64) {
         self.online_at = Some(self.online_at.map_or(now, |at| at.max(now)));
     }
 
-    /// Items that the engine may run at `now` (milliseconds).
+    /// Returns the number of batch items that the engine may run at `now` (milliseconds).
     pub fn allowed(&mut self, now: u64, occupancy: EngineOccupancy) -> u32 {
         if occupancy.online > 0 {
             self.online_seen(now);
--- a/crates/firshore-batch/src/item_set.rs
+++ b/crates/firshore-batch/src/item_set.rs
@@ -1,4 +1,4 @@
-//! A set of item positions as a bitmap: one bit an item, with a cheap smallest member.
+//! A set of item positions as a bitmap: one bit per item, with fast access to the smallest member.
 
 use firshore_types::ids::ItemIndex;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 pub struct ItemSet {
     words: Vec<u64>,
     count: u32,
-    /// No word before this one has a member.
+    /// Index of a word before which all words are empty.
     first_word: usize,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl ItemSet {
-    /// The positions `0..count`.
+    /// Creates a set of the positions `0..count`.
     pub fn full(count: u32) -> Self {
         let mut words = vec![u64::MAX; count.div_ceil(WORD_BITS) as usize];
         let rest = count % WORD_BITS;
@@ -37,24 +37,24 @@
         }
     }
 
-    /// Members.
+    /// Returns the number of members.
     pub fn len(&self) -> u32 {
         self.count
     }
 
-    /// Whether there is no member.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Whether `index` is a member.
+    /// Returns whether `index` is a member.
     pub fn contains(&self, index: ItemIndex) -> bool {
         self.words
             .get(word_of(index))
             .is_some_and(|word| word & bit_of(index) != 0)
     }
 
-    /// Adds `index`; `false` when it was a member.
+    /// Adds `index`. Returns `false` if it was a member already.
     pub fn insert(&mut self, index: ItemIndex) -> bool {
         let word = word_of(index);
         if word >= self.words.len() {
@@ -69,7 +69,7 @@
         true
     }
 
-    /// Takes `index` out; `false` when it was no member.
+    /// Removes `index`. Returns `false` if it was not a member.
     pub fn remove(&mut self, index: ItemIndex) -> bool {
         if !self.contains(index) {
             return false;
@@ -79,7 +79,7 @@
         true
     }
 
-    /// Takes the smallest member out.
+    /// Removes and returns the smallest member.
     pub fn pop_first(&mut self) -> Option<ItemIndex> {
         while let Some(word) = self.words.get(self.first_word) {
             if *word != 0 {
@@ -92,12 +92,12 @@
         None
     }
 
-    /// The positions below `total` that are no members, in order.
+    /// Returns the positions below `total` that are not members, in ascending order.
     pub fn missing(&self, total: u32) -> impl Iterator<Item = ItemIndex> + '_ {
         (0..total).filter(|index| !self.contains(*index))
     }
 
-    /// Bytes held.
+    /// Returns the memory used, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.words.capacity() * size_of::<u64>()
     }
--- a/crates/firshore-batch/src/item_store.rs
+++ b/crates/firshore-batch/src/item_store.rs
@@ -5,7 +5,7 @@
 use firshore_types::ids::ItemIndex;
 use serde::{Deserialize, Serialize};
 
-/// Texts laid end to end.
+/// Concatenated texts with their end positions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct PackedTexts {
     text: String,
@@ -68,7 +68,7 @@
         self.total += count;
     }
 
-    /// Items held.
+    /// Returns the number of items.
     pub fn total(&self) -> u32 {
         self.total
     }
@@ -80,19 +80,19 @@
         (offset < self.chunks[position].count).then_some((position, offset as usize))
     }
 
-    /// The caller's name for an item.
+    /// Returns the caller's name for an item.
     pub fn custom_id(&self, index: ItemIndex) -> Option<&str> {
         let (chunk, offset) = self.locate(index)?;
         self.chunks[chunk].names.get(offset)
     }
 
-    /// An item's body, unless its chunk is finished.
+    /// Returns an item's body, or `None` once all items of its chunk are finished.
     pub fn body(&self, index: ItemIndex) -> Option<&str> {
         let (chunk, offset) = self.locate(index)?;
         self.chunks[chunk].bodies.get(offset)
     }
 
-    /// Counts an item as finished; to be called once an item.
+    /// Counts an item as finished. Must be called only once for each item.
     pub fn finish(&mut self, index: ItemIndex) {
         let Some((chunk, _)) = self.locate(index) else {
             return;
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Drops every body: nothing of the job will run any more.
+    /// Drops all bodies, when no item of the job will run again.
     pub fn drop_bodies(&mut self) {
         for chunk in &mut self.chunks {
             chunk.bodies = PackedTexts::default();
         }
     }
 
-    /// Bytes held beside the texts themselves.
+    /// Returns the memory in bytes used besides the texts.
     pub fn overhead_bytes(&self) -> usize {
         let of = |chunk: &Chunk| {
             size_of::<Chunk>() + chunk.names.overhead_bytes() + chunk.bodies.overhead_bytes()
--- a/crates/firshore-batch/src/job.rs
+++ b/crates/firshore-batch/src/job.rs
@@ -5,15 +5,15 @@
 use firshore_types::labels::Labels;
 use serde::{Deserialize, Serialize};
 
-/// Where a job stands, named as in the usual batch interface.
+/// Status of a job, with the names of the OpenAI-style batch interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
     /// Items are being run.
     InProgress,
-    /// The deadline passed; leases are still out, nothing new starts.
+    /// The deadline passed; leases are still open and no new item starts.
     Finalizing,
-    /// Cancellation is committed; leases are still out, nothing new starts.
+    /// Cancellation is committed; leases are still open and no new item starts.
     Cancelling,
     /// Cancelled: no item runs or will run.
     Cancelled,
@@ -24,12 +24,12 @@
 }
 
 impl JobStatus {
-    /// Whether nothing of the job runs or will run.
+    /// Returns whether no item of the job runs or will run.
     pub fn is_terminal(self) -> bool {
         matches!(self, Self::Cancelled | Self::Expired | Self::Completed)
     }
 
-    /// The name in the interface.
+    /// Returns the name in the batch interface.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::InProgress => "in_progress",
@@ -53,7 +53,7 @@
     pub failed: u32,
 }
 
-/// When a job passed each step, in Unix milliseconds of the journal's clock.
+/// Times of a job's state changes, in Unix milliseconds of the journal's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobTimes {
     /// Accepted.
@@ -68,12 +68,12 @@
     pub deadline_at: Option<u64>,
 }
 
-/// What policies set for a job.
+/// Settings of a job that come from policies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Governance {
-    /// Revision of the configuration that it was worked out from; older ones are ignored.
+    /// Revision of the configuration that it was computed from; older ones are ignored.
     pub revision: firshore_types::ids::Revision,
-    /// Place among jobs; a larger number goes first.
+    /// Priority among jobs; larger numbers are served first.
     pub priority: Priority,
     /// `true` keeps items from being leased.
     pub paused: bool,
@@ -88,7 +88,7 @@
     pub id: JobId,
     /// Owner.
     pub tenant: TenantName,
-    /// Where it stands.
+    /// Status.
     pub status: JobStatus,
     /// Counts.
     pub request_counts: RequestCounts,
@@ -98,38 +98,38 @@
     pub model: String,
     /// Labels given at submission.
     pub labels: Labels,
-    /// When it passed each step.
+    /// Times of its state changes.
     pub times: JobTimes,
-    /// What policies set.
+    /// Settings from policies.
     pub governance: Governance,
     /// Items waiting for an engine.
     pub backlog: u32,
     /// Items leased to owners.
     pub leased: u32,
-    /// Items finished in a thousand seconds at the present rate.
+    /// Current completion rate, in items per 1000 seconds.
     pub items_per_kilosecond: u64,
-    /// When it will be done at the present rate, in Unix milliseconds.
+    /// Estimated end at the current rate, in Unix milliseconds.
     pub estimated_end_at: Option<u64>,
 }
 
-/// What became of an item.
+/// Result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
-    /// HTTP status of the back end's answer, or of the error.
+    /// HTTP status of the back end's response, or of the error.
     pub status: u16,
-    /// JSON text of the answer's body.
+    /// JSON text of the response body.
     pub body: String,
 }
 
 impl ItemResult {
-    /// Whether the item counts as completed rather than failed.
+    /// Returns whether the item counts as completed rather than failed.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// One line of a job's output. Positions follow the order in which results were committed, so
-/// that a reader that resumes at a position misses nothing while the job runs.
+/// One line of a job's output. Positions follow the commit order of results, so that a reader
+/// that resumes at a position misses no result while the job runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedResult {
     /// Position in the output.
--- a/crates/firshore-batch/src/job_state.rs
+++ b/crates/firshore-batch/src/job_state.rs
@@ -15,8 +15,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Runs of an item that may be lost before the item fails.
-pub(crate) const MAXIMUM_LOST_RUNS: u8 = 8;
+/// Number of lost runs after which an item fails.
+pub(crate) const MAX_LOST_RUNS: u8 = 8;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct OpenLease {
@@ -43,7 +43,7 @@
     non_repeatable: ItemSet,
     pending: ItemSet,
     finished: ItemSet,
-    /// Unfinished items that may have run, and how often their run was lost.
+    /// Number of lost runs for each unfinished item that may have run.
     lost_runs: BTreeMap<ItemIndex, u8>,
     leases: BTreeMap<ItemIndex, OpenLease>,
     results: Vec<StoredResult>,
@@ -97,7 +97,7 @@
             },
             progress: Progress::default(),
         };
-        job.settle(now);
+        job.finish_if_done(now);
         job
     }
 
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The job's place in the queue, while it has items to lease.
+    /// Returns the job's queue entry while it has items to lease.
     pub(crate) fn queue_entry(&self) -> Option<QueueEntry> {
         let ready = self.status == JobStatus::InProgress
             && !self.submission.governance.paused
@@ -174,7 +174,7 @@
         })
     }
 
-    /// What the holder of an open lease is to run.
+    /// Returns the item of an open lease.
     pub(crate) fn granted(&self, lease: &LeaseReference) -> Option<ItemLease> {
         self.open_lease(lease)?;
         let index = lease.index;
@@ -194,7 +194,7 @@
         (open.token == lease.token).then_some(open)
     }
 
-    /// Prolongs a lease; `false` when its item must stop.
+    /// Extends a lease. Returns `false` if its item must stop.
     pub(crate) fn renew(&mut self, lease: &LeaseReference, expires_at: u64) -> bool {
         if self.status != JobStatus::InProgress || self.open_lease(lease).is_none() {
             return false;
@@ -216,7 +216,8 @@
         true
     }
 
-    /// Takes a result: the first for its item wins, and none counts after the job's end.
+    /// Records a result unless its item has one, the job has ended, or the lease of a non-repeatable
+    /// item isn't open.
     pub(crate) fn complete(&mut self, completion: Completion, now: u64) {
         let Completion { lease, result } = completion;
         if lease.index >= self.counts.total {
@@ -230,7 +231,7 @@
         if !self.status.is_terminal() && (held || repeatable) {
             self.record(lease.index, result);
         }
-        self.settle(now);
+        self.finish_if_done(now);
     }
 
     fn record(&mut self, index: ItemIndex, result: ItemResult) {
@@ -252,7 +253,7 @@
         self.items.finish(index);
     }
 
-    /// Takes a lease back.
+    /// Ends a lease without a result.
     pub(crate) fn hand_back(&mut self, handback: &Handback, now: u64) {
         let lease = &handback.lease;
         if self.open_lease(lease).is_none() {
@@ -265,9 +266,9 @@
                 self.lost_runs.entry(lease.index).or_insert(0);
                 self.release(lease.index);
             }
-            HandbackReason::Interrupted | HandbackReason::Lost => self.lost(lease.index),
+            HandbackReason::Interrupted | HandbackReason::Lost => self.record_lost_run(lease.index),
         }
-        self.settle(now);
+        self.finish_if_done(now);
     }
 
     fn release(&mut self, index: ItemIndex) {
@@ -276,13 +277,13 @@
         }
     }
 
-    /// A run may have happened and left no result.
-    fn lost(&mut self, index: ItemIndex) {
+    /// Records a run that may have happened without a result.
+    fn record_lost_run(&mut self, index: ItemIndex) {
         if self.finished.contains(index) {
             return;
         }
         let lost_runs = self.lost_runs.get(&index).copied().unwrap_or(0) + 1;
-        if self.non_repeatable.contains(index) || lost_runs >= MAXIMUM_LOST_RUNS {
+        if self.non_repeatable.contains(index) || lost_runs >= MAX_LOST_RUNS {
             self.record(index, lost_result());
             return;
         }
@@ -290,13 +291,13 @@
         self.pending.insert(index);
     }
 
-    /// Ends leases that lapsed before `horizon`.
-    pub(crate) fn lapse(&mut self, horizon: u64, now: u64) {
-        let lapsed = |lease: &OpenLease| lease.expires_at < horizon;
+    /// Ends leases that expired before `horizon`.
+    pub(crate) fn expire_leases(&mut self, horizon: u64, now: u64) {
+        let expired = |lease: &OpenLease| lease.expires_at < horizon;
         let indices: Vec<ItemIndex> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lapsed(lease))
+            .filter(|(_, lease)| expired(lease))
             .map(|(index, _)| *index)
             .collect();
         for index in indices {
@@ -304,13 +305,13 @@
                 continue;
             };
             if self.non_repeatable.contains(index) && !lease.started {
-                // Without a committed start it was not sent.
+                // A non-repeatable item is sent only after its start is committed.
                 self.release(index);
             } else {
-                self.lost(index);
+                self.record_lost_run(index);
             }
         }
-        self.settle(now);
+        self.finish_if_done(now);
     }
 
     pub(crate) fn cancel(&mut self, now: u64) {
@@ -318,10 +319,10 @@
             self.status = JobStatus::Cancelling;
             self.times.cancelling_at = Some(now);
         }
-        self.settle(now);
+        self.finish_if_done(now);
     }
 
-    /// Lets time pass.
+    /// Applies the current time.
     pub(crate) fn tick(&mut self, now: u64) {
         if self.status == JobStatus::InProgress {
             self.progress.observe(now, u64::from(self.finished.len()));
@@ -333,7 +334,7 @@
                 self.status = JobStatus::Finalizing;
             }
         }
-        self.settle(now);
+        self.finish_if_done(now);
     }
 
     pub(crate) fn may_be_deleted(&self, now: u64) -> bool {
@@ -342,14 +343,14 @@
         ended.is_some_and(|ended| ended.saturating_add(retention) <= now)
     }
 
-    fn settle(&mut self, now: u64) {
+    fn finish_if_done(&mut self, now: u64) {
         if self.status.is_terminal() {
             return;
         }
-        let whole = self.finished.len() == self.counts.total;
+        let all_finished = self.finished.len() == self.counts.total;
         let idle = self.leases.is_empty();
         let end = match self.status {
-            JobStatus::InProgress | JobStatus::Finalizing if whole => JobStatus::Completed,
+            JobStatus::InProgress | JobStatus::Finalizing if all_finished => JobStatus::Completed,
             JobStatus::Finalizing if idle => JobStatus::Expired,
             JobStatus::Cancelling if idle => JobStatus::Cancelled,
             _ => return,
@@ -363,16 +364,16 @@
         self.items.drop_bodies();
     }
 
-    /// Lines of the output from `position` on, at most `count` of about `bytes` together.
+    /// Returns lines of the output from `position` on: at most `count`, about `bytes` in total.
     pub(crate) fn output(&self, position: u32, count: usize, bytes: usize) -> Vec<NamedResult> {
         let mut lines = Vec::new();
-        let mut held = 0;
+        let mut body_bytes = 0;
         let stored = self.results.iter().skip(position as usize).enumerate();
         for (offset, result) in stored {
-            if lines.len() == count || (held >= bytes && !lines.is_empty()) {
+            if lines.len() == count || (body_bytes >= bytes && !lines.is_empty()) {
                 return lines;
             }
-            held += result.body.len();
+            body_bytes += result.body.len();
             let result_of = ItemResult {
                 status: result.status,
                 body: result.body.to_string(),
@@ -406,7 +407,7 @@
         }
     }
 
-    /// Bytes held beside the texts of items and results.
+    /// Returns the memory in bytes used besides the texts of items and results.
     pub(crate) fn overhead_bytes(&self) -> usize {
         let sets = [&self.non_repeatable, &self.pending, &self.finished];
         size_of::<Self>()
--- a/crates/firshore-batch/src/lib.rs
+++ b/crates/firshore-batch/src/lib.rs
@@ -1,5 +1,5 @@
-//! Batch jobs as a deterministic state machine fed from the journal's log, and the controller of
-//! how much batch work an engine gets.
+//! Batch jobs as a deterministic state machine driven by the journal's log, and the controller
+//! that limits the batch items of an engine.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod command;
--- a/crates/firshore-batch/src/progress.rs
+++ b/crates/firshore-batch/src/progress.rs
@@ -1,15 +1,15 @@
-//! How fast a job's items finish, as an exponentially weighted average in whole numbers, so that
-//! every replica computes the same.
+//! Completion rate of a job's items: an exponentially weighted average in integer arithmetic, so
+//! that all replicas compute the same value.
 
 use serde::{Deserialize, Serialize};
 
 const MILLISECONDS_PER_KILOSECOND: u64 = 1_000_000;
 
-/// Shortest span that a rate is taken over, in milliseconds.
-const MINIMUM_SPAN: u64 = 1_000;
+/// Minimum interval between rate samples, in milliseconds.
+const MIN_INTERVAL_MILLISECONDS: u64 = 1_000;
 
-/// Weight of the newest span is one in this many.
-const SMOOTHING: u64 = 8;
+/// Inverse weight of the newest sample in the average.
+const SMOOTHING_DIVISOR: u64 = 8;
 
 /// Progress of one job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 }
 
 impl Progress {
-    /// Takes note of how many items are finished.
+    /// Records the number of finished items.
     pub(crate) fn observe(&mut self, now: u64, finished: u64) {
         let Some(measured_at) = self.measured_at else {
             self.measured_at = Some(now);
@@ -28,7 +28,7 @@
             return;
         };
         let span = now.saturating_sub(measured_at);
-        if span < MINIMUM_SPAN {
+        if span < MIN_INTERVAL_MILLISECONDS {
             return;
         }
         let newly = finished.saturating_sub(self.finished);
@@ -36,7 +36,7 @@
         self.items_per_kilosecond = if self.items_per_kilosecond == 0 {
             rate
         } else {
-            (self.items_per_kilosecond * (SMOOTHING - 1) + rate) / SMOOTHING
+            (self.items_per_kilosecond * (SMOOTHING_DIVISOR - 1) + rate) / SMOOTHING_DIVISOR
         };
         self.measured_at = Some(now);
         self.finished = finished;
@@ -46,7 +46,7 @@
         self.items_per_kilosecond
     }
 
-    /// When `remaining` items will be done, in Unix milliseconds.
+    /// Returns when `remaining` items will be finished, in Unix milliseconds.
     pub(crate) fn estimated_end(&self, now: u64, remaining: u64) -> Option<u64> {
         let milliseconds =
             (remaining * MILLISECONDS_PER_KILOSECOND).checked_div(self.items_per_kilosecond)?;
--- a/crates/firshore-batch/src/queue.rs
+++ b/crates/firshore-batch/src/queue.rs
@@ -18,7 +18,7 @@
     pub job: JobId,
 }
 
-/// Where a job stands in the order.
+/// Key of a job in the queue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueEntry {
     /// Model that its items name.
@@ -31,7 +31,7 @@
     pub ready: ReadyJob,
 }
 
-/// Priority turned round, so that the first rank is served first.
+/// Reversed priority, so that the lowest rank is served first.
 type Rank = u8;
 type TenantQueues = BTreeMap<TenantName, BTreeSet<ReadyJob>>;
 type ModelLevels = BTreeMap<Rank, TenantQueues>;
@@ -58,7 +58,7 @@
         tenants.entry(entry.tenant).or_default().insert(entry.ready);
     }
 
-    /// Takes a job out.
+    /// Removes a job.
     pub fn remove(&mut self, entry: &QueueEntry) {
         let Some(levels) = self.models.get_mut(&entry.model) else {
             return;
@@ -80,7 +80,7 @@
         finish.max(self.virtual_clock)
     }
 
-    /// The job to serve next among those of `models` that `eligible` accepts.
+    /// Returns the job to serve next among those of `models` that `eligible` accepts.
     pub fn next(&self, models: &[String], eligible: impl Fn(&JobId) -> bool) -> Option<QueueEntry> {
         models
             .iter()
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Charges a tenant for `items` that it was given.
+    /// Charges a tenant for `items` leased to it.
     pub fn charge(&mut self, tenant: &TenantName, items: u32) {
         let start = self.start_time(tenant);
         self.virtual_clock = self.virtual_clock.max(start);
--- a/crates/firshore-batch/src/table.rs
+++ b/crates/firshore-batch/src/table.rs
@@ -12,24 +12,24 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time added to every lease before it counts as lapsed, in milliseconds: how far the holder's
-/// clock may run behind the leader's over one lease, and how long a send may take after the
-/// holder's last look at its lease.
+/// Time added to every lease before it expires, in milliseconds. Covers the drift between the
+/// holder's and the leader's clock during a lease, and the time that a send takes after the holder
+/// last checked its lease.
 pub const LEASE_MARGIN_MILLISECONDS: u64 = 2_000;
 
-/// Longest lease granted, in milliseconds.
-pub const MAXIMUM_LEASE_MILLISECONDS: u64 = 60_000;
+/// Maximum duration of a lease, in milliseconds.
+pub const MAX_LEASE_MILLISECONDS: u64 = 60_000;
 
-/// Time after its last chunk at which an upload is dropped, in milliseconds.
+/// Time without a new chunk after which an upload is dropped, in milliseconds.
 pub const UPLOAD_IDLE_MILLISECONDS: u64 = 60_000;
 
-/// Most uploads open at once in one table.
-pub const MAXIMUM_UPLOADS: usize = 256;
+/// Maximum number of open uploads in a table.
+pub const MAX_UPLOADS: usize = 256;
 
-/// Items given to one tenant before the next has its turn.
-const TURN_ITEMS: u32 = 8;
+/// Items leased to one tenant before the next tenant is served.
+const ITEMS_PER_TURN: u32 = 8;
 
-/// What a request for leases was given, kept until the leases lapse.
+/// Leases granted to a request, kept until they expire.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Grant {
     expires_at: u64,
@@ -39,7 +39,7 @@
 /// All jobs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct JobTable {
-    /// Latest stamp seen: time never goes back, whichever leader stamps.
+    /// Latest timestamp applied; keeps time monotonic when the leader changes.
     now: u64,
     jobs: BTreeMap<JobId, Job>,
     uploads: BTreeMap<UploadId, Upload>,
@@ -62,8 +62,8 @@
                 items,
             } => {
                 let now = self.now;
-                let known = self.uploads.get_mut(&upload);
-                if known.is_some_and(|known| known.append(sequence, &items, now)) {
+                let found = self.uploads.get_mut(&upload);
+                if found.is_some_and(|found| found.append(sequence, &items, now)) {
                     Outcome::Done
                 } else {
                     Outcome::UnknownUpload
@@ -103,7 +103,7 @@
                 }
                 Outcome::Done
             }
-            Action::Cancel(job) => self.answered(&job, |job, now| job.cancel(now)),
+            Action::Cancel(job) => self.change_and_summarize(&job, |job, now| job.cancel(now)),
             Action::Govern { job, governance } => self.govern(&job, governance),
             Action::Delete(job) => self.delete(&job),
             Action::Tick => {
@@ -113,18 +113,18 @@
         }
     }
 
-    /// State of one job.
+    /// Returns the state of a job.
     pub fn summary(&self, id: &JobId) -> Option<JobSummary> {
         self.jobs.get(id).map(|job| job.summary(self.now))
     }
 
-    /// State of every job.
+    /// Returns the state of all jobs.
     pub fn summaries(&self) -> Vec<JobSummary> {
         let jobs = self.jobs.values();
         jobs.map(|job| job.summary(self.now)).collect()
     }
 
-    /// Lines of a job's output from `position` on, at most `count` of about `bytes` together.
+    /// Returns lines of a job's output from `position` on: at most `count`, about `bytes` in total.
     pub fn output(
         &self,
         id: &JobId,
@@ -136,7 +136,7 @@
         job.map_or_else(Vec::new, |job| job.output(position, count, bytes))
     }
 
-    /// The outcome of an action that would change nothing, so that it need not enter the log.
+    /// Returns the outcome of an action that would change nothing and needn't enter the log.
     /// `now` is the leader's clock in Unix milliseconds.
     pub fn without_effect(&self, action: &Action, now: u64) -> Option<Outcome> {
         match action {
@@ -166,12 +166,12 @@
         self.queue.next(&request.models, eligible)
     }
 
-    /// Bytes held beside the texts of items and results.
+    /// Returns the memory in bytes used besides the texts of items and results.
     pub fn overhead_bytes(&self) -> usize {
         self.jobs.values().map(Job::overhead_bytes).sum()
     }
 
-    /// Changes a job and keeps the indexes in step with it.
+    /// Changes a job and updates the indexes.
     fn change<T>(&mut self, id: &JobId, change: impl FnOnce(&mut Job, u64) -> T) -> Option<T> {
         let job = self.jobs.get_mut(id)?;
         let before = job.queue_entry();
@@ -195,7 +195,7 @@
         Some(result)
     }
 
-    fn answered(&mut self, id: &JobId, change: impl FnOnce(&mut Job, u64)) -> Outcome {
+    fn change_and_summarize(&mut self, id: &JobId, change: impl FnOnce(&mut Job, u64)) -> Outcome {
         let summary = self.change(id, |job, now| {
             change(job, now);
             job.summary(now)
@@ -210,7 +210,7 @@
             return Outcome::Opened { exists: true };
         }
         if !self.uploads.contains_key(&id) {
-            if self.uploads.len() >= MAXIMUM_UPLOADS {
+            if self.uploads.len() >= MAX_UPLOADS {
                 return Outcome::TooManyUploads;
             }
             let upload = Upload::new(submission, self.now);
@@ -247,18 +247,16 @@
 
     fn lease(&mut self, request: &LeaseRequest) -> Outcome {
         if let Some(grant) = self.grants.get(&request.id) {
-            return Outcome::Leased(self.still_granted(grant));
+            return Outcome::Leased(self.open_leases(grant));
         }
-        let duration = request
-            .duration_milliseconds
-            .min(MAXIMUM_LEASE_MILLISECONDS);
+        let duration = request.duration_milliseconds.min(MAX_LEASE_MILLISECONDS);
         let expires_at = self.now + duration;
         let mut leases: Vec<ItemLease> = Vec::new();
         while (leases.len() as u32) < request.count {
             let Some(entry) = self.next_job(request) else {
                 break;
             };
-            let wanted = (request.count - leases.len() as u32).min(TURN_ITEMS);
+            let wanted = (request.count - leases.len() as u32).min(ITEMS_PER_TURN);
             let mut token = self.last_token;
             let granted = self.change(&entry.ready.job, |job, now| {
                 let next = |_| {
@@ -285,7 +283,7 @@
         Outcome::Leased(leases)
     }
 
-    fn still_granted(&self, grant: &Grant) -> Vec<ItemLease> {
+    fn open_leases(&self, grant: &Grant) -> Vec<ItemLease> {
         let leases = grant.leases.iter();
         leases
             .filter_map(|lease| self.jobs.get(&lease.job)?.granted(lease))
@@ -293,7 +291,7 @@
     }
 
     fn renew(&mut self, leases: &[LeaseReference], duration: u64) -> Outcome {
-        let expires_at = self.now + duration.min(MAXIMUM_LEASE_MILLISECONDS);
+        let expires_at = self.now + duration.min(MAX_LEASE_MILLISECONDS);
         let mut refused = Vec::new();
         for lease in leases {
             let renewed = self
@@ -308,7 +306,7 @@
     }
 
     fn govern(&mut self, id: &JobId, governance: Governance) -> Outcome {
-        self.answered(id, |job, _| {
+        self.change_and_summarize(id, |job, _| {
             if governance.revision >= job.submission.governance.revision {
                 job.submission.governance = governance;
             }
@@ -330,7 +328,7 @@
         let now = self.now;
         let horizon = now.saturating_sub(LEASE_MARGIN_MILLISECONDS);
         for id in self.leased.clone() {
-            self.change(&id, |job, now| job.lapse(horizon, now));
+            self.change(&id, |job, now| job.expire_leases(horizon, now));
         }
         let running: Vec<JobId> = self
             .jobs
--- a/crates/firshore-batch/src/upload.rs
+++ b/crates/firshore-batch/src/upload.rs
@@ -1,11 +1,11 @@
-//! Uploads: jobs on their way in, of which nothing is accepted yet.
+//! Uploads: jobs being submitted that are not accepted yet.
 
 use crate::command::{Item, Submission};
 use crate::item_set::ItemSet;
 use crate::item_store::ItemStore;
 use serde::{Deserialize, Serialize};
 
-/// A job on its way in.
+/// A job that is being uploaded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Upload {
     pub(crate) submission: Submission,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Adds chunk `sequence`; one added before changes nothing. `false` when a chunk is missing.
+    /// Adds chunk `sequence`, ignoring one added before. Returns `false` if a chunk is missing.
     pub(crate) fn append(&mut self, sequence: u32, items: &[Item], now: u64) -> bool {
         self.touched_at = now;
         if sequence > self.next_sequence {
--- a/crates/firshore-batch/tests/common/mod.rs
+++ b/crates/firshore-batch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A job table with short ways to drive it.
+//! A job table with helpers to drive it.
 #![allow(dead_code, missing_docs)]
 
 use firshore_batch::command::{
--- a/crates/firshore-batch/tests/headroom.rs
+++ b/crates/firshore-batch/tests/headroom.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_quiet_engine_is_free_for_batch() {
+fn a_quiet_engine_gives_all_slots_to_batch() {
     let mut controller = HeadroomController::default();
     assert_eq!(controller.allowed(0, occupancy(0, 0)), 16);
     controller.online_seen(1_000);
@@ -22,7 +22,7 @@
     assert_eq!(controller.allowed(quiet, occupancy(0, 9)), 16);
 }
 
-/// Lets one step pass with `samples` token gaps of `milliseconds` beside batch items.
+/// Advances one step with `samples` token gaps of `milliseconds` while batch items run.
 fn step(
     controller: &mut HeadroomController,
     now: &mut u64,
@@ -36,7 +36,7 @@
     controller.allowed(*now, occupancy(2, 4))
 }
 
-fn learned() -> HeadroomController {
+fn calibrated_controller() -> HeadroomController {
     let mut controller = HeadroomController::default();
     controller.observe_token_gap(occupancy(2, 0), 10.0);
     controller
@@ -44,7 +44,7 @@
 
 #[test]
 fn the_allowance_grows_by_addition_and_shrinks_by_multiplication() {
-    let mut controller = learned();
+    let mut controller = calibrated_controller();
     let mut now = 0;
     let mut allowed = 0;
     for _ in 0..20 {
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn without_samples_it_grows_to_one_item_only() {
-    let mut controller = learned();
+fn the_allowance_grows_only_to_one_item_without_samples() {
+    let mut controller = calibrated_controller();
     let mut now = 0;
     let grown: Vec<u32> = (0..150)
         .map(|_| step(&mut controller, &mut now, 0, 0.0))
@@ -69,20 +69,20 @@
 }
 
 #[test]
-fn single_samples_decide_nothing() {
-    let mut controller = learned();
+fn too_few_samples_leave_the_allowance_unchanged() {
+    let mut controller = calibrated_controller();
     let mut now = 0;
     for _ in 0..10 {
         step(&mut controller, &mut now, 5, 10.0);
     }
     assert_eq!(step(&mut controller, &mut now, 1, 30.0), 5);
-    // The late one counts together with the next ones.
+    // The earlier sample counts together with the next ones.
     assert_eq!(step(&mut controller, &mut now, 4, 10.0), 2);
 }
 
 #[test]
-fn slow_first_tokens_shrink_it_too() {
-    let mut controller = learned();
+fn slow_first_tokens_reduce_the_allowance() {
+    let mut controller = calibrated_controller();
     let mut now = 0;
     for _ in 0..8 {
         step(&mut controller, &mut now, 5, 10.0);
@@ -96,7 +96,7 @@
 
 #[test]
 fn online_requests_are_subtracted_from_the_slots() {
-    let mut controller = learned();
+    let mut controller = calibrated_controller();
     let mut now = 0;
     for _ in 0..40 {
         step(&mut controller, &mut now, 5, 10.0);
--- a/crates/firshore-batch/tests/lifecycle.rs
+++ b/crates/firshore-batch/tests/lifecycle.rs
@@ -11,7 +11,7 @@
 use firshore_types::ids::{JobId, Revision};
 use firshore_types::labels::Selector;
 
-const LAPSE: u64 = LEASE + LEASE_MARGIN_MILLISECONDS + 1;
+const EXPIRY: u64 = LEASE + LEASE_MARGIN_MILLISECONDS + 1;
 
 fn upload(attempt: u64) -> UploadId {
     UploadId {
@@ -77,7 +77,7 @@
         assert!(matches!(seal(&mut driver, 2, "d", 3), Outcome::Job(_)));
         let late = seal(&mut driver, 1, second_digest, 3);
         assert_eq!(late == Outcome::Conflict, expected_conflict);
-        // A seal whose answer was lost finds its job.
+        // A repeated seal returns its job.
         assert!(matches!(seal(&mut driver, 2, "d", 3), Outcome::Job(_)));
         assert_eq!(open(&mut driver, 3), Outcome::Opened { exists: true });
         assert_eq!(driver.table.summaries().len(), 1);
@@ -109,7 +109,7 @@
     let mut driver = Driver::default();
     driver.submit(submission("job", "tenant"), items(1, true));
     let first = driver.lease(1).remove(0).lease;
-    driver.tick_after(LAPSE);
+    driver.tick_after(EXPIRY);
     let second = driver.lease(1).remove(0).lease;
     assert_ne!(first.token, second.token);
     driver.complete(&second, "second");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn leases_lapse_only_after_the_margin() {
+fn leases_expire_only_after_the_margin() {
     let mut driver = Driver::default();
     driver.submit(submission("job", "tenant"), items(1, true));
     driver.lease(1);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn renewal_prolongs_and_refuses_what_must_stop() {
+fn renewal_extends_leases_and_refuses_items_that_must_stop() {
     let mut driver = Driver::default();
     driver.submit(submission("job", "tenant"), items(2, true));
     let lease = driver.lease(1).remove(0).lease;
@@ -185,14 +185,14 @@
             assert_eq!(driver.output("job"), vec![(0, 502)], "{label}");
             assert!(driver.summary("job").request_counts.failed == 1, "{label}");
         }
-        // An old lease handed back again does not free the new one.
+        // Returning an old lease again doesn't release the new one.
         driver.hand_back(&lease, case.reason);
         assert!(driver.lease(1).is_empty(), "{label}");
     }
 }
 
 #[test]
-fn lapsed_non_repeatable_items_run_again_only_if_they_were_not_started() {
+fn expired_non_repeatable_items_run_again_only_if_not_started() {
     for started in [false, true] {
         let mut driver = Driver::default();
         driver.submit(submission("job", "tenant"), items(1, false));
@@ -201,7 +201,7 @@
             let outcome = driver.apply(Action::Start(lease.clone()));
             assert_eq!(outcome, Outcome::Start { allowed: true });
         }
-        driver.tick_after(LAPSE);
+        driver.tick_after(EXPIRY);
         let outcome = driver.apply(Action::Start(lease.clone()));
         assert_eq!(outcome, Outcome::Start { allowed: false });
         assert_eq!(driver.lease(1).is_empty(), started);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn cancelled_only_when_every_lease_is_back() {
+fn a_job_is_cancelled_only_after_all_leases_end() {
     let mut driver = Driver::default();
     driver.submit(submission("job", "tenant"), items(5, true));
     let leases = driver.lease(3);
@@ -240,7 +240,7 @@
     driver.hand_back(&leases[0].lease, HandbackReason::Interrupted);
     driver.complete(&leases[1].lease, "done");
     assert_eq!(driver.status("job"), JobStatus::Cancelling);
-    driver.tick_after(LAPSE);
+    driver.tick_after(EXPIRY);
     assert_eq!(driver.status("job"), JobStatus::Cancelled);
     driver.complete(&leases[2].lease, "too late");
     assert_eq!(driver.output("job"), vec![(1, 200)]);
@@ -308,10 +308,7 @@
     driver.apply(govern(5, true, "a"));
     assert!(driver.lease(1).is_empty(), "paused");
     driver.apply(govern(4, false, "a"));
-    assert!(
-        driver.lease(1).is_empty(),
-        "an older revision does not count"
-    );
+    assert!(driver.lease(1).is_empty(), "an older revision is ignored");
     driver.apply(govern(6, false, "b"));
     assert!(driver.lease(1).is_empty(), "the engine is in zone a");
     driver.apply(govern(7, false, "a"));
@@ -330,12 +327,14 @@
     }
     let summary = driver.summary("job");
     assert!((9_000..=11_000).contains(&summary.items_per_kilosecond));
-    let end = summary.estimated_end_at.expect("there is a rate");
+    let end = summary
+        .estimated_end_at
+        .expect("the job has a completion rate");
     assert!((driver.now + 70_000..driver.now + 90_000).contains(&end));
 }
 
 #[test]
-fn time_does_not_go_back() {
+fn time_is_monotonic() {
     let mut driver = Driver::default();
     driver.submit(submission("job", "tenant"), items(1, true));
     driver.now = 1_000_000;
@@ -372,7 +371,7 @@
 }
 
 #[test]
-fn looking_for_work_in_vain_has_no_effect() {
+fn lease_requests_and_ticks_without_work_have_no_effect() {
     let mut driver = Driver::default();
     let idle = |driver: &mut Driver, action: &Action| {
         let outcome = driver.table.without_effect(action, driver.now);
@@ -380,7 +379,7 @@
             assert_eq!(
                 driver.apply(action.clone()),
                 *outcome,
-                "applied, it is the same"
+                "applying the action gives the same outcome"
             );
         }
         outcome.is_some()
@@ -395,7 +394,7 @@
     let request = Action::Lease(driver.request(2));
     assert!(idle(&mut driver, &request), "the item is leased");
     driver.complete(&lease, "done");
-    driver.tick_after(LAPSE);
+    driver.tick_after(EXPIRY);
     assert!(idle(&mut driver, &Action::Tick), "the job has ended");
     driver.now += DAY;
     assert!(
--- a/crates/firshore-batch/tests/order.rs
+++ b/crates/firshore-batch/tests/order.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn tenants_share_equally_whatever_their_number_of_jobs() {
+fn tenants_share_equally_regardless_of_job_count() {
     let mut driver = Driver::default();
     for number in 0..10 {
         driver.submit(
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_tenant_that_was_away_gets_no_credit() {
+fn an_idle_tenant_accumulates_no_credit() {
     let mut driver = Driver::default();
     driver.submit(submission("early", "a"), items(2000, true));
     shares(&mut driver, 100, 8);
@@ -86,15 +86,15 @@
 }
 
 #[test]
-fn state_beside_the_texts_is_small() {
+fn memory_besides_the_texts_is_bounded() {
     let mut driver = Driver::default();
     driver.submit(submission("large", "a"), items(400_000, true));
     let pending = driver.table.overhead_bytes() as f64 / 400_000.0;
-    assert!(pending < 16.0, "{pending} bytes an item before it runs");
+    assert!(pending < 16.0, "{pending} bytes per pending item");
     while let Some(lease) = driver.lease(1).pop() {
         driver.complete(&lease.lease, "x");
     }
     let finished = driver.table.overhead_bytes() as f64 / 400_000.0;
-    println!("bytes an item beside its texts: {pending:.1} pending, {finished:.1} finished");
-    assert!(finished < 48.0, "{finished} bytes an item with its result");
+    println!("bytes per item besides its texts: {pending:.1} pending, {finished:.1} finished");
+    assert!(finished < 48.0, "{finished} bytes per finished item");
 }
--- a/crates/firshore-batch/tests/random.rs
+++ b/crates/firshore-batch/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random commands, duplicates and lapses over many seeds; the invariants hold after each step,
-//! and a replica restored from a snapshot behaves the same.
+//! Random commands, duplicates and expired leases over many seeds: checks the invariants after
+//! each step, also on a replica restored from a snapshot.
 
 mod common;
 
@@ -17,7 +17,7 @@
 const ITEMS: u32 = 12;
 const JOBS: [&str; 3] = ["one", "two", "three"];
 
-struct World {
+struct RandomRun {
     driver: Driver,
     random: ChaCha8Rng,
     leases: Vec<ItemLease>,
@@ -25,7 +25,7 @@
     outputs: BTreeMap<&'static str, Vec<(u32, u16)>>,
 }
 
-impl World {
+impl RandomRun {
     fn new(seed: u64) -> Self {
         let mut driver = Driver::default();
         for (number, job) in JOBS.into_iter().enumerate() {
@@ -42,7 +42,7 @@
         }
     }
 
-    fn some_lease(&mut self) -> Option<ItemLease> {
+    fn random_lease(&mut self) -> Option<ItemLease> {
         let count = self.leases.len();
         (count > 0).then(|| self.leases[self.random.random_range(0..count)].clone())
     }
@@ -60,12 +60,12 @@
             }
             4 => self.start(),
             5..=6 => {
-                if let Some(lease) = self.some_lease() {
+                if let Some(lease) = self.random_lease() {
                     self.driver.complete(&lease.lease, "text");
                 }
             }
             7 => {
-                if let Some(lease) = self.some_lease() {
+                if let Some(lease) = self.random_lease() {
                     let started = !lease.item.repeatable;
                     let reason = match self.random.random_range(0..3) {
                         0 if !started => HandbackReason::NotRun,
@@ -95,16 +95,16 @@
         }
     }
 
-    /// A non-repeatable item is sent after each allowed start that was not allowed before.
+    /// Starts a random lease and sends its item if it is non-repeatable and the start is allowed.
     fn start(&mut self) {
-        let Some(lease) = self.some_lease() else {
+        let Some(lease) = self.random_lease() else {
             return;
         };
         let position = self
             .leases
             .iter()
             .position(|one| one.lease == lease.lease)
-            .expect("it was taken from there");
+            .expect("the lease is in the list");
         let outcome = self.driver.apply(Action::Start(lease.lease.clone()));
         if outcome != (Outcome::Start { allowed: true }) {
             return;
@@ -114,7 +114,7 @@
         if !lease.item.repeatable {
             let key = (lease.lease.job.clone(), lease.lease.index);
             *self.sent.entry(key).or_default() += 1;
-            // The holder sends once; it only reports from here on.
+            // The holder sends once and only reports afterwards.
             let ended = self.leases.remove(position);
             match self.random.random_range(0..3) {
                 0 => self.driver.complete(&ended.lease, "text"),
@@ -127,7 +127,7 @@
     fn restore(&mut self) {
         let mut bytes = Vec::new();
         ciborium::into_writer(&self.driver.table, &mut bytes).expect("tables serialise");
-        let table: JobTable = ciborium::from_reader(bytes.as_slice()).expect("and back");
+        let table: JobTable = ciborium::from_reader(bytes.as_slice()).expect("tables deserialise");
         self.driver.table = table;
     }
 
@@ -136,7 +136,7 @@
             let summary = self.driver.summary(job);
             let output = self.driver.output(job);
             let distinct: BTreeSet<u32> = output.iter().map(|line| line.0).collect();
-            assert_eq!(distinct.len(), output.len(), "one result an item");
+            assert_eq!(distinct.len(), output.len(), "one result per item");
             let counts = summary.request_counts;
             assert_eq!(counts.completed + counts.failed, output.len() as u32);
             let before = self.outputs.insert(job, output.clone()).unwrap_or_default();
@@ -158,19 +158,19 @@
 #[test]
 fn invariants_hold_over_random_commands() {
     for seed in 0..SEEDS {
-        let mut world = World::new(seed);
+        let mut run = RandomRun::new(seed);
         for _ in 0..STEPS {
-            world.step();
-            world.check();
+            run.step();
+            run.check();
         }
         for job in JOBS {
-            world.driver.apply(Action::Cancel(JobId::from(job)));
+            run.driver.apply(Action::Cancel(JobId::from(job)));
         }
-        world.driver.tick_after(common::LEASE * 2);
+        run.driver.tick_after(common::LEASE * 2);
         for job in JOBS {
-            let status = world.driver.status(job);
+            let status = run.driver.status(job);
             assert!(status.is_terminal(), "seed {seed}: {job} is {status:?}");
         }
-        assert!(world.driver.lease(100).is_empty(), "seed {seed}");
+        assert!(run.driver.lease(100).is_empty(), "seed {seed}");
     }
 }
--- a/crates/firshore-controller/src/controller.rs
+++ b/crates/firshore-controller/src/controller.rs
@@ -5,23 +5,23 @@
 use firshore_types::ids::MachineName;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Orders under way at once in a pool.
-pub const ORDERS_AT_ONCE: usize = 8;
+/// Maximum number of pending orders in a pool.
+pub const MAX_CONCURRENT_ORDERS: usize = 8;
 
-/// Orders under way at once in a pool that draw on the weight store, whose rate is limited.
-pub const LOADS_AT_ONCE: usize = 2;
+/// Maximum number of pending orders in a pool that read from the rate-limited weight store.
+pub const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// Milliseconds after which an unanswered order is sent again under the same token.
+/// Milliseconds after which an unacknowledged order is sent again with the same token.
 pub const RESEND_MILLISECONDS: u64 = 2_000;
 
-/// Milliseconds in which an engine must report the effect of an order; then it is planned anew.
-/// Reports lag.
+/// Milliseconds within which an engine must report the effect of an order before it is planned
+/// again; allows for the delay of reports.
 pub const ROLE_EFFECT_MILLISECONDS: u64 = 15_000;
 
-/// The same for orders that load a model.
+/// Same limit for orders that load a model, in milliseconds.
 pub const LOAD_EFFECT_MILLISECONDS: u64 = 600_000;
 
-/// What happened.
+/// Input of the controller.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// This node leads the pool's journal group under `term`.
@@ -31,56 +31,56 @@
     },
     /// This node no longer leads.
     Follow,
-    /// The engines as they report now, by governing policy.
+    /// Current reports of the engines, grouped by policy.
     Tick(Vec<Group>),
-    /// An engine answered an order.
+    /// An engine responded to an order.
     Answered {
         /// Engine.
         engine: MachineName,
         /// Token of the order.
         fence: Fence,
-        /// Answer.
+        /// Response.
         answer: Answer,
     },
 }
 
-/// An engine's answer to an order.
+/// An engine's response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It carries the order out, or has.
+    /// The engine accepted the order or has carried it out.
     Taken,
-    /// It holds a newer token.
+    /// The engine has a newer token.
     Stale(Fence),
-    /// No answer, or none that is understood; the order may have been taken.
+    /// No valid response; the engine may have accepted the order.
     Lost,
 }
 
-/// What is to be done.
+/// Output of the controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send an order and report the answer by [`Input::Answered`].
+    /// Send an order and pass the response as [`Input::Answered`].
     Send {
         /// Receiver.
         engine: MachineName,
         /// Order.
         order: FencedOrder,
     },
-    /// Another controller, of a later term, commands the engines; this one gives no more orders.
+    /// A controller of a later term sends orders to the engines; this one stops.
     Deposed {
-        /// Token that showed it.
+        /// Newer token that an engine has.
         held: Fence,
     },
 }
 
 #[derive(Clone, Debug)]
-struct UnderWay {
+struct PendingOrder {
     order: FencedOrder,
     first_sent_at: u64,
     sent_at: u64,
-    taken: bool,
+    accepted: bool,
 }
 
-impl UnderWay {
+impl PendingOrder {
     fn has_effect(&self, engine: &EngineView) -> bool {
         match &self.order.order {
             Order::SetRole { role } => engine.role == *role,
@@ -90,7 +90,7 @@
     }
 
     fn is_overdue(&self, now: u64) -> bool {
-        let allowed = if self.order.order.draws_weights() {
+        let allowed = if self.order.order.reads_weight_store() {
             LOAD_EFFECT_MILLISECONDS
         } else {
             ROLE_EFFECT_MILLISECONDS
@@ -102,32 +102,32 @@
 /// Controller of one pool.
 #[derive(Debug, Default)]
 pub struct Controller {
-    /// Term in which it leads; `None` while it does not.
+    /// Term in which this node leads; `None` while it doesn't lead.
     term: Option<u64>,
-    /// Latest term known to command engines; leading under an earlier one is over.
+    /// Later term that an engine reported; leading under an earlier term is refused.
     deposed_by: Option<u64>,
     sequence: u64,
-    under_way: BTreeMap<MachineName, UnderWay>,
+    pending: BTreeMap<MachineName, PendingOrder>,
 }
 
 impl Controller {
-    /// Whether it gives orders.
+    /// Returns whether this controller sends orders.
     pub fn is_leading(&self) -> bool {
         self.term.is_some()
     }
 
-    /// Orders whose effect has not shown yet.
-    pub fn orders_under_way(&self) -> usize {
-        self.under_way.len()
+    /// Returns the number of orders without a reported effect.
+    pub fn pending_orders(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Advances the controller to `now` (milliseconds on any monotone clock).
+    /// Advances the controller to `now` (milliseconds of a monotonic clock).
     pub fn step(&mut self, now: u64, input: Input) -> Vec<Output> {
         match input {
             Input::Lead { term } => self.lead(term),
             Input::Follow => {
                 self.term = None;
-                self.under_way.clear();
+                self.pending.clear();
                 Vec::new()
             }
             Input::Tick(groups) => self.tick(now, &groups),
@@ -135,7 +135,7 @@
                 engine,
                 fence,
                 answer,
-            } => self.answered(&engine, fence, answer),
+            } => self.handle_response(&engine, fence, answer),
         }
     }
 
@@ -144,7 +144,7 @@
         if !is_over && self.term != Some(term) {
             self.term = Some(term);
             self.sequence = 0;
-            self.under_way.clear();
+            self.pending.clear();
         }
         Vec::new()
     }
@@ -153,12 +153,12 @@
         let Some(term) = self.term else {
             return Vec::new();
         };
-        self.settle(now, groups);
+        self.drop_settled(now, groups);
         let mut outputs = self.resend(now);
         for group in groups {
-            let busy: BTreeSet<MachineName> = self.under_way.keys().cloned().collect();
+            let busy: BTreeSet<MachineName> = self.pending.keys().cloned().collect();
             for planned in group.plan(&busy) {
-                if !self.has_room_for(&planned.order) {
+                if !self.has_capacity_for(&planned.order) {
                     continue;
                 }
                 self.sequence += 1;
@@ -170,13 +170,13 @@
                     fence,
                     order: planned.order,
                 };
-                self.under_way.insert(
+                self.pending.insert(
                     planned.engine.clone(),
-                    UnderWay {
+                    PendingOrder {
                         order: order.clone(),
                         first_sent_at: now,
                         sent_at: now,
-                        taken: false,
+                        accepted: false,
                     },
                 );
                 let engine = planned.engine;
@@ -186,48 +186,53 @@
         outputs
     }
 
-    /// Forgets orders that show their effect, or never did, or whose engine is gone.
-    fn settle(&mut self, now: u64, groups: &[Group]) {
+    /// Drops orders that took effect, are overdue or whose engine was removed.
+    fn drop_settled(&mut self, now: u64, groups: &[Group]) {
         let engines: BTreeMap<&MachineName, &EngineView> = groups
             .iter()
             .flat_map(|group| &group.engines)
             .map(|engine| (&engine.name, engine))
             .collect();
-        self.under_way.retain(|name, under_way| {
+        self.pending.retain(|name, pending| {
             let Some(engine) = engines.get(name) else {
                 return false;
             };
-            !under_way.has_effect(engine) && !under_way.is_overdue(now)
+            !pending.has_effect(engine) && !pending.is_overdue(now)
         });
     }
 
     fn resend(&mut self, now: u64) -> Vec<Output> {
         let mut outputs = Vec::new();
-        for (engine, under_way) in &mut self.under_way {
-            let due = now.saturating_sub(under_way.sent_at) >= RESEND_MILLISECONDS;
-            if under_way.taken || !due {
+        for (engine, pending) in &mut self.pending {
+            let due = now.saturating_sub(pending.sent_at) >= RESEND_MILLISECONDS;
+            if pending.accepted || !due {
                 continue;
             }
-            under_way.sent_at = now;
+            pending.sent_at = now;
             outputs.push(Output::Send {
                 engine: engine.clone(),
-                order: under_way.order.clone(),
+                order: pending.order.clone(),
             });
         }
         outputs
     }
 
-    fn has_room_for(&self, order: &Order) -> bool {
+    fn has_capacity_for(&self, order: &Order) -> bool {
         let loads = self
-            .under_way
+            .pending
             .values()
-            .filter(|under_way| under_way.order.order.draws_weights())
+            .filter(|pending| pending.order.order.reads_weight_store())
             .count();
-        let load_fits = !order.draws_weights() || loads < LOADS_AT_ONCE;
-        load_fits && self.under_way.len() < ORDERS_AT_ONCE
+        let load_fits = !order.reads_weight_store() || loads < MAX_CONCURRENT_LOADS;
+        load_fits && self.pending.len() < MAX_CONCURRENT_ORDERS
     }
 
-    fn answered(&mut self, engine: &MachineName, fence: Fence, answer: Answer) -> Vec<Output> {
+    fn handle_response(
+        &mut self,
+        engine: &MachineName,
+        fence: Fence,
+        answer: Answer,
+    ) -> Vec<Output> {
         let Some(term) = self.term else {
             return Vec::new();
         };
@@ -235,18 +240,18 @@
             Answer::Stale(held) if held.term > term => {
                 self.term = None;
                 self.deposed_by = Some(held.term);
-                self.under_way.clear();
+                self.pending.clear();
                 return vec![Output::Deposed { held }];
             }
             Answer::Stale(held) => {
-                // An order of this term that this controller no longer remembers.
+                // The engine has a newer order of this term that this controller has dropped.
                 self.sequence = self.sequence.max(held.sequence);
-                self.under_way.remove(engine);
+                self.pending.remove(engine);
             }
             Answer::Taken => {
-                let current = self.under_way.get_mut(engine);
-                if let Some(under_way) = current.filter(|one| one.order.fence == fence) {
-                    under_way.taken = true;
+                let current = self.pending.get_mut(engine);
+                if let Some(pending) = current.filter(|one| one.order.fence == fence) {
+                    pending.accepted = true;
                 }
             }
             Answer::Lost => {}
--- a/crates/firshore-controller/src/coverage.rs
+++ b/crates/firshore-controller/src/coverage.rs
@@ -1,11 +1,11 @@
-//! Which work a group's engines can take, so that no change takes the last engine for any of it.
+//! Work that a group's engines accept, to prevent changes that remove the last engine for it.
 
 use crate::plan::{EngineView, Group};
 use firshore_types::declaration::EngineRole;
 use firshore_types::ids::MachineName;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Kind of work that an engine takes.
+/// Kind of work that an engine accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Work {
     /// Online requests.
@@ -14,7 +14,7 @@
     Batch,
 }
 
-/// Work that an engine in `role` takes.
+/// Returns the work that an engine in `role` accepts.
 pub fn work_of(role: EngineRole) -> &'static [Work] {
     match role {
         EngineRole::Mixed => &[Work::Online, Work::Batch],
@@ -23,7 +23,7 @@
     }
 }
 
-/// Counts, for each model and kind of work, the engines that take it now.
+/// Counts, for each model and kind of work, the engines that currently accept it.
 #[derive(Debug)]
 pub struct Coverage {
     models: Vec<String>,
@@ -33,7 +33,7 @@
 }
 
 impl Coverage {
-    /// Coverage by the engines that are available and not among `busy`.
+    /// Computes the coverage by available engines that are not in `busy`.
     pub fn of(group: &Group, busy: &BTreeSet<MachineName>) -> Self {
         let targets = group.role_targets();
         let wanted = targets
@@ -71,7 +71,7 @@
         self.counted.insert(engine.name.clone());
     }
 
-    /// Counts an engine as absent from now on.
+    /// Removes an engine from the counts.
     pub fn remove(&mut self, engine: &EngineView) {
         if !self.counted.remove(&engine.name) {
             return;
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Whether another engine takes this work when `engine` no longer does.
+    /// Returns whether an engine other than `engine` accepts this work.
     fn is_covered_without(&self, engine: &EngineView, model: &str, work: Work) -> bool {
-        let own = usize::from(self.counted.contains(&engine.name));
+        let self_count = usize::from(self.counted.contains(&engine.name));
         let count = self.counts.get(&(model.to_owned(), work)).copied();
-        count.unwrap_or(0) > own
+        count.unwrap_or(0) > self_count
     }
 
-    /// Whether `engine` may take `role` without leaving wanted work of a model to nobody.
+    /// Returns whether all wanted work of `engine`'s models stays covered when it changes to `role`.
     pub fn can_change_role(&self, engine: &EngineView, role: EngineRole) -> bool {
         let kept = work_of(role);
         let lost = work_of(engine.role)
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Whether `engine` may drop `model` without leaving any of its work to nobody.
+    /// Returns whether all work of `model` stays covered when `engine` unloads it.
     pub fn can_drop_model(&self, engine: &EngineView, model: &str) -> bool {
         let needed = self.models.iter().any(|needed| needed == model);
         !needed
--- a/crates/firshore-controller/src/grouping.rs
+++ b/crates/firshore-controller/src/grouping.rs
@@ -1,4 +1,4 @@
-//! Which engines of a pool a policy's role shares govern, and which models they must serve.
+//! Groups a pool's engines by the policy whose role shares apply, with the models to serve.
 
 use crate::plan::{EngineView, Group, ModelDemand};
 use firshore_types::configuration::Configuration;
@@ -12,14 +12,13 @@
 pub struct ReportedEngine {
     /// Row of the machine list.
     pub machine: Machine,
-    /// What it reported.
+    /// Latest report.
     pub view: EngineView,
 }
 
-/// The groups of pool `pool`: engines under the same policy belong together. An engine's policy is
-/// the last, in order of name, that sets role shares, whose `backends` match the engine, and whose
-/// `services` match a service of the pool. Engines without one are grouped with their roles left
-/// alone.
+/// Returns the groups of pool `pool`, one per policy. An engine's policy is the last by name that
+/// sets role shares, whose `backends` match the engine, and whose `services` match a service
+/// of the pool. Engines without a policy form a group whose roles stay unchanged.
 pub fn groups(configuration: &Configuration, pool: &str, engines: &[ReportedEngine]) -> Vec<Group> {
     let services: Vec<&Labels> = configuration
         .services()
@@ -53,7 +52,7 @@
         .collect()
 }
 
-/// Whether any policy gives role shares at all; without one there is nothing to control.
+/// Returns whether any policy sets role shares; without one the controller isn't needed.
 pub fn has_shares(configuration: &Configuration) -> bool {
     let mut policies = configuration.policies();
     policies.any(|(_, spec)| !spec.role_shares.is_empty())
@@ -81,7 +80,7 @@
     models
 }
 
-/// An engine's requests count in equal parts for the models that it holds.
+/// Computes the demand for each model; an engine's requests are split equally among its models.
 fn demand(models: &[String], engines: &[EngineView]) -> Vec<ModelDemand> {
     let weight = |model: &String| {
         let holding = engines
--- a/crates/firshore-controller/src/lib.rs
+++ b/crates/firshore-controller/src/lib.rs
@@ -1,5 +1,5 @@
 //! Turns declared role shares and the demand for models into fenced orders to engines: a bounded
-//! number at once, rolled so that a pool never loses its last engine for a model or a role. State
+//! number in flight, rolled out so that a pool keeps an engine for each model and role. State
 //! machines without I/O.
 #![deny(missing_docs, unsafe_code)]
 
--- a/crates/firshore-controller/src/order.rs
+++ b/crates/firshore-controller/src/order.rs
@@ -1,10 +1,10 @@
-//! Orders to engines, as they go over the wire.
+//! Orders to engines, in their wire format.
 
 use firshore_types::declaration::EngineRole;
 use serde::{Deserialize, Serialize};
 
-/// Fencing token: a later term beats any sequence of an earlier one, and within a term the larger
-/// sequence wins. Engines refuse an order with an older token than they hold.
+/// Fencing token, ordered by term, then by sequence. Engines refuse an order with an older token
+/// than their latest.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,21 +15,21 @@
     pub sequence: u64,
 }
 
-/// What an engine is told.
+/// A change that an engine must make.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Order {
-    /// Load a model, beside those loaded.
+    /// Load a model in addition to those loaded.
     LoadModel {
         /// Model.
         model: String,
     },
-    /// Drop a model; its runs go on to their end.
+    /// Unload a model; its current runs finish.
     UnloadModel {
         /// Model.
         model: String,
     },
-    /// Take a role; runs go on to their end.
+    /// Change the role; current runs finish.
     SetRole {
         /// Role.
         role: EngineRole,
@@ -37,13 +37,13 @@
 }
 
 impl Order {
-    /// Whether carrying it out draws on the weight store.
-    pub fn draws_weights(&self) -> bool {
+    /// Returns whether the order reads from the weight store.
+    pub fn reads_weight_store(&self) -> bool {
         matches!(self, Self::LoadModel { .. })
     }
 }
 
-/// An order with the token that orders it among others.
+/// An order with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
     /// Token.
--- a/crates/firshore-controller/src/plan.rs
+++ b/crates/firshore-controller/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a group of engines should look like, and the orders that bring it nearer.
+//! Targets for a group of engines, and the orders that approach them.
 
 use crate::coverage::Coverage;
 use crate::order::Order;
@@ -6,8 +6,8 @@
 use firshore_types::ids::MachineName;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Engines more or less than the target that are left alone, so that a demand that wavers does not
-/// make models move to and fro.
+/// Accepted difference between engines and target, so that small changes in demand don't load and
+/// unload models repeatedly.
 pub const MODEL_HYSTERESIS: usize = 1;
 
 /// An engine as it last reported.
@@ -21,7 +21,7 @@
     pub models: Vec<String>,
     /// Requests running and waiting.
     pub busy: u32,
-    /// Whether it is live, takes new work and reported lately.
+    /// Whether it is live, accepts new work and reported recently.
     pub available: bool,
 }
 
@@ -45,7 +45,7 @@
     pub demand: Vec<ModelDemand>,
 }
 
-/// An order that the plan asks for.
+/// An order of the plan and the engine that receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOrder {
     /// Receiver.
@@ -54,8 +54,8 @@
     pub order: Order,
 }
 
-/// Divides `count` among `weights` in proportion, by largest remainder, giving at least one to each
-/// positive weight as long as there are enough. Ties go to the earlier.
+/// Divides `count` in proportion to `weights` by largest remainder, with at least one for each
+/// positive weight if `count` suffices. Ties go to the earlier weight.
 pub fn apportion(weights: &[u64], count: usize) -> Vec<usize> {
     let positive = weights.iter().filter(|weight| **weight > 0).count();
     let total: u128 = weights.iter().map(|weight| u128::from(*weight)).sum();
@@ -68,8 +68,8 @@
     let mut remainders = Vec::new();
     for (index, weight) in weights.iter().enumerate() {
         let exact = spare * u128::from(*weight);
-        let least = if *weight > 0 { minimum } else { 0 };
-        parts.push((exact / total) as usize + least);
+        let guaranteed = if *weight > 0 { minimum } else { 0 };
+        parts.push((exact / total) as usize + guaranteed);
         remainders.push((std::cmp::Reverse(exact % total), index));
     }
     remainders.sort();
@@ -81,38 +81,45 @@
 }
 
 impl Group {
-    /// Engines wanted in each role. With fewer engines than roles all are mixed, so that nothing
-    /// the shares ask for goes without an engine.
+    /// Returns the target number of engines in each role. With fewer engines than roles all are
+    /// mixed, so that each role in the shares is covered.
     pub fn role_targets(&self) -> BTreeMap<EngineRole, usize> {
         let count = self.engines.len();
-        let asked: Vec<(EngineRole, u8)> = self
+        let requested: Vec<(EngineRole, u8)> = self
             .shares
             .iter()
             .filter(|(_, share)| **share > 0)
             .map(|(role, share)| (*role, *share))
             .collect();
-        if asked.is_empty() {
+        if requested.is_empty() {
             return BTreeMap::new();
         }
-        if count < asked.len() {
+        if count < requested.len() {
             return BTreeMap::from([(EngineRole::Mixed, count)]);
         }
-        let weights: Vec<u64> = asked.iter().map(|(_, share)| u64::from(*share)).collect();
+        let weights: Vec<u64> = requested
+            .iter()
+            .map(|(_, share)| u64::from(*share))
+            .collect();
         let parts = apportion(&weights, count);
-        asked.into_iter().map(|(role, _)| role).zip(parts).collect()
+        requested
+            .into_iter()
+            .map(|(role, _)| role)
+            .zip(parts)
+            .collect()
     }
 
-    /// Engines wanted for each model.
+    /// Returns the target number of engines for each model.
     pub fn model_targets(&self) -> BTreeMap<String, usize> {
-        // A model without demand still gets its one engine.
+        // A model without demand still gets one engine.
         let weights: Vec<u64> = self.demand.iter().map(|one| one.weight.max(1)).collect();
         let parts = apportion(&weights, self.engines.len());
         let models = self.demand.iter().map(|one| one.model.clone());
         models.zip(parts).collect()
     }
 
-    /// The next safe orders, at most one for each engine, in the order in which they matter.
-    /// `busy` names engines whose last order has not shown its effect yet; they count as absent.
+    /// Returns the next safe orders, at most one for each engine, the most important first.
+    /// Engines in `busy` have a pending order and count as unavailable.
     pub fn plan(&self, busy: &BTreeSet<MachineName>) -> Vec<PlannedOrder> {
         let mut coverage = Coverage::of(self, busy);
         let mut planned = Vec::new();
@@ -142,13 +149,13 @@
         self.engines.iter().filter(holds).count()
     }
 
-    fn is_placed(&self) -> bool {
+    fn has_loaded_models(&self) -> bool {
         self.engines.iter().any(|engine| !engine.models.is_empty())
     }
 
-    /// Loads models that too few engines hold on the engines that hold the fewest models.
+    /// Loads models below their target on the engines with the fewest models.
     fn plan_loads(&self, busy: &BTreeSet<MachineName>, planned: &mut Vec<PlannedOrder>) {
-        if !self.is_placed() {
+        if !self.has_loaded_models() {
             return;
         }
         for (model, target) in self.model_targets() {
@@ -207,7 +214,7 @@
         }
     }
 
-    /// Drops models that more engines hold than wanted from engines that hold another too.
+    /// Unloads models above their target from engines with more than one model.
     fn plan_unloads(
         &self,
         busy: &BTreeSet<MachineName>,
--- a/crates/firshore-controller/tests/controller.rs
+++ b/crates/firshore-controller/tests/controller.rs
@@ -1,10 +1,10 @@
-//! Orders are fenced, bounded, repeated under their token, and stop when deposed.
+//! Fencing, limits and repetition of orders, and the end of leadership.
 
 mod support;
 
 use firshore_controller::controller::{
-    Answer, Controller, Input, LOAD_EFFECT_MILLISECONDS, LOADS_AT_ONCE, ORDERS_AT_ONCE, Output,
-    RESEND_MILLISECONDS, ROLE_EFFECT_MILLISECONDS,
+    Answer, Controller, Input, LOAD_EFFECT_MILLISECONDS, MAX_CONCURRENT_LOADS,
+    MAX_CONCURRENT_ORDERS, Output, RESEND_MILLISECONDS, ROLE_EFFECT_MILLISECONDS,
 };
 use firshore_controller::coverage::{Work, work_of};
 use firshore_controller::order::{Fence, FencedOrder, Order};
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_follower_orders_nothing() {
+fn a_follower_sends_no_orders() {
     let mut controller = Controller::default();
     assert!(controller.step(0, halves(fleet(4))).is_empty());
     let mut controller = leading(3);
@@ -53,10 +53,10 @@
 }
 
 #[test]
-fn orders_are_bounded_and_their_tokens_rise() {
+fn orders_are_bounded_and_their_tokens_increase() {
     let mut controller = leading(3);
     let orders = sent(&controller.step(0, halves(fleet(40))));
-    assert_eq!(orders.len(), ORDERS_AT_ONCE);
+    assert_eq!(orders.len(), MAX_CONCURRENT_ORDERS);
     for (number, (_, order)) in orders.iter().enumerate() {
         let sequence = number as u64 + 1;
         assert_eq!(order.fence, Fence { term: 3, sequence });
@@ -68,11 +68,11 @@
         .for_each(|engine| engine.models = vec!["old".to_owned()]);
     let loads = Input::Tick(vec![group(without, &[], &[("m", 1)])]);
     let orders = sent(&leading(1).step(0, loads));
-    assert_eq!(orders.len(), LOADS_AT_ONCE);
+    assert_eq!(orders.len(), MAX_CONCURRENT_LOADS);
 }
 
 #[test]
-fn an_unanswered_order_is_repeated_under_its_token() {
+fn an_unacknowledged_order_is_resent_with_its_token() {
     let mut controller = leading(3);
     let first = sent(&controller.step(0, halves(fleet(3))));
     assert!(!first.is_empty());
@@ -93,9 +93,12 @@
     }
     assert!(sent(&controller.step(3 * RESEND_MILLISECONDS, halves(fleet(3)))).is_empty());
     let overdue = ROLE_EFFECT_MILLISECONDS + 1;
-    let anew = sent(&controller.step(overdue, halves(fleet(3))));
-    assert!(!anew.is_empty(), "an order without effect is planned anew");
-    assert!(anew[0].1.fence > first[0].1.fence);
+    let replanned = sent(&controller.step(overdue, halves(fleet(3))));
+    assert!(
+        !replanned.is_empty(),
+        "an order without effect is planned again"
+    );
+    assert!(replanned[0].1.fence > first[0].1.fence);
     assert!(overdue < LOAD_EFFECT_MILLISECONDS);
 }
 
@@ -137,20 +140,20 @@
     assert!(controller.step(4, halves(fleet(4))).is_empty());
     assert!(!controller.is_leading());
     controller.step(5, Input::Lead { term: 3 });
-    assert!(!controller.is_leading(), "the old term stays over");
+    assert!(!controller.is_leading(), "an earlier term is refused");
     controller.step(6, Input::Lead { term: 4 });
     assert!(controller.is_leading());
 }
 
-/// Engines as they are, each with the report that the controllers see.
-struct World {
+/// Actual state of the engines and the reports that the controllers receive.
+struct SimulatedPool {
     random: ChaCha8Rng,
     engines: Vec<EngineView>,
     reported: Vec<EngineView>,
     held: Vec<Fence>,
 }
 
-impl World {
+impl SimulatedPool {
     fn carry_out(&mut self, name: &MachineName, order: &FencedOrder) -> Answer {
         let index = self
             .engines
@@ -214,7 +217,7 @@
                 };
                 assert!(
                     self.engines.iter().any(takes),
-                    "nobody takes {work:?} of {model}"
+                    "no engine accepts {work:?} of {model}"
                 );
             }
         }
@@ -222,7 +225,7 @@
 }
 
 #[test]
-fn no_work_ever_loses_its_last_engine() {
+fn all_work_stays_covered_by_an_engine() {
     let shapes = [
         [(Online, 50), (Batch, 50)],
         [(Online, 20), (Mixed, 80)],
@@ -234,7 +237,7 @@
             let models: &[&str] = [&["m"][..], &["n"], &["m", "n"]][number % 3];
             engine.models = models.iter().map(|model| (*model).to_owned()).collect();
         }
-        let mut world = World {
+        let mut pool = SimulatedPool {
             random: ChaCha8Rng::seed_from_u64(seed),
             reported: engines.clone(),
             held: vec![Fence::default(); engines.len()],
@@ -245,13 +248,13 @@
         for (round, shares) in shapes.iter().enumerate() {
             for _ in 0..400 {
                 now += 500;
-                world.report();
-                let group = world.group(shares);
-                world.drive(now, &mut controller, group);
+                pool.report();
+                let group = pool.group(shares);
+                pool.drive(now, &mut controller, group);
             }
-            let targets = world.group(shares).role_targets();
+            let targets = pool.group(shares).role_targets();
             for (role, target) in targets {
-                let count = world
+                let count = pool
                     .engines
                     .iter()
                     .filter(|engine| engine.role == role)
@@ -270,7 +273,7 @@
 
 #[test]
 fn a_deposed_controller_changes_nothing() {
-    let mut world = World {
+    let mut pool = SimulatedPool {
         random: ChaCha8Rng::seed_from_u64(1),
         reported: fleet(8),
         held: vec![Fence::default(); 8],
@@ -280,11 +283,11 @@
     let late = sent(&old.step(0, halves(fleet(8))));
     let mut new = leading(6);
     for (engine, order) in sent(&new.step(0, halves(fleet(8)))) {
-        world.carry_out(&engine, &order);
+        pool.carry_out(&engine, &order);
     }
-    let before = world.engines.clone();
+    let before = pool.engines.clone();
     for (engine, order) in late {
-        let answer = world.carry_out(&engine, &order);
+        let answer = pool.carry_out(&engine, &order);
         assert!(matches!(answer, Answer::Stale(held) if held.term == 6));
         let fence = order.fence;
         old.step(
@@ -296,6 +299,6 @@
             },
         );
     }
-    assert_eq!(world.engines, before);
+    assert_eq!(pool.engines, before);
     assert!(!old.is_leading());
 }
--- a/crates/firshore-controller/tests/grouping.rs
+++ b/crates/firshore-controller/tests/grouping.rs
@@ -1,4 +1,4 @@
-//! Labels decide which policy's shares govern an engine.
+//! Selection of the policy whose shares apply to an engine.
 
 mod support;
 
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn without_shares_roles_are_left_alone() {
+fn roles_stay_unchanged_without_shares() {
     let configuration = configuration(&[("p", "{priority: 3}")]);
     assert!(!has_shares(&configuration));
     let found = groups(&configuration, "engines", &[reported("x", "large", 0)]);
--- a/crates/firshore-controller/tests/plan.rs
+++ b/crates/firshore-controller/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Shares and demand become orders that leave no work without an engine.
+//! Orders planned from shares and demand; all work stays covered by an engine.
 
 mod support;
 
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn orders_are_few_and_safe() {
+fn orders_are_minimal_and_keep_coverage() {
     let halves = [(Online, 50), (Batch, 50)];
-    let mut gone = engine("b", Mixed, &["m"], 0);
-    gone.available = false;
+    let mut unavailable = engine("b", Mixed, &["m"], 0);
+    unavailable.available = false;
     let cases: [(&str, Group, &[&str], &[&str]); 13] = [
         (
             "as wanted",
@@ -69,7 +69,7 @@
             &[],
         ),
         (
-            "the idler one first, the other must wait for it",
+            "the less busy engine first, then the other",
             group(
                 vec![engine("a", Mixed, &["m"], 5), engine("b", Mixed, &["m"], 1)],
                 &halves,
@@ -101,7 +101,7 @@
         (
             "the last that is available stays",
             group(
-                vec![engine("a", Mixed, &["m"], 0), gone],
+                vec![engine("a", Mixed, &["m"], 0), unavailable],
                 &halves,
                 &[("m", 1)],
             ),
@@ -129,7 +129,7 @@
             &["b Batch"],
         ),
         (
-            "a model that nobody holds",
+            "a model that no engine holds",
             group(
                 vec![engine("a", Mixed, &["m"], 3), engine("b", Mixed, &["m"], 1)],
                 &[],
@@ -168,7 +168,7 @@
             &["a +n", "b +n"],
         ),
         (
-            "a model nobody needs any more",
+            "a model that is no longer needed",
             group(vec![engine("a", Mixed, &["m", "old"], 0)], &[], &[("m", 1)]),
             &[],
             &["a -old"],
