--- a/crates/firshore-batch/src/job_state.rs
+++ b/crates/firshore-batch/src/job_state.rs
@@ -167,7 +167,7 @@
             started: false,
         };
         self.leases.insert(index, lease);
-        self.granted(&LeaseReference {
+        self.leased_item(&LeaseReference {
             job: self.submission.job.clone(),
             index,
             token,
@@ -175,7 +175,7 @@
     }
 
     /// Returns the item of an open lease.
-    pub(crate) fn granted(&self, lease: &LeaseReference) -> Option<ItemLease> {
+    pub(crate) fn leased_item(&self, lease: &LeaseReference) -> Option<ItemLease> {
         self.open_lease(lease)?;
         let index = lease.index;
         Some(ItemLease {
--- a/crates/firshore-batch/src/queue.rs
+++ b/crates/firshore-batch/src/queue.rs
@@ -1,5 +1,5 @@
 //! The order in which jobs are served: strictly by priority; among tenants of one priority by
-//! start-time fair queuing (Goyal, Vin and Cheng, 1996), one item costing one; within a tenant by
+//! start-time fair queuing (Goyal, Vin and Cheng, 1996), where each item costs 1; within a tenant by
 //! deadline, then by age.
 
 use firshore_types::declaration::Priority;
--- a/crates/firshore-batch/src/table.rs
+++ b/crates/firshore-batch/src/table.rs
@@ -20,7 +20,7 @@
 /// Maximum duration of a lease, in milliseconds.
 pub const MAX_LEASE_MILLISECONDS: u64 = 60_000;
 
-/// Time without a new chunk after which an upload is dropped, in milliseconds.
+/// Time after the last received chunk at which an upload is dropped, in milliseconds.
 pub const UPLOAD_IDLE_MILLISECONDS: u64 = 60_000;
 
 /// Maximum number of open uploads in a table.
@@ -36,7 +36,7 @@
     leases: Vec<LeaseReference>,
 }
 
-/// All jobs.
+/// Jobs, uploads and lease grants of a journal group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct JobTable {
     /// Latest timestamp applied; keeps time monotonic when the leader changes.
@@ -286,7 +286,7 @@
     fn open_leases(&self, grant: &Grant) -> Vec<ItemLease> {
         let leases = grant.leases.iter();
         leases
-            .filter_map(|lease| self.jobs.get(&lease.job)?.granted(lease))
+            .filter_map(|lease| self.jobs.get(&lease.job)?.leased_item(lease))
             .collect()
     }
 
--- a/crates/firshore-batch/tests/common/mod.rs
+++ b/crates/firshore-batch/tests/common/mod.rs
@@ -99,7 +99,7 @@
         let request = self.request(count);
         match self.apply(Action::Lease(request)) {
             Outcome::Leased(leases) => leases,
-            other => panic!("leases expected, not {other:?}"),
+            other => panic!("unexpected outcome of a lease request: {other:?}"),
         }
     }
 
--- a/crates/firshore-batch/tests/lifecycle.rs
+++ b/crates/firshore-batch/tests/lifecycle.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn handed_back_items() {
+fn returned_leases_requeue_items_that_may_run_again() {
     struct Case {
         repeatable: bool,
         reason: HandbackReason,
@@ -264,8 +264,8 @@
     assert_eq!(driver.output("job"), output);
     let page = driver.table.output(&JobId::from("job"), 2, 1, 1000);
     assert_eq!((page[0].position, page[0].index), (2, 2));
-    let executions = |text: &str| text.contains(r#""execution":"none""#);
-    assert!(executions(&page[0].result.body), "item 2 was never sent");
+    let is_not_run = |text: &str| text.contains(r#""execution":"none""#);
+    assert!(is_not_run(&page[0].result.body), "item 2 was never sent");
     let counts = driver.summary("job").request_counts;
     assert_eq!((counts.completed, counts.failed), (1, 3));
 }
@@ -373,7 +373,7 @@
 #[test]
 fn lease_requests_and_ticks_without_work_have_no_effect() {
     let mut driver = Driver::default();
-    let idle = |driver: &mut Driver, action: &Action| {
+    let has_no_effect = |driver: &mut Driver, action: &Action| {
         let outcome = driver.table.without_effect(action, driver.now);
         if let Some(outcome) = &outcome {
             assert_eq!(
@@ -385,20 +385,23 @@
         outcome.is_some()
     };
     let request = Action::Lease(driver.request(2));
-    assert!(idle(&mut driver, &request));
-    assert!(idle(&mut driver, &Action::Tick));
+    assert!(has_no_effect(&mut driver, &request));
+    assert!(has_no_effect(&mut driver, &Action::Tick));
     driver.submit(submission("job", "tenant"), items(1, true));
-    assert!(!idle(&mut driver, &Action::Tick), "a job runs");
-    assert!(!idle(&mut driver, &request), "an item waits");
+    assert!(!has_no_effect(&mut driver, &Action::Tick), "a job runs");
+    assert!(!has_no_effect(&mut driver, &request), "an item is pending");
     let lease = driver.lease(1).remove(0).lease;
     let request = Action::Lease(driver.request(2));
-    assert!(idle(&mut driver, &request), "the item is leased");
+    assert!(has_no_effect(&mut driver, &request), "the item is leased");
     driver.complete(&lease, "done");
     driver.tick_after(EXPIRY);
-    assert!(idle(&mut driver, &Action::Tick), "the job has ended");
+    assert!(
+        has_no_effect(&mut driver, &Action::Tick),
+        "the job has ended"
+    );
     driver.now += DAY;
     assert!(
-        !idle(&mut driver, &Action::Tick),
-        "the job is to be deleted"
+        !has_no_effect(&mut driver, &Action::Tick),
+        "the retention has ended"
     );
 }
--- a/crates/firshore-controller/tests/plan.rs
+++ b/crates/firshore-controller/tests/plan.rs
@@ -50,7 +50,7 @@
     unavailable.available = false;
     let cases: [(&str, Group, &[&str], &[&str]); 13] = [
         (
-            "as wanted",
+            "targets are met",
             group(
                 vec![
                     engine("a", Online, &["m"], 0),
@@ -79,7 +79,7 @@
             &["b Online"],
         ),
         (
-            "the other once the first reports",
+            "the other after the first reports",
             group(
                 vec![engine("a", Mixed, &["m"], 5), engine("b", Batch, &["m"], 1)],
                 &halves,
@@ -89,7 +89,7 @@
             &["a Online"],
         ),
         (
-            "not while the first is under way",
+            "not while the first order is pending",
             group(
                 vec![engine("a", Mixed, &["m"], 5), engine("b", Mixed, &["m"], 1)],
                 &halves,
@@ -99,7 +99,7 @@
             &[],
         ),
         (
-            "the last that is available stays",
+            "the last available engine keeps its role",
             group(
                 vec![engine("a", Mixed, &["m"], 0), unavailable],
                 &halves,
@@ -115,7 +115,7 @@
             &["a Mixed"],
         ),
         (
-            "the last online engine for a model stays",
+            "the last online engine for a model keeps its role",
             group(
                 vec![
                     engine("a", Online, &["m"], 0),
@@ -139,7 +139,7 @@
             &["b +n"],
         ),
         (
-            "small differences are left",
+            "small differences are ignored",
             group(
                 vec![
                     engine("a", Mixed, &["m"], 0),
@@ -153,7 +153,7 @@
             &[],
         ),
         (
-            "demand moved",
+            "demand has shifted",
             group(
                 vec![
                     engine("a", Mixed, &["m"], 0),
