--- a/crates/firshore-batch/tests/common/mod.rs
+++ b/crates/firshore-batch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A job table with short ways to drive it.
+//! A job table with helpers to drive it.
 #![allow(dead_code, missing_docs)]
 
 use firshore_batch::command::{
@@ -99,7 +99,7 @@
         let request = self.request(count);
         match self.apply(Action::Lease(request)) {
             Outcome::Leased(leases) => leases,
-            other => panic!("leases expected, not {other:?}"),
+            other => panic!("unexpected outcome of a lease request: {other:?}"),
         }
     }
 
--- a/crates/firshore-controller/tests/plan.rs
+++ b/crates/firshore-controller/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Shares and demand become orders that leave no work without an engine.
+//! Orders planned from shares and demand; all work stays covered by an engine.
 
 mod support;
 
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn orders_are_few_and_safe() {
+fn orders_are_minimal_and_keep_coverage() {
     let halves = [(Online, 50), (Batch, 50)];
-    let mut gone = engine("b", Mixed, &["m"], 0);
-    gone.available = false;
+    let mut unavailable = engine("b", Mixed, &["m"], 0);
+    unavailable.available = false;
     let cases: [(&str, Group, &[&str], &[&str]); 13] = [
         (
-            "as wanted",
+            "targets are met",
             group(
                 vec![
                     engine("a", Online, &["m"], 0),
@@ -69,7 +69,7 @@
             &[],
         ),
         (
-            "the idler one first, the other must wait for it",
+            "the less busy engine first, then the other",
             group(
                 vec![engine("a", Mixed, &["m"], 5), engine("b", Mixed, &["m"], 1)],
                 &halves,
@@ -79,7 +79,7 @@
             &["b Online"],
         ),
         (
-            "the other once the first reports",
+            "the other after the first reports",
             group(
                 vec![engine("a", Mixed, &["m"], 5), engine("b", Batch, &["m"], 1)],
                 &halves,
@@ -89,7 +89,7 @@
             &["a Online"],
         ),
         (
-            "not while the first is under way",
+            "not while the first order is pending",
             group(
                 vec![engine("a", Mixed, &["m"], 5), engine("b", Mixed, &["m"], 1)],
                 &halves,
@@ -99,9 +99,9 @@
             &[],
         ),
         (
-            "the last that is available stays",
+            "the last available engine keeps its role",
             group(
-                vec![engine("a", Mixed, &["m"], 0), gone],
+                vec![engine("a", Mixed, &["m"], 0), unavailable],
                 &halves,
                 &[("m", 1)],
             ),
@@ -115,7 +115,7 @@
             &["a Mixed"],
         ),
         (
-            "the last online engine for a model stays",
+            "the last online engine for a model keeps its role",
             group(
                 vec![
                     engine("a", Online, &["m"], 0),
@@ -129,7 +129,7 @@
             &["b Batch"],
         ),
         (
-            "a model that nobody holds",
+            "a model that no engine holds",
             group(
                 vec![engine("a", Mixed, &["m"], 3), engine("b", Mixed, &["m"], 1)],
                 &[],
@@ -139,7 +139,7 @@
             &["b +n"],
         ),
         (
-            "small differences are left",
+            "small differences are ignored",
             group(
                 vec![
                     engine("a", Mixed, &["m"], 0),
@@ -153,7 +153,7 @@
             &[],
         ),
         (
-            "demand moved",
+            "demand has shifted",
             group(
                 vec![
                     engine("a", Mixed, &["m"], 0),
@@ -168,7 +168,7 @@
             &["a +n", "b +n"],
         ),
         (
-            "a model nobody needs any more",
+            "a model that is no longer needed",
             group(vec![engine("a", Mixed, &["m", "old"], 0)], &[], &[("m", 1)]),
             &[],
             &["a -old"],
