--- a/crates/firshore-batch/src/job.rs
+++ b/crates/firshore-batch/src/job.rs
@@ -5,7 +5,7 @@
 use firshore_types::labels::Labels;
 use serde::{Deserialize, Serialize};
 
-/// Status of a job, with the names of the OpenAI-style batch interface.
+/// Status of a job, with the names of the usual batch interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
